--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -57,7 +57,7 @@
 	case x.mayHaveRun:
 		g.answerOwn(w, x, http.StatusBadGateway, string(c.Reason))
 	default:
-		g.refuse(w, x, string(c.Reason), c.ComeBack)
+		g.refuse(w, x, string(c.Reason), c.RetryAfter)
 	}
 }
 
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -48,7 +48,7 @@
 
 	// steering guards steer, which all requests share.
 	steering sync.Mutex
-	steer    *pasteer.Steer
+	steer    *pasteer.Balancer
 
 	// ending ends shortly before the process is killed; requests that still run then get an answer.
 	ending context.Context
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -16,7 +16,7 @@
 // gossip plays calls between entry VMs that tell each other what is warm, each call at a time of its own.
 type gossip struct {
 	entries []pafleet.Entry
-	steers  []*pasteer.Steer
+	steers  []*pasteer.Balancer
 	// asks has the entry VMs that each asks, and after the number of the last note that it got from each.
 	asks   [][]int
 	after  [][]uint64
@@ -93,7 +93,7 @@
 	o.told[from] += len(notes)
 	o.second[from] += len(notes)
 	o.most[from] = max(o.most[from], o.second[from])
-	o.steers[to].HearWarm(notes, now.Add(wayOfGossip))
+	o.steers[to].ApplyNotes(notes, now.Add(wayOfGossip))
 }
 
 func (o *gossip) start(entry int, target, object string, now time.Time) {
--- a/pagate/meter.go
+++ b/pagate/meter.go
@@ -54,7 +54,7 @@
 
 // choice counts what a decision means for the traffic between regions.
 func (m *meter) choice(c pasteer.Choice) {
-	if c.Shifts {
+	if c.Shifted {
 		m.shifted.Inc()
 	}
 	if c.Held {
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -206,9 +206,9 @@
 func (a *attempt) result(response *http.Response) result {
 	names := a.gate.config.Headers
 	r := result{outcome: pasteer.Answered, report: a.report()}
-	r.report.Told, r.report.Running, r.report.Waiting = readLoad(response.Header.Get(names.Load))
+	r.report.LoadKnown, r.report.Running, r.report.Waiting = readLoad(response.Header.Get(names.Load))
 	if n, err := strconv.ParseFloat(response.Header.Get(names.Cold), 64); err == nil {
-		r.report.Cold = time.Duration(n * float64(time.Millisecond))
+		r.report.ColdFor = time.Duration(n * float64(time.Millisecond))
 	}
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
@@ -224,7 +224,7 @@
 
 func (a *attempt) report() pasteer.Report {
 	return pasteer.Report{
-		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Took: a.gate.config.Clock.Since(a.begun),
+		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Duration: a.gate.config.Clock.Since(a.begun),
 		Warm: a.choice.Warm,
 	}
 }
--- a/pagate/serve.go
+++ b/pagate/serve.go
@@ -10,7 +10,7 @@
 // serve sends the request until there is an answer.
 func (g *Gate) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	g.steering.Lock()
-	x.service = g.steer.Part(x.route, x.arrived)
+	x.service = g.steer.PickService(x.route, x.arrived)
 	g.steering.Unlock()
 	for dials, sheds := 0, 0; ; {
 		c := g.choose(x)
@@ -63,7 +63,7 @@
 func (g *Gate) shedWithRoom(r result) bool {
 	g.steering.Lock()
 	defer g.steering.Unlock()
-	return g.steer.ShedWithRoom(r.report)
+	return g.steer.ShedWithFreeSlot(r.report)
 }
 
 // choose decides where the request goes next.
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		g.steering.Lock()
-		notes, last := g.steer.Warm(warmMost, g.config.Clock.Now())
+		notes, last := g.steer.WarmObjects(warmMost, g.config.Clock.Now())
 		g.steering.Unlock()
 		if last == kept {
 			continue
@@ -50,7 +50,7 @@
 	for _, c := range all {
 		if k, ok := c.(pafleet.WarmKept); ok {
 			g.steering.Lock()
-			g.steer.HearKept(k.Notes, now)
+			g.steer.ApplyStoredNotes(k.Notes, now)
 			g.steering.Unlock()
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	p.gate.steering.Lock()
 	defer p.gate.steering.Unlock()
-	p.gate.steer.HearWarm(notes, p.gate.config.Clock.Now())
+	p.gate.steer.ApplyNotes(notes, p.gate.config.Clock.Now())
 }
 
 // warmAfter returns the notes after one that the neighbour has, as far as the budget lasts.
--- a/pasteer/admit.go
+++ b/pasteer/admit.go
@@ -8,7 +8,7 @@
 
 // tooLate says that the chosen target would not answer in time, or turns more away. A queue that stands counts also
 // where the choice knows of no wait, since what the target told of its load is older than a run.
-func (s *Steer) tooLate(c Choice, q Request, now time.Time) bool {
+func (s *Balancer) tooLate(c Choice, q Request, now time.Time) bool {
 	if c.Load >= queueMost {
 		return true
 	}
@@ -34,7 +34,7 @@
 const queueLife = 2 * time.Second
 
 // lateBehind says that the request would be answered after its target latency.
-func (s *Steer) lateBehind(t *target, q Request, c Choice, now time.Time) bool {
+func (s *Balancer) lateBehind(t *target, q Request, c Choice, now time.Time) bool {
 	load := float64(t.inFlight) + t.othersIn(now, c.wait > 0)
 	wait := max(0, (load+1-t.slots())/t.slots()) * float64(s.expected(q, true))
 	if wait <= 0 {
--- a/pasteer/budget.go
+++ b/pasteer/budget.go
@@ -37,7 +37,7 @@
 }
 
 // countFirst counts a request for the service.
-func (s *Steer) countFirst(g *service, now time.Time) {
+func (s *Balancer) countFirst(g *service, now time.Time) {
 	g.budget.first[g.budget.slot(now, s.Config.RetryWindow)]++
 }
 
@@ -46,7 +46,7 @@
 // Load: many targets fail or shed at once. Harm prevented: further attempts take slots from first
 // ones when there are none to spare. The floor is shared evenly among entry VMs, so that no message
 // is needed to keep their sum within it.
-func (s *Steer) TakeRetry(name string, now time.Time) bool {
+func (s *Balancer) TakeRetry(name string, now time.Time) bool {
 	g := s.services[name]
 	if g == nil {
 		return false
--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -14,7 +14,7 @@
 // Request is what a decision needs to know of a request.
 type Request struct {
 	Route *paroute.Route
-	// Service is the part of the route that the request goes to; Part returns it.
+	// Service is the part of the route that the request goes to; PickService returns it.
 	Service string
 	// Object is what the request is about; empty if it is not known.
 	Object string
@@ -38,16 +38,16 @@
 	Born int64
 	// Reason says why a request is refused.
 	Reason Reason
-	// ComeBack is when a refused caller should come back.
-	ComeBack time.Duration
+	// RetryAfter is when a refused caller should come back.
+	RetryAfter time.Duration
 	// Warm says that the object was handled there lately; Load is the estimated load over slots.
 	Warm bool
 	Load float64
 	// wait and finish are the estimated times to the start and to the end of the work.
 	wait, finish time.Duration
-	// Shifts says that the request goes to another region than those before it; Held that it may not, since
+	// Shifted says that the request goes to another region than those before it; Held that it may not, since
 	// enough others just did.
-	Shifts, Held bool
+	Shifted, Held bool
 }
 
 // Reason says why a request is refused.
@@ -71,8 +71,8 @@
 	comeBackFull     = 300 * time.Millisecond
 )
 
-// Part counts a request of the route and returns the service that it goes to.
-func (s *Steer) Part(r *paroute.Route, now time.Time) string {
+// PickService counts a request of the route and returns the service that it goes to.
+func (s *Balancer) PickService(r *paroute.Route, now time.Time) string {
 	p := s.splits[r.Name]
 	if p == nil {
 		p = &paroute.Splitter{Seed: hashOf(s.Config.Name, r.Name)}
@@ -86,18 +86,18 @@
 }
 
 // Choose returns where the request goes. Follow it with Start if it is sent.
-func (s *Steer) Choose(q Request, now time.Time) Choice {
+func (s *Balancer) Choose(q Request, now time.Time) Choice {
 	g := s.services[q.Service]
 	if g == nil {
-		return Choice{Reason: ReasonNoTarget, ComeBack: comeBackNoTarget}
+		return Choice{Reason: ReasonNoTarget, RetryAfter: comeBackNoTarget}
 	}
 	q.hash = q.key()
 	l := s.shortlistOf(g, q, now)
 	switch {
 	case l.usable == 0 && l.cold:
-		return Choice{Reason: ReasonCold, ComeBack: comeBackCold}
+		return Choice{Reason: ReasonCold, RetryAfter: comeBackCold}
 	case l.usable == 0:
-		return Choice{Reason: ReasonNoTarget, ComeBack: comeBackNoTarget}
+		return Choice{Reason: ReasonNoTarget, RetryAfter: comeBackNoTarget}
 	}
 	return s.pick(g, l.all, q, now)
 }
@@ -119,7 +119,7 @@
 func (q Request) bound() bool { return q.Route.Affinity && q.Object != "" }
 
 // reachable says that the target is not left alone after failures or silence.
-func (s *Steer) reachable(t *target, now time.Time) bool {
+func (s *Balancer) reachable(t *target, now time.Time) bool {
 	return !now.Before(t.downUntil) && (s.Config.Off.SilentTargets || !t.silent(now) || !now.Before(t.tryAt))
 }
 
--- a/pasteer/cold.go
+++ b/pasteer/cold.go
@@ -50,7 +50,7 @@
 // took its traffic over, each send a request at once, several times what a cold target bears. So a zone has few
 // feeders; each waits its turn; and one that has just started sends only to targets of its own zone, and counts
 // as many in it as the largest other zone has.
-func (s *Steer) feed(v *pafleet.View) {
+func (s *Balancer) feed(v *pafleet.View) {
 	zones, regions := map[string][]string{}, map[string][]string{}
 	var all []string
 	s.mates = s.mates[:0]
@@ -100,7 +100,7 @@
 }
 
 // feederOf returns the share of this entry VM in what the target's zone may get, and whether it has one.
-func (s *Steer) feederOf(t *target, now time.Time) (feeder, bool) {
+func (s *Balancer) feederOf(t *target, now time.Time) (feeder, bool) {
 	f, ok := s.feeders[t.member.Zone]
 	if ok && now.Sub(s.startedAt) < settleTime {
 		f.n = max(f.n, s.mostPerZone)
@@ -112,7 +112,7 @@
 // coldRate returns how many requests a second this entry VM may send to the cold target. Only the
 // entry VMs of its availability zone do, or some others where the zone has none: the fewer
 // they are, the more each may send, and none needs to ask the others.
-func (s *Steer) coldRate(t *target, now time.Time) float64 {
+func (s *Balancer) coldRate(t *target, now time.Time) float64 {
 	f, ok := s.feederOf(t, now)
 	g := s.services[t.member.Service]
 	if !ok || g == nil {
@@ -122,7 +122,7 @@
 }
 
 // beginCold makes the first request to a target that has just turned cold wait for this entry VM's turn.
-func (s *Steer) beginCold(t *target, now time.Time) {
+func (s *Balancer) beginCold(t *target, now time.Time) {
 	f, ok := s.feederOf(t, now)
 	if rate := s.coldRate(t, now); ok && rate > 0 {
 		turn := float64(f.rank) / float64(f.n)
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -17,9 +17,9 @@
 		m.ColdUntil = begin.Add(time.Minute)
 		v.Targets[id] = m
 	}
-	var all []*Steer
+	var all []*Balancer
 	for zone := range regions {
-		all = append(all, newSteer(zone, v))
+		all = append(all, newBalancer(zone, v))
 	}
 	sent := map[string][]time.Time{}
 	for tick := range 500 {
@@ -30,7 +30,7 @@
 				continue
 			}
 			s.Start(c, request("", now), now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Took: time.Millisecond}, now)
+			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
 			sent[c.Target] = append(sent[c.Target], now)
 		}
 	}
@@ -55,7 +55,7 @@
 // A target refuses connections because it starts anew under its ID, cold. It must not get its full share
 // at once: a cold target crashes under that.
 func TestATargetThatBrokeCountsAsCold(t *testing.T) {
-	s := newSteer("a1", fleet(1))
+	s := newBalancer("a1", fleet(1))
 	id := "a1-0"
 	s.Start(Choice{Target: id}, request("", begin), begin)
 	s.Finish(Report{Target: id, Route: "r", Outcome: Refused}, begin)
@@ -70,13 +70,13 @@
 // The first run of an object takes three times as long as the next ones. Taken for a warm run, it makes all
 // waits look three times as long, and requests that could be answered in time are refused or run cold elsewhere.
 func TestAFirstRunIsNotLearntAsAWarmOne(t *testing.T) {
-	s := newSteer("a1", fleet(2))
+	s := newBalancer("a1", fleet(2))
 	q, now := request("x", begin), begin
 	for _, took := range []time.Duration{900 * time.Millisecond, 270 * time.Millisecond} {
 		c := s.Choose(q, now)
 		s.Start(c, q, now)
 		now = now.Add(took)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Took: took, Warm: c.Warm}, now)
+		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: took, Warm: c.Warm}, now)
 	}
 	if cold, warm := s.expected(q, false), s.expected(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
 		t.Errorf("a cold run is expected to take %s and a warm one %s", cold, warm)
@@ -117,7 +117,7 @@
 			revision++
 		}
 	}
-	var all []*Steer
+	var all []*Balancer
 	for zone, region := range regions {
 		for i := range 4 {
 			s := New(Config{Name: fmt.Sprintf("entry-%s-%d", zone, i), Zone: zone, Region: region, Regions: regions})
@@ -136,7 +136,7 @@
 			q.Route = r
 			c := s.Choose(q, now)
 			s.Start(c, request("", now), now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Took: time.Millisecond}, now)
+			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
 			sent[c.Target]++
 		}
 	}
--- a/pasteer/home.go
+++ b/pasteer/home.go
@@ -17,7 +17,7 @@
 
 // homesOf returns how many targets of the ranking may be an object's home. Its first is, but where that
 // is in another region, the first of them in the own one is. A cold run takes about the target latency.
-func (s *Steer) homesOf(r *paroute.Route) int {
+func (s *Balancer) homesOf(r *paroute.Route) int {
 	if s.Config.Off.FurtherHomes {
 		return 1
 	}
@@ -28,24 +28,24 @@
 }
 
 // firstHome returns the index of the first candidate whose region is not pressed, or of the first of all.
-func (s *Steer) firstHome(g *service, all []candidate, q Request, now time.Time) int {
+func (s *Balancer) firstHome(g *service, all []candidate, q Request, now time.Time) int {
 	i := slices.IndexFunc(all, func(c candidate) bool { return s.pressOf(g, c.target.region, q, now) == 0 })
 	return max(0, i)
 }
 
 // mayBeHome says whether an object may run cold at the candidate i: at the first home, or at one of the next few
 // that is in the own region where the first is not.
-func (s *Steer) mayBeHome(g *service, all []candidate, first, i int, q Request, now time.Time) bool {
+func (s *Balancer) mayBeHome(g *service, all []candidate, first, i int, q Request, now time.Time) bool {
 	return i == first || s.isFurtherHome(all, first, i, q.Route) && s.pressOf(g, all[i].target.region, q, now) == 0
 }
 
 // isFurtherHome says whether the candidate i is a home beside the first.
-func (s *Steer) isFurtherHome(all []candidate, first, i int, r *paroute.Route) bool {
+func (s *Balancer) isFurtherHome(all []candidate, first, i int, r *paroute.Route) bool {
 	return i > first && i < first+s.homesOf(r) && all[i].target.near < nearNone && all[first].target.near == nearNone
 }
 
 // homeOf returns the index of the candidate where an object runs first as long as no target is full and no region pressed.
-func (s *Steer) homeOf(all []candidate, r *paroute.Route) int {
+func (s *Balancer) homeOf(all []candidate, r *paroute.Route) int {
 	for i := range all {
 		if all[i].target.near < nearNone && (i == 0 || s.isFurtherHome(all, 0, i, r)) {
 			return i
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -13,7 +13,7 @@
 // replay plays load against a model of targets: three slots, a queue, 25 warm objects, and cold work that
 // takes more than three times as long as warm work.
 type replay struct {
-	steers []*Steer
+	steers []*Balancer
 	model  map[string]*modelTarget
 	events eventHeap
 	random *rand.Rand
@@ -46,7 +46,7 @@
 }
 
 type job struct {
-	steer   *Steer
+	steer   *Balancer
 	target  string
 	object  string
 	choice  Choice
@@ -79,7 +79,7 @@
 		view: v, last: map[string]string{}, sent: make([]int, seconds+30), moved: make([]int, seconds+30), slow: 1,
 	}
 	for _, zone := range []string{"a1", "a2", "b1", "b2", "c1", "c2"} {
-		r.steers = append(r.steers, newSteer(zone, v))
+		r.steers = append(r.steers, newBalancer(zone, v))
 	}
 	for id := range v.Targets {
 		r.model[id] = &modelTarget{warm: map[string]time.Time{}}
@@ -110,7 +110,7 @@
 	object := fmt.Sprintf("o%d", n)
 	second := int(now.Sub(begin) / time.Second)
 	r.asked[second]++
-	s.Part(route, now)
+	s.PickService(route, now)
 	q := request(object, now)
 	if r.random.Float64() < r.bound {
 		q.Regions = []string{"c"}
@@ -127,7 +127,7 @@
 	j := job{steer: s, target: c.Target, object: object, choice: c, arrived: now}
 	m := r.model[c.Target]
 	if len(m.waiting) >= 9 {
-		s.Finish(Report{Target: c.Target, Route: "r", Object: object, Outcome: Shed, Told: true, Running: 3, Waiting: 9}, now)
+		s.Finish(Report{Target: c.Target, Route: "r", Object: object, Outcome: Shed, LoadKnown: true, Running: 3, Waiting: 9}, now)
 		return
 	}
 	m.waiting = append(m.waiting, j)
@@ -136,13 +136,13 @@
 
 // note counts a request of a caller of the region c, and whether it goes to another region than the one before
 // it for the same object, or than the first one would if no target had anything to do.
-func (r *replay) note(s *Steer, object, target string, second int) {
+func (r *replay) note(s *Balancer, object, target string, second int) {
 	if s.Config.Region != "c" {
 		return
 	}
 	key, to := s.Config.Name+object, regions[target[:2]]
 	if r.last[key] == "" {
-		idle := newSteer(s.Config.Zone, r.view)
+		idle := newBalancer(s.Config.Zone, r.view)
 		r.last[key] = regions[idle.Choose(request(object, begin), begin).Target[:2]]
 	}
 	if r.last[key] != to {
@@ -161,7 +161,7 @@
 	return most
 }
 
-func (r *replay) least(s *Steer, now time.Time) string {
+func (r *replay) least(s *Balancer, now time.Time) string {
 	best, least := "", 0.0
 	for _, t := range s.services["s"].targets {
 		if l := t.load(now); best == "" || l < least {
@@ -204,9 +204,9 @@
 func (r *replay) end(m *modelTarget, j job, now time.Time) {
 	m.running--
 	j.steer.Finish(Report{
-		Target: j.target, Route: "r", Object: j.object, Outcome: Answered, Took: now.Sub(r.begin(j)),
-		Warm: j.choice.Warm,
-		Told: true, Running: m.running + 1, Waiting: len(m.waiting),
+		Target: j.target, Route: "r", Object: j.object, Outcome: Answered, Duration: now.Sub(r.begin(j)),
+		Warm:      j.choice.Warm,
+		LoadKnown: true, Running: m.running + 1, Waiting: len(m.waiting),
 	}, now)
 	if now.Sub(j.arrived) <= route.TargetLatency {
 		r.inTime[int(j.arrived.Sub(begin)/time.Second)]++
--- a/pasteer/newcomer.go
+++ b/pasteer/newcomer.go
@@ -25,7 +25,7 @@
 // object stays where it is warm, and the new targets stand idle for as long as the others bear the load.
 // One cold run begins their use; the objects whose first home they are then stay there. The entry VMs take turns:
 // where each of a hundred began the use of each of a hundred targets, all that they sent for seconds ran cold.
-func (s *Steer) newcomer(g *service, all []candidate, q Request, now time.Time) *target {
+func (s *Balancer) newcomer(g *service, all []candidate, q Request, now time.Time) *target {
 	if s.Config.Off.Newcomers {
 		return nil
 	}
@@ -43,7 +43,7 @@
 
 // newcomerOf returns the turn of this entry VM at a target that joined: those of the target's availability zone come
 // first, then those of its region, each in the order of hashes.
-func (s *Steer) newcomerOf(t *target) newcomer {
+func (s *Balancer) newcomerOf(t *target) newcomer {
 	before := 0
 	own := rendezvous(t.hash, s.hash)
 	for _, e := range s.mates {
--- a/pasteer/newcomer_test.go
+++ b/pasteer/newcomer_test.go
@@ -17,7 +17,7 @@
 		e := pafleet.Entry{Name: fmt.Sprint("more-", i), Zone: "a1", Region: "a", Revision: pafleet.Revision(1000 + i)}
 		v.Apply(pafleet.EntrySaid{Entry: e}, begin)
 	}
-	var all []*Steer
+	var all []*Balancer
 	for name, e := range v.Entries {
 		if e.Region != "a" {
 			continue
@@ -28,7 +28,7 @@
 			q := request(fmt.Sprint("object-", i), begin)
 			c := s.Choose(q, begin)
 			s.Start(c, q, begin)
-			s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Took: time.Second}, begin)
+			s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: time.Second}, begin)
 		}
 		all = append(all, s)
 	}
@@ -49,7 +49,7 @@
 			q := request(fmt.Sprint("object-", (tick*7+k)%100), now)
 			if c := s.Choose(q, now); c.Target != "" {
 				s.Start(c, q, now)
-				s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Took: 300 * time.Millisecond, Warm: c.Warm}, now)
+				s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm}, now)
 				if !c.Warm && len(c.Target) > 3 && c.Target[:3] == "new" {
 					sent[c.Target]++
 				}
--- a/pasteer/note.go
+++ b/pasteer/note.go
@@ -55,15 +55,15 @@
 }
 
 // WarmNotes returns up to a number of notes after one whose number was returned before, and the number of the last.
-func (s *Steer) WarmNotes(after uint64, most int, now time.Time) ([]pafleet.WarmNote, uint64) {
+func (s *Balancer) WarmNotes(after uint64, most int, now time.Time) ([]pafleet.WarmNote, uint64) {
 	return s.notes.after(after, most, now)
 }
 
-// HearWarm takes a neighbour's notes and keeps those that are news for other neighbours.
+// ApplyNotes takes a neighbour's notes and keeps those that are news for other neighbours.
 //
 // Load: more objects than targets keep warm, so that notes are many. Harm prevented: a note that came late, on an
 // object that was pushed out meanwhile, was news again, and went round among neighbours without end.
-func (s *Steer) HearWarm(all []pafleet.WarmNote, now time.Time) {
+func (s *Balancer) ApplyNotes(all []pafleet.WarmNote, now time.Time) {
 	if s.Config.Off.Notes {
 		return
 	}
@@ -83,8 +83,8 @@
 // keptAge is the age that what was kept is taken to have: more than that of what neighbours tell.
 const keptAge = 10 * time.Second
 
-// HearKept takes what was kept of warm objects, which all entry VMs read for themselves.
-func (s *Steer) HearKept(all []pafleet.WarmNote, now time.Time) {
+// ApplyStoredNotes takes what was kept of warm objects, which all entry VMs read for themselves.
+func (s *Balancer) ApplyStoredNotes(all []pafleet.WarmNote, now time.Time) {
 	if s.Config.Off.KeptNotes {
 		return
 	}
@@ -96,7 +96,7 @@
 }
 
 // hear remembers that the target handled the object at a time, and says whether that is news.
-func (s *Steer) hear(t *target, object string, at time.Time) bool {
+func (s *Balancer) hear(t *target, object string, at time.Time) bool {
 	key := hashOf(t.member.Service, object)
 	if told, ok := t.warm.told[key]; ok && at.Sub(told) < noteStep {
 		return false
@@ -106,7 +106,7 @@
 }
 
 // noteUse remembers that the target handles the object now, and keeps it for neighbours if it is news.
-func (s *Steer) noteUse(t *target, object string, now time.Time) {
+func (s *Balancer) noteUse(t *target, object string, now time.Time) {
 	if object == "" {
 		return
 	}
--- a/pasteer/outcome.go
+++ b/pasteer/outcome.go
@@ -45,18 +45,18 @@
 
 // Report is what was seen of a request at a target.
 type Report struct {
-	Target  string
-	Route   string
-	Object  string
-	Outcome Outcome
-	Took    time.Duration
+	Target   string
+	Route    string
+	Object   string
+	Outcome  Outcome
+	Duration time.Duration
 	// Warm is that of the Choice.
 	Warm bool
-	// Running and Waiting are what the target told of its load; Told says that it did.
-	Told             bool
+	// Running and Waiting are what the target told of its load; LoadKnown says that it did.
+	LoadKnown        bool
 	Running, Waiting int
-	// Cold is how much longer the target says that it stays cold.
-	Cold time.Duration
+	// ColdFor is how much longer the target says that it stays cold.
+	ColdFor time.Duration
 }
 
 const (
@@ -75,7 +75,7 @@
 )
 
 // Start counts a request that is sent to the chosen target.
-func (s *Steer) Start(c Choice, q Request, now time.Time) {
+func (s *Balancer) Start(c Choice, q Request, now time.Time) {
 	t := s.targets[c.Target]
 	if t == nil {
 		return
@@ -122,33 +122,33 @@
 func (t *target) silent(now time.Time) bool { return !t.silentAt.IsZero() && now.After(t.silentAt) }
 
 // Finish takes the end of a request at a target.
-func (s *Steer) Finish(r Report, now time.Time) {
+func (s *Balancer) Finish(r Report, now time.Time) {
 	t := s.targets[r.Target]
 	if t == nil {
 		return
 	}
 	t.inFlight = max(0, t.inFlight-1)
-	if r.Told {
+	if r.LoadKnown {
 		t.others, t.othersAt = max(0, float64(r.Running+r.Waiting-t.inFlight-1)), now
 	}
 	if r.Outcome <= Moved {
 		// The target spoke; the next request that waits begins a new silence.
 		t.silentAt = time.Time{}
 		if t.inFlight > 0 {
-			t.silentAt = now.Add(max(silentLeast, silentRuns*r.Took))
+			t.silentAt = now.Add(max(silentLeast, silentRuns*r.Duration))
 		}
 	}
 	t.noteLoad(now)
 	switch r.Outcome {
 	case Answered:
 		s.notePress(t, r, now)
-		s.workOf(r.Route).add(r.Warm, r.Took)
+		s.workOf(r.Route).add(r.Warm, r.Duration)
 		t.failures, t.errors = 0, t.errors*(1-errorWeight)
 		s.noteUse(t, r.Object, now)
 	case Failed:
 		t.errors = t.errors*(1-errorWeight) + errorWeight
 	case Shed:
-		if s.ShedWithRoom(r) {
+		if s.ShedWithFreeSlot(r) {
 			t.errors = t.errors*(1-errorWeight) + errorWeight
 			return
 		}
@@ -165,11 +165,11 @@
 	}
 }
 
-// ShedWithRoom says that the target turned the request away though it had a free slot, as a target
+// ShedWithFreeSlot says that the target turned the request away though it had a free slot, as a target
 // does that fails part of its requests. The same target may take the next one.
-func (s *Steer) ShedWithRoom(r Report) bool {
+func (s *Balancer) ShedWithFreeSlot(r Report) bool {
 	t := s.targets[r.Target]
-	return t != nil && r.Outcome == Shed && r.Told && float64(r.Running+r.Waiting) < t.slots()
+	return t != nil && r.Outcome == Shed && r.LoadKnown && float64(r.Running+r.Waiting) < t.slots()
 }
 
 // fail leaves a target alone that cannot be reached, longer each time.
--- a/pasteer/pick.go
+++ b/pasteer/pick.go
@@ -6,7 +6,7 @@
 )
 
 // usableOf returns the candidates that may get the request now.
-func (s *Steer) usableOf(all []candidate) []candidate {
+func (s *Balancer) usableOf(all []candidate) []candidate {
 	usable := s.scratchUsable[:0]
 	for _, c := range all {
 		if c.usable {
@@ -24,7 +24,7 @@
 // times the slot time of warm work and pushes another object out; soon all work everywhere is cold
 // and the service has a third of its capacity, long after the burst. So waiting at a warm target is
 // preferred until it costs more than the cold run and what that takes from others.
-func (s *Steer) pick(g *service, all []candidate, q Request, now time.Time) Choice {
+func (s *Balancer) pick(g *service, all []candidate, q Request, now time.Time) Choice {
 	var best Choice
 	var least time.Duration
 	if t := s.newcomer(g, all, q, now); t != nil {
@@ -54,19 +54,19 @@
 			least = e.cost
 			best = Choice{
 				Target: c.target.member.ID, Address: c.target.member.Address, Born: c.target.member.Born,
-				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifts: shifts, Held: held,
+				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifts, Held: held,
 			}
 		}
 	}
 	if s.tooLate(best, q, now) {
-		return Choice{Reason: ReasonFull, ComeBack: comeBackFull + best.wait/2, Load: best.Load, Held: held}
+		return Choice{Reason: ReasonFull, RetryAfter: comeBackFull + best.wait/2, Load: best.Load, Held: held}
 	}
 	return best
 }
 
 // withFirstIn adds the first target of a region where none of the ranking's first is in it: a request that is held
 // there may run cold at it.
-func (s *Steer) withFirstIn(g *service, region string, usable []candidate, q Request, now time.Time) []candidate {
+func (s *Balancer) withFirstIn(g *service, region string, usable []candidate, q Request, now time.Time) []candidate {
 	for _, c := range usable {
 		if c.target.region == region && !c.target.warm.has(q.key(), now) {
 			return usable
@@ -91,7 +91,7 @@
 // wayTime is the time to a target and back, by its distance. It only decides between targets that are alike otherwise.
 var wayTime = [...]time.Duration{nearZone: 0, nearRegion: 0, nearNone: 70 * time.Millisecond}
 
-func (s *Steer) estimate(t *target, q Request, warm bool, now time.Time) estimate {
+func (s *Balancer) estimate(t *target, q Request, warm bool, now time.Time) estimate {
 	load := t.load(now)
 	e := estimate{load: load / t.slots()}
 	if t.errors > greyErrors && !s.Config.Off.GreyTargets {
--- a/pasteer/press.go
+++ b/pasteer/press.go
@@ -35,7 +35,7 @@
 }
 
 // notePress takes a run at a target.
-func (s *Steer) notePress(t *target, r Report, now time.Time) {
+func (s *Balancer) notePress(t *target, r Report, now time.Time) {
 	g, usual := s.services[t.member.Service], s.workOf(r.Route).of(r.Warm)
 	if g == nil || usual == 0 {
 		return
@@ -45,8 +45,8 @@
 		p = &press{}
 		g.press[t.region] = p
 	}
-	extra := r.Took - wayTime[t.near] - usual
-	if r.Told && r.Waiting == 0 {
+	extra := r.Duration - wayTime[t.near] - usual
+	if r.LoadKnown && r.Waiting == 0 {
 		// Nothing waits: the work itself took longer.
 		extra = 0
 	}
@@ -58,7 +58,7 @@
 // Load: a region with few targets and many callers, some of whose requests may run nowhere else. Harm prevented: what
 // may run elsewhere fills its queues, since each entry VM sees few of the requests there and takes its targets for
 // free; all wait there longer than their target latency while targets of other regions have nothing to do.
-func (s *Steer) pressOf(g *service, region string, q Request, now time.Time) time.Duration {
+func (s *Balancer) pressOf(g *service, region string, q Request, now time.Time) time.Duration {
 	if s.Config.Off.PressedRegions || len(q.Regions) > 0 {
 		return 0
 	}
--- a/pasteer/shift.go
+++ b/pasteer/shift.go
@@ -50,7 +50,7 @@
 //
 // Load: the entry VMs of a region are stopped, and their callers come here. Harm prevented: taken for requests of
 // this region, they were kept in it, and each object ran cold though it was warm where it had always run.
-func (s *Steer) settled(g *service, all, usable []candidate, q Request, now time.Time) string {
+func (s *Balancer) settled(g *service, all, usable []candidate, q Request, now time.Time) string {
 	if !q.bound() || len(q.Tried) > 0 {
 		return ""
 	}
@@ -75,7 +75,7 @@
 // prevented: half of the region's traffic moves within two seconds onto links and targets that others use,
 // and each object that moves runs cold there first. What does not fit waits or is refused, and moves at the
 // pace that the platform allows.
-func (s *Steer) mayShift(now time.Time) bool {
+func (s *Balancer) mayShift(now time.Time) bool {
 	if s.Config.MaxShift <= 0 || s.Config.Off.ShiftBound {
 		return true
 	}
@@ -85,13 +85,13 @@
 
 // notePlace counts a request that is sent. What a second attempt reaches says nothing of where the object's
 // next request should go.
-func (s *Steer) notePlace(c Choice, q Request, now time.Time) {
+func (s *Balancer) notePlace(c Choice, q Request, now time.Time) {
 	if !q.bound() || len(q.Tried) > 0 {
 		return
 	}
 	i := s.shifts.slot(now, shiftWindow)
 	s.shifts.first[i]++
-	if c.Shifts {
+	if c.Shifted {
 		s.shifts.further[i]++
 	}
 	s.places.put(q.placeKey(), c.Target)
--- a/pasteer/shift_test.go
+++ b/pasteer/shift_test.go
@@ -13,7 +13,7 @@
 // the new entry VM's region they all run cold, and none of them had changed its region.
 func TestAnObjectThatIsWarmElsewhereStaysThere(t *testing.T) {
 	v := fleet(2)
-	s := newSteer("a1", v)
+	s := newBalancer("a1", v)
 	s.Config.MaxShift = 0.15
 	now := begin.Add(time.Second)
 	for range 100 {
@@ -23,8 +23,8 @@
 	if s.mayShift(now) {
 		t.Fatal("the entry VM may still let requests leave its region")
 	}
-	s.HearWarm([]pafleet.WarmNote{{Target: "c1-1", Object: "x"}}, now)
-	if c := s.Choose(request("x", now), now); c.Target != "c1-1" || !c.Warm || c.Shifts {
+	s.ApplyNotes([]pafleet.WarmNote{{Target: "c1-1", Object: "x"}}, now)
+	if c := s.Choose(request("x", now), now); c.Target != "c1-1" || !c.Warm || c.Shifted {
 		t.Errorf("choice %+v, want the target where the object is warm", c)
 	}
 }
@@ -32,7 +32,7 @@
 // All entry VMs lose power, and more is warm than the store keeps: an object that had moved runs cold again, while
 // others that had not are kept for nothing.
 func TestObjectsThatMovedAreKeptFirst(t *testing.T) {
-	s := newSteer("a1", fleet(2))
+	s := newBalancer("a1", fleet(2))
 	moved := 0
 	for i := range 40 {
 		q := request(fmt.Sprint(i), begin)
@@ -44,14 +44,14 @@
 		}
 		s.Start(Choice{Target: home}, q, begin.Add(time.Duration(i)*time.Millisecond))
 	}
-	notes, _ := s.Warm(2*moved, begin.Add(time.Second))
+	notes, _ := s.WarmObjects(2*moved, begin.Add(time.Second))
 	found := 0
 	for _, n := range notes {
 		if s.moved(s.targets[n.Target], hashOf("s", n.Object)) == 1 {
 			found++
 		}
 	}
-	all, _ := s.Warm(100, begin.Add(time.Second))
+	all, _ := s.WarmObjects(100, begin.Add(time.Second))
 	want := 0
 	for _, n := range all {
 		want += s.moved(s.targets[n.Target], hashOf("s", n.Object))
--- a/pasteer/shortlist.go
+++ b/pasteer/shortlist.go
@@ -29,7 +29,7 @@
 // shortlistOf returns the targets that the request may go to: for an object the first of its ranking and those
 // where it is warm, for a request without homes some of each distance. Where too few of them may get it, all
 // targets of the service are taken.
-func (s *Steer) shortlistOf(g *service, q Request, now time.Time) shortlist {
+func (s *Balancer) shortlistOf(g *service, q Request, now time.Time) shortlist {
 	l := shortlist{all: s.scratch[:0]}
 	if q.bound() {
 		for _, r := range g.ranks.of(q.key(), g.targets) {
@@ -55,7 +55,7 @@
 }
 
 // wholeList returns all targets that the request may go to.
-func (s *Steer) wholeList(g *service, q Request, now time.Time) shortlist {
+func (s *Balancer) wholeList(g *service, q Request, now time.Time) shortlist {
 	l := shortlist{all: s.scratch[:0]}
 	for i := range g.targets {
 		t := g.targets[g.place(i, len(g.targets))]
@@ -72,7 +72,7 @@
 func (g *service) place(i, targets int) int { return int((g.turn + uint64(i)) % uint64(targets)) }
 
 // sorted puts the best targets first: those of an object by its ranking, others by their distance.
-func (s *Steer) sorted(l shortlist, q Request) shortlist {
+func (s *Balancer) sorted(l shortlist, q Request) shortlist {
 	s.scratch = l.all
 	if q.bound() {
 		slices.SortFunc(l.all, byRank)
@@ -89,7 +89,7 @@
 func byRank(a, b candidate) int { return cmp.Compare(b.hash, a.hash) }
 
 // consider adds a target to the list if it may handle the request.
-func (s *Steer) consider(l *shortlist, r ranked, q Request, now time.Time) {
+func (s *Balancer) consider(l *shortlist, r ranked, q Request, now time.Time) {
 	t := r.target
 	if !mayHandle(t, q) {
 		return
@@ -110,17 +110,17 @@
 }
 
 // takesCold says whether this entry VM may send a request to the cold target now.
-func (s *Steer) takesCold(t *target, now time.Time) bool {
+func (s *Balancer) takesCold(t *target, now time.Time) bool {
 	return s.Config.Off.ColdShares || !now.Before(t.cold.full) && s.coldRate(t, now) > 0
 }
 
 // mayTake says whether the target may get the request now.
-func (s *Steer) mayTake(t *target, q Request, now time.Time) bool {
+func (s *Balancer) mayTake(t *target, q Request, now time.Time) bool {
 	return mayHandle(t, q) && s.reachable(t, now) && (!t.isCold(now) || s.takesCold(t, now))
 }
 
 // firstIn returns the first target of the ranking in a region that may get the request now, or nil.
-func (s *Steer) firstIn(g *service, region string, q Request, now time.Time) *target {
+func (s *Balancer) firstIn(g *service, region string, q Request, now time.Time) *target {
 	var first *target
 	var most uint64
 	for _, t := range g.regions[region] {
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -15,7 +15,7 @@
 func TestAShortlistLeadsToTheSameTargetAsTheWholeRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(rapid.IntRange(1, 12).Draw(t, "targets in a zone"))
-		s := newSteer("a1", v)
+		s := newBalancer("a1", v)
 		s.Config.MaxShift = 0.15
 		now := begin
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
@@ -27,7 +27,7 @@
 				whole = s.pick(g, l.all, q, now)
 			}
 			got := s.Choose(q, now)
-			if got.Target != whole.Target || got.Shifts != whole.Shifts || got.Held != whole.Held {
+			if got.Target != whole.Target || got.Shifted != whole.Shifted || got.Held != whole.Held {
 				t.Fatalf("chose %+v, by the whole ranking %+v", got, whole)
 			}
 			if got.Target == "" {
@@ -35,7 +35,7 @@
 			}
 			s.Start(got, q, now)
 			o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, Lost, Refused, Shed}).Draw(t, "outcome")
-			s.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Took: 300 * time.Millisecond, Warm: got.Warm}, now)
+			s.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Duration: 300 * time.Millisecond, Warm: got.Warm}, now)
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
 				v.Apply(pafleet.TargetGone{ID: got.Target, Revision: v.Revision + 1}, now)
 				s.Update(v, now)
@@ -44,16 +44,16 @@
 	})
 }
 
-// large returns the Steer of an entry VM of a service with a number of targets, each warm for two objects.
-func large(targets int) (*Steer, []string) {
-	s := newSteer("a1", fleet(targets/len(regions)))
+// large returns the Balancer of an entry VM of a service with a number of targets, each warm for two objects.
+func large(targets int) (*Balancer, []string) {
+	s := newBalancer("a1", fleet(targets/len(regions)))
 	var objects []string
 	for i := range 2 * targets {
 		o := fmt.Sprint("object-", i)
 		objects = append(objects, o)
 		c := s.Choose(request(o, begin), begin)
 		s.Start(c, request(o, begin), begin)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: o, Outcome: Answered, Took: time.Second}, begin)
+		s.Finish(Report{Target: c.Target, Route: "r", Object: o, Outcome: Answered, Duration: time.Second}, begin)
 	}
 	return s, objects
 }
--- a/pasteer/steer.go
+++ b/pasteer/steer.go
@@ -10,7 +10,7 @@
 	"papayahead/paroute"
 )
 
-// Config is what a Steer needs to know of its own place and of the platform's bounds.
+// Config is what a Balancer needs to know of its own place and of the platform's bounds.
 type Config struct {
 	Name   string
 	Zone   string
@@ -28,8 +28,8 @@
 	Off Off
 }
 
-// Steer is the state of the decisions of one entry VM.
-type Steer struct {
+// Balancer is the state of the decisions of one entry VM.
+type Balancer struct {
 	Config Config
 
 	targets  map[string]*target
@@ -110,16 +110,16 @@
 	warm      warmSet
 }
 
-// New returns a Steer without targets.
-func New(c Config) *Steer {
-	return &Steer{
+// New returns a Balancer without targets.
+func New(c Config) *Balancer {
+	return &Balancer{
 		Config: c, hash: xxhash.Sum64String(c.Name), targets: map[string]*target{}, services: map[string]*service{},
 		splits: map[string]*paroute.Splitter{}, work: map[string]*workTime{}, used: map[string]bool{}, warmAt: map[uint64][]*target{}, entries: 1, feeders: map[string]feeder{},
 	}
 }
 
 // Update takes the view after a change. What is known of a target is kept as long as its lifetime lasts.
-func (s *Steer) Update(v *pafleet.View, now time.Time) {
+func (s *Balancer) Update(v *pafleet.View, now time.Time) {
 	if v.Config == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // updateServices takes the services of the configuration, without their targets.
-func (s *Steer) updateServices(c *paroute.Config) {
+func (s *Balancer) updateServices(c *paroute.Config) {
 	for name := range s.services {
 		if _, ok := c.Services[name]; !ok {
 			delete(s.services, name)
@@ -161,7 +161,7 @@
 }
 
 // sortOut sorts the targets by distance and region.
-func (s *Steer) sortOut(g *service) {
+func (s *Balancer) sortOut(g *service) {
 	g.near, g.regions, g.newcomers = [nearNone + 1][]*target{}, map[string][]*target{}, nil
 	for _, t := range g.targets {
 		g.near[t.near] = append(g.near[t.near], t)
@@ -173,7 +173,7 @@
 }
 
 // remove drops a lifetime of a target.
-func (s *Steer) remove(t *target) {
+func (s *Balancer) remove(t *target) {
 	s.forget(t)
 	if g := s.services[t.member.Service]; g != nil {
 		g.ranks.leave(t)
@@ -181,7 +181,7 @@
 	delete(s.targets, t.member.ID)
 }
 
-func (s *Steer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
+func (s *Balancer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
 	t := s.targets[id]
 	if t == nil || t.member.Born != m.Born || t.member.Address != m.Address || t.member.Service != m.Service || t.member.Zone != m.Zone {
 		if t != nil {
@@ -208,7 +208,7 @@
 }
 
 // add begins with a lifetime of a target.
-func (s *Steer) add(id string, m *pafleet.Member, now time.Time) *target {
+func (s *Balancer) add(id string, m *pafleet.Member, now time.Time) *target {
 	t := &target{hash: xxhash.Sum64String(id), region: s.Config.Regions[m.Zone]}
 	s.targets[id] = t
 	if s.used[m.Service] {
@@ -224,7 +224,7 @@
 // 1.5 s and a reading of the store of 1 s.
 const evacuationCold = 2500 * time.Millisecond
 
-func (s *Steer) distance(zone, region string) int {
+func (s *Balancer) distance(zone, region string) int {
 	switch {
 	case zone == s.Config.Zone:
 		return nearZone
--- a/pasteer/steer_test.go
+++ b/pasteer/steer_test.go
@@ -38,7 +38,7 @@
 	return v
 }
 
-func newSteer(zone string, v *pafleet.View) *Steer {
+func newBalancer(zone string, v *pafleet.View) *Balancer {
 	s := New(Config{
 		Name: "entry-" + zone, Zone: zone, Region: regions[zone], Regions: regions,
 		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60,
@@ -60,7 +60,7 @@
 // zone: it runs cold twice, and its second home spares nothing, as both are in the region.
 func TestEntryVMsOfARegionAgreeOnAnObjectsHome(t *testing.T) {
 	v := fleet(2)
-	one, other := newSteer("a1", v), newSteer("a2", v)
+	one, other := newBalancer("a1", v), newBalancer("a2", v)
 	for i := range 50 {
 		q := request(fmt.Sprintf("object-%d", i), begin)
 		if a, b := one.Choose(q, begin), other.Choose(q, begin); a.Target != b.Target {
@@ -73,7 +73,7 @@
 // meanwhile. Without its word the object runs cold once more.
 func TestANeighboursNoteLeadsToTheWarmTarget(t *testing.T) {
 	v := fleet(2)
-	one, other := newSteer("a1", v), newSteer("a2", v)
+	one, other := newBalancer("a1", v), newBalancer("a2", v)
 	q := request("x", begin)
 	home := one.Choose(q, begin).Target
 	warm := "c2-1"
@@ -82,7 +82,7 @@
 	}
 	other.Start(Choice{Target: warm}, request("x", begin), begin)
 	notes, last := other.WarmNotes(0, warmNotes, begin)
-	one.HearWarm(notes, begin)
+	one.ApplyNotes(notes, begin)
 	q.Tried = []string{home}
 	if c := one.Choose(q, begin); c.Target != warm || !c.Warm {
 		t.Errorf("target %s, want the warm %s", c.Target, warm)
@@ -93,7 +93,7 @@
 }
 
 func TestNotesThatWereOverwrittenAreNotAskedFor(t *testing.T) {
-	s := newSteer("a1", fleet(2))
+	s := newBalancer("a1", fleet(2))
 	for i := range warmNotes + 10 {
 		s.notes.add(datedNote{"t", fmt.Sprint(i), begin})
 	}
@@ -109,15 +109,15 @@
 // Every target fails. Further attempts of all entry VMs together stay within the budget that they share.
 func TestFurtherAttemptsStayWithinTheSharedBudget(t *testing.T) {
 	v := fleet(1)
-	var all []*Steer
+	var all []*Balancer
 	for zone := range regions {
-		all = append(all, newSteer(zone, v))
+		all = append(all, newBalancer(zone, v))
 	}
 	first, further := 0, 0
 	for tick := range 1000 {
 		now := begin.Add(time.Duration(tick) * 10 * time.Millisecond)
 		for _, s := range all {
-			s.Part(route, now)
+			s.PickService(route, now)
 			first++
 			for range 3 {
 				if s.TakeRetry("s", now) {
@@ -137,7 +137,7 @@
 	v.Apply(pafleet.ZoneEvacuated{Zone: "a1", Revision: 900}, begin)
 	m := v.Targets["b1-0"]
 	m.Draining = true
-	s := newSteer("a1", v)
+	s := newBalancer("a1", v)
 	for i := range 200 {
 		q := request(fmt.Sprint(i), begin)
 		if c := s.Choose(q, begin); c.Target == "b1-0" || c.Target == "a1-0" || c.Target == "a1-1" {
@@ -147,7 +147,7 @@
 }
 
 func TestAllowedRegionsBind(t *testing.T) {
-	s := newSteer("a1", fleet(1))
+	s := newBalancer("a1", fleet(1))
 	r := *route
 	r.AllowedRegions = []string{"c"}
 	for i := range 50 {
@@ -158,7 +158,7 @@
 		}
 	}
 	r.AllowedRegions = []string{"nowhere"}
-	if c := s.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin); c.Reason != ReasonNoTarget || c.ComeBack <= 0 {
+	if c := s.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin); c.Reason != ReasonNoTarget || c.RetryAfter <= 0 {
 		t.Errorf("choice %+v, want a refusal for want of a target", c)
 	}
 }
@@ -166,15 +166,15 @@
 // A target turns requests away though it has free slots. The next one may be taken; the target is no
 // fuller than before.
 func TestSheddingWithRoomIsNoLoad(t *testing.T) {
-	s := newSteer("a1", fleet(1))
-	r := Report{Target: "a1-0", Route: "r", Outcome: Shed, Told: true, Running: 1}
+	s := newBalancer("a1", fleet(1))
+	r := Report{Target: "a1-0", Route: "r", Outcome: Shed, LoadKnown: true, Running: 1}
 	s.Start(Choice{Target: "a1-0"}, request("", begin), begin)
 	s.Finish(r, begin)
-	if !s.ShedWithRoom(r) || s.targets["a1-0"].load(begin) > 1 {
+	if !s.ShedWithFreeSlot(r) || s.targets["a1-0"].load(begin) > 1 {
 		t.Errorf("load %v", s.targets["a1-0"].load(begin))
 	}
 	r.Running, r.Waiting = 3, 9
-	if s.ShedWithRoom(r) {
+	if s.ShedWithFreeSlot(r) {
 		t.Error("a full target counts as having room")
 	}
 }
@@ -183,7 +183,7 @@
 func TestAnyOrderOfEventsKeepsTheCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(1)
-		s := newSteer("a1", v)
+		s := newBalancer("a1", v)
 		now := begin
 		running := map[string]int{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -192,7 +192,7 @@
 			case 0, 1, 2:
 				c := s.Choose(request(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "object")), now), now)
 				if c.Target == "" {
-					if c.Reason == "" || c.ComeBack <= 0 {
+					if c.Reason == "" || c.RetryAfter <= 0 {
 						t.Fatalf("a refusal without reason or time: %+v", c)
 					}
 					continue
@@ -209,7 +209,7 @@
 						continue
 					}
 					o := Outcome(rapid.IntRange(0, int(Abandoned)).Draw(t, "outcome"))
-					s.Finish(Report{Target: id, Route: "r", Object: "x", Outcome: o, Took: time.Second}, now)
+					s.Finish(Report{Target: id, Route: "r", Object: "x", Outcome: o, Duration: time.Second}, now)
 					running[id]--
 					break
 				}
@@ -235,7 +235,7 @@
 // A target loses power. Nothing refuses a connection; its callers leave one after the other, and for
 // seconds all requests for its objects are sent there all the same.
 func TestASilentTargetIsLeftAloneBeforeItsEntryGoes(t *testing.T) {
-	s := newSteer("a1", fleet(2))
+	s := newBalancer("a1", fleet(2))
 	home := s.Choose(request("x", begin), begin).Target
 	sent := 0
 	for tick := range 40 {
@@ -250,7 +250,7 @@
 			s.Finish(Report{Target: home, Route: "r", Object: "x", Outcome: Abandoned}, now)
 			continue
 		}
-		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Took: 300 * time.Millisecond}, now)
+		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: 300 * time.Millisecond}, now)
 	}
 	if sent > 17 {
 		t.Errorf("%d of 40 requests in 4 s were sent to the silent target", sent)
@@ -261,13 +261,13 @@
 // nothing for the rest of the day.
 func TestATargetThatJoinsGetsWorkWithinSeconds(t *testing.T) {
 	v := fleet(1)
-	s := newSteer("a1", v)
+	s := newBalancer("a1", v)
 	ask := func(tick int) string {
 		now := begin.Add(time.Duration(tick) * 100 * time.Millisecond)
 		q := request(fmt.Sprint(tick%20), now)
 		c := s.Choose(q, now)
 		s.Start(c, q, now)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Took: 300 * time.Millisecond}, now)
+		s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond}, now)
 		return c.Target
 	}
 	for tick := range 40 {
--- a/pasteer/turn_test.go
+++ b/pasteer/turn_test.go
@@ -17,14 +17,14 @@
 // Guards against targets of the own availability zone that get nothing while one before them in the list has room.
 func TestRequestsWithoutObjectUseAllTargetsOfTheZone(t *testing.T) {
 	for _, perZone := range []int{2, 4, 8, 12, 40} {
-		s := newSteer("a1", fleet(perZone))
+		s := newBalancer("a1", fleet(perZone))
 		got := map[string]int{}
 		for i := range 20 * perZone {
 			now := begin.Add(time.Duration(i) * time.Second)
 			q := Request{Route: anywhere, Service: "s", Deadline: now.Add(3 * time.Second)}
 			c := s.Choose(q, now)
 			s.Start(c, q, now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Took: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
+			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
 			got[c.Target]++
 		}
 		for i := range perZone {
--- a/pasteer/warm.go
+++ b/pasteer/warm.go
@@ -72,7 +72,7 @@
 }
 
 // remember notes that the target handled the object at a time, and says whether it is one of those handled last.
-func (s *Steer) remember(t *target, key uint64, object string, at time.Time) bool {
+func (s *Balancer) remember(t *target, key uint64, object string, at time.Time) bool {
 	_, known := t.warm.seen[key]
 	out := t.warm.put(key, object, at)
 	if out == key {
@@ -88,7 +88,7 @@
 }
 
 // unindex notes that the target no longer is one where the object is warm.
-func (s *Steer) unindex(t *target, key uint64) {
+func (s *Balancer) unindex(t *target, key uint64) {
 	all := slices.DeleteFunc(s.warmAt[key], func(o *target) bool { return o == t })
 	if s.warmAt[key] = all; len(all) == 0 {
 		delete(s.warmAt, key)
@@ -96,17 +96,17 @@
 }
 
 // forget drops what is known of warm objects at a target.
-func (s *Steer) forget(t *target) {
+func (s *Balancer) forget(t *target) {
 	for key := range t.warm.seen {
 		s.unindex(t, key)
 	}
 	t.warm = warmSet{}
 }
 
-// Warm returns what is warm now at targets that may be used, at most a number of notes, and the number of the last note
+// WarmObjects returns what is warm now at targets that may be used, at most a number of notes, and the number of the last note
 // that WarmNotes returns, which grows with each change. First come the objects that moved: others are found
 // where they are without a note. Of each kind the latest come first.
-func (s *Steer) Warm(most int, now time.Time) ([]pafleet.WarmNote, uint64) {
+func (s *Balancer) WarmObjects(most int, now time.Time) ([]pafleet.WarmNote, uint64) {
 	type seen struct {
 		note  pafleet.WarmNote
 		moved int
@@ -133,7 +133,7 @@
 }
 
 // moved is 1 where the target is not the first of the object's ranking, and 0 where it is.
-func (s *Steer) moved(t *target, key uint64) int {
+func (s *Balancer) moved(t *target, key uint64) int {
 	g := s.services[t.member.Service]
 	if g == nil {
 		return 0
@@ -177,7 +177,7 @@
 	*to += time.Duration(workWeight * float64(min(took, workMost**to)-*to))
 }
 
-func (s *Steer) workOf(route string) *workTime {
+func (s *Balancer) workOf(route string) *workTime {
 	w := s.work[route]
 	if w == nil {
 		w = &workTime{}
@@ -190,7 +190,7 @@
 const warmShare = 0.4
 
 // expected returns how long the work takes at a target, as far as is known.
-func (s *Steer) expected(q Request, warm bool) time.Duration {
+func (s *Balancer) expected(q Request, warm bool) time.Duration {
 	w := s.workOf(q.Route.Name)
 	cold := w.cold
 	if cold == 0 {
