--- a/papayahead/check.go
+++ b/papayahead/check.go
@@ -19,7 +19,7 @@
 		Name:  "check",
 		Usage: "check a settings file, and the configuration and targets in the store that it names",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(platform.SettingsVariable)},
+			&cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(platform.SettingsPathEnv)},
 			&cli.BoolFlag{Name: "offline", Usage: "check the settings file only"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -45,8 +45,8 @@
 	}
 	clock := clockwork.NewRealClock()
 	r := &platform.Registry{
-		Store:      &platform.Store{Base: "http://" + s.Store, Caller: paplatform.Caller("check"), Clock: clock},
-		Unreadable: func(key string, err error) { report("%s: %v", key, err) },
+		Store:        &platform.StoreClient{BaseURL: "http://" + s.Store, Caller: paplatform.Caller("check"), Clock: clock},
+		OnUnreadable: func(key string, err error) { report("%s: %v", key, err) },
 	}
 	all, revision, err := r.List(ctx)
 	if err != nil {
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -45,8 +45,8 @@
 	random := rand.New(rand.NewPCG(seed, uint64(os.Getpid())))
 	network := &paentry.TCP{From: set.DialFrom}
 	transport := &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: platformConnections}
-	store := &platform.Store{
-		Base: set.Store.String(), Caller: paplatform.Caller(name), Clock: clock, Transport: transport,
+	store := &platform.StoreClient{
+		BaseURL: set.Store.String(), Caller: paplatform.Caller(name), Clock: clock, Transport: transport,
 		Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64())),
 	}
 	d, err := paentry.New(paentry.Config{
--- a/papayahead/gate.go
+++ b/papayahead/gate.go
@@ -45,7 +45,7 @@
 		Name:  "gate",
 		Usage: "run the daemon of an entry VM on the platform",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(platform.SettingsVariable)},
+			&cli.StringFlag{Name: "settings", Usage: "path of the settings file", Sources: cli.EnvVars(platform.SettingsPathEnv)},
 			&cli.StringFlag{Name: "off", Usage: "mechanisms of the steering to switch off for a measurement: " + strings.Join(pasteer.Mechanisms(), ", ")},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -90,11 +90,11 @@
 	g := pagate.New(pagate.Config{
 		Settings: set, Headers: platform.Headers(), Codec: platform.Codec{},
 		Registry: &platform.Registry{
-			Store: &platform.Store{
-				Base: "http://" + set.Store, Caller: paplatform.Caller(set.Name), Clock: clock,
+			Store: &platform.StoreClient{
+				BaseURL: "http://" + set.Store, Caller: paplatform.Caller(set.Name), Clock: clock,
 				Transport: &http.Transport{DialContext: dialStore, MaxIdleConnsPerHost: storeIdle},
 			},
-			Unreadable: func(key string, err error) {
+			OnUnreadable: func(key string, err error) {
 				recorder.Record(paevent.ValueUnreadable{Key: key, Reason: err.Error()})
 			},
 			Regions: set.Regions,
--- a/papayahead/main.go
+++ b/papayahead/main.go
@@ -26,7 +26,7 @@
 		Output: os.Stdout,
 	}
 	bundles.Open = func(address string, caller paplatform.Caller) paplatform.Store {
-		return &platform.Store{Base: address, Caller: caller, Clock: clock, Random: bundles.Random}
+		return &platform.StoreClient{BaseURL: address, Caller: caller, Clock: clock, Random: bundles.Random}
 	}
 	root := &cli.Command{
 		Name:           "papayahead",
--- a/papayastand/platform.go
+++ b/papayastand/platform.go
@@ -40,7 +40,7 @@
 			machines.SetLag(c.Duration("lag"))
 			store := &paplatform.Memory{Clock: clock}
 			mux := http.NewServeMux()
-			mux.Handle(platform.StandPrefix, &platform.Stand{Store: store})
+			mux.Handle(platform.StorePathPrefix, &platform.StoreServer{Store: store})
 			mux.Handle("/", &paplatform.Server{Store: store, Machines: machines})
 			h := recorded(newRecorder("platform"), mux, "/Faults", "/Machines/", "/MachineFaults")
 			return serveUntil(ctx, c.String("address"), h)
--- a/pascenario/roll.go
+++ b/pascenario/roll.go
@@ -20,7 +20,7 @@
 	clock := clockwork.NewRealClock()
 	return &paroll.Operator{
 		Name: name, Deployment: w.deployment.Bundle.Deployment, Clock: clock,
-		Store: &platform.Store{Base: "http://" + w.deployment.Platform(), Caller: paplatform.Caller(name), Clock: clock},
+		Store: &platform.StoreClient{BaseURL: "http://" + w.deployment.Platform(), Caller: paplatform.Caller(name), Clock: clock},
 	}
 }
 
