--- a/pagate/config.go
+++ b/pagate/config.go
@@ -30,25 +30,25 @@
 	Seeds []netip.AddrPort
 	// Store is the address of the platform's store.
 	Store string
-	// Grace is how long after SIGTERM the process is killed.
-	Grace time.Duration
-	// ChangeTime is how soon what the store holds must be in force: a version of the configuration, or a target's word
+	// GracePeriod is how long after SIGTERM the process is killed.
+	GracePeriod time.Duration
+	// MaxPropagation is how soon what the store holds must be in force: a version of the configuration, or a target's word
 	// that it leaves.
-	ChangeTime time.Duration
-	// FirstStart says that the whole deployment starts for the first time.
-	FirstStart bool
-	// LookUpLife is the longest time that callers keep the answer of a look-up.
-	LookUpLife time.Duration
+	MaxPropagation time.Duration
+	// Bootstrap says that the whole deployment starts for the first time.
+	Bootstrap bool
+	// MaxLookUpTTL is the longest time that callers keep the answer of a look-up.
+	MaxLookUpTTL time.Duration
 	// RetryRatio, RetryWindow and RetryFloor bound further attempts; see pasteer.Config.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetryFloor  float64
 	// MaxShift bounds how much of a region's traffic changes its region; see pasteer.Config.
 	MaxShift float64
-	// MinLease is the shortest lease that the store grants.
-	MinLease time.Duration
-	// RevokeTime is how soon a key that was taken away must be out of force everywhere, whatever is cut off; 0 is no bound.
-	RevokeTime time.Duration
+	// MinLeaseTTL is the shortest lease that the store grants.
+	MinLeaseTTL time.Duration
+	// MaxRevocation is how soon a key that was taken away must be out of force everywhere, whatever is cut off; 0 is no bound.
+	MaxRevocation time.Duration
 	// Quota are the platform's terms for rate limits.
 	Quota paquota.Terms
 	// LinkMbps is the bandwidth of the own link; 0 is not known.
@@ -71,8 +71,8 @@
 	NotExecuted string
 	// Load is a target's running requests, waiting requests and slots, separated by commas.
 	Load string
-	// Cold is how many milliseconds a target stays cold.
-	Cold string
+	// WarmUp is how many milliseconds a target stays cold.
+	WarmUp string
 	// Workspace names the workspace whose key the request carried.
 	Workspace string
 }
@@ -82,20 +82,20 @@
 
 // Codec reads and answers the calls of callers and of the platform.
 type Codec interface {
-	LookUp(r *http.Request) (LookUp, bool)
-	Answer(w http.ResponseWriter, all []netip.AddrPort, life time.Duration) error
-	ReadyCheck(r *http.Request) bool
+	ParseLookUp(r *http.Request) (LookUp, bool)
+	WriteLookUp(w http.ResponseWriter, all []netip.AddrPort, life time.Duration) error
+	IsReadyCheck(r *http.Request) bool
 }
 
 // Registry is what a Gate reads and writes in the platform's store; errors are those of paplatform.
 type Registry interface {
 	List(ctx context.Context) ([]pafleet.Change, pafleet.Revision, error)
 	Watch(ctx context.Context, after pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error)
-	Lease(ctx context.Context, life time.Duration) (paplatform.LeaseID, error)
-	Renew(ctx context.Context, l paplatform.LeaseID) error
-	End(ctx context.Context, l paplatform.LeaseID) error
-	Announce(ctx context.Context, e pafleet.Entry, l paplatform.LeaseID) error
-	KeepWarm(ctx context.Context, notes []pafleet.WarmNote) error
+	GrantLease(ctx context.Context, life time.Duration) (paplatform.LeaseID, error)
+	RenewLease(ctx context.Context, l paplatform.LeaseID) error
+	RevokeLease(ctx context.Context, l paplatform.LeaseID) error
+	Register(ctx context.Context, e pafleet.Entry, l paplatform.LeaseID) error
+	SaveWarmNotes(ctx context.Context, notes []pafleet.WarmNote) error
 	ClaimLimiter(ctx context.Context, name string, was pafleet.Revision, l paplatform.LeaseID) (pafleet.Revision, error)
 }
 
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -20,7 +20,7 @@
 
 // serveReady answers the platform's question whether the process is ready.
 func (g *Gate) serveReady(w http.ResponseWriter, r *http.Request) {
-	if !g.config.Codec.ReadyCheck(r) {
+	if !g.config.Codec.IsReadyCheck(r) {
 		http.NotFound(w, r)
 		return
 	}
@@ -31,7 +31,7 @@
 
 // serveLookUp tells a caller where to connect.
 func (g *Gate) serveLookUp(w http.ResponseWriter, r *http.Request) {
-	q, ok := g.config.Codec.LookUp(r)
+	q, ok := g.config.Codec.ParseLookUp(r)
 	if !ok {
 		http.NotFound(w, r)
 		return
@@ -41,7 +41,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if err := g.config.Codec.Answer(w, all, min(lookUpLife, g.config.Settings.LookUpLife)); err != nil {
+	if err := g.config.Codec.WriteLookUp(w, all, min(lookUpLife, g.config.Settings.MaxLookUpTTL)); err != nil {
 		g.record(paevent.LookUpFailed{Reason: err.Error()})
 	}
 }
--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -97,7 +97,7 @@
 	if g.isReader() {
 		return readPace
 	}
-	most := max(readPace, g.config.Settings.ChangeTime/2)
+	most := max(readPace, g.config.Settings.MaxPropagation/2)
 	return min(most, readPace*time.Duration(1+fails))
 }
 
@@ -120,7 +120,7 @@
 		return false
 	}
 	patience := startPatience
-	if s.FirstStart {
+	if s.Bootstrap {
 		patience = firstPatience
 	}
 	until := g.config.Clock.Now().Add(patience)
@@ -141,7 +141,7 @@
 	}
 	all := g.byHash(s)
 	rank := slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
-	return g.age(s) > staleAfter(rank, len(all), g.config.Settings.ChangeTime)
+	return g.age(s) > staleAfter(rank, len(all), g.config.Settings.MaxPropagation)
 }
 
 // staleAfter returns the age of what is known at which the entry VM with a rank among n reads the store by itself.
@@ -157,7 +157,7 @@
 // watchTime is how long a watch of the store waits. Keys are out of use once what is known is older than a revocation
 // may take, less a watch: short ones leave more of that time for an outage of the store.
 func (g *Gate) watchTime() time.Duration {
-	if bound := g.config.Settings.RevokeTime; bound > 0 {
+	if bound := g.config.Settings.MaxRevocation; bound > 0 {
 		return min(watchMost, bound/watchesPerBound)
 	}
 	return watchMost
@@ -193,7 +193,7 @@
 func (g *Gate) announce(ctx context.Context) {
 	var l paplatform.LeaseID
 	written := false
-	life := max(leaseLife, g.config.Settings.MinLease)
+	life := max(leaseLife, g.config.Settings.MinLeaseTTL)
 	for ctx.Err() == nil && !g.leaving.Load() {
 		var err error
 		switch {
@@ -204,10 +204,10 @@
 				continue
 			}
 		case !written:
-			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Announce(ctx, g.self, l) })
+			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Register(ctx, g.self, l) })
 			written = err == nil
 		default:
-			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.Renew(ctx, l) })
+			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.RenewLease(ctx, l) })
 		}
 		if paplatform.FaultOf(err) == paplatform.LeaseLapsed {
 			l = ""
@@ -224,7 +224,7 @@
 		}
 	}
 	if l != "" && g.leaving.Load() {
-		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.End(ctx, l) }); err != nil {
+		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, l) }); err != nil {
 			g.record(paevent.StoreUnreachable{Reason: err.Error()})
 		}
 	}
@@ -232,7 +232,7 @@
 
 func (g *Gate) lease(ctx context.Context, life time.Duration) (l paplatform.LeaseID, err error) {
 	err = g.storeCall(ctx, "Lease", func(ctx context.Context) error {
-		l, err = g.config.Registry.Lease(ctx, life)
+		l, err = g.config.Registry.GrantLease(ctx, life)
 		return err
 	})
 	return l, err
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -25,7 +25,7 @@
 // Failure prevented: an entry VM is cut off from the store and from all that read it, and serves a key that an operator
 // took away for as long as the cut lasts.
 func (g *Gate) fresh(s *state) bool {
-	bound := g.config.Settings.RevokeTime
+	bound := g.config.Settings.MaxRevocation
 	return bound <= 0 || g.age(s) <= max(0, bound-g.watchTime())
 }
 
--- a/pagate/lease_test.go
+++ b/pagate/lease_test.go
@@ -42,7 +42,7 @@
 	const bound = 2 * time.Second
 	r := &leavingRegistry{gone: make(chan time.Time, 1)}
 	r.watches.Store(3)
-	g := New(Config{Settings: Settings{Name: "e", RevokeTime: bound}, Network: unused{}, Clock: clockwork.NewRealClock(), Registry: r})
+	g := New(Config{Settings: Settings{Name: "e", MaxRevocation: bound}, Network: unused{}, Clock: clockwork.NewRealClock(), Registry: r})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g.spawn(func() { g.takeEvents(ctx) })
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -145,7 +145,7 @@
 func (l *limiter) claim(ctx context.Context, was pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
 	begun := g.uptime()
-	lease, err := g.lease(ctx, max(limiterLife, g.config.Settings.MinLease))
+	lease, err := g.lease(ctx, max(limiterLife, g.config.Settings.MinLeaseTTL))
 	if err != nil {
 		return "", false
 	}
@@ -178,7 +178,7 @@
 
 // extend moves the end of the claim after the lease was renewed by a call that began at a time.
 func (l *limiter) extend(begun time.Duration) {
-	l.until = begun + max(limiterLife, l.gate.config.Settings.MinLease) - limiterMargin
+	l.until = begun + max(limiterLife, l.gate.config.Settings.MinLeaseTTL) - limiterMargin
 }
 
 // keep renews the claim until it ends, and gives it up when the process leaves, reaches too few others, or is refused by
@@ -232,7 +232,7 @@
 func (l *limiter) renew(ctx context.Context, lease paplatform.LeaseID, now time.Duration) error {
 	ctx, cancel := l.gate.withTimeout(ctx, renewTimeout)
 	defer cancel()
-	err := l.gate.storeCall(ctx, "Renew", func(ctx context.Context) error { return l.gate.config.Registry.Renew(ctx, lease) })
+	err := l.gate.storeCall(ctx, "Renew", func(ctx context.Context) error { return l.gate.config.Registry.RenewLease(ctx, lease) })
 	if err == nil {
 		l.mutex.Lock()
 		l.extend(now)
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -207,7 +207,7 @@
 	names := a.gate.config.Headers
 	r := result{outcome: pasteer.Answered, report: a.report()}
 	r.report.Told, r.report.Running, r.report.Waiting = readLoad(response.Header.Get(names.Load))
-	if n, err := strconv.ParseFloat(response.Header.Get(names.Cold), 64); err == nil {
+	if n, err := strconv.ParseFloat(response.Header.Get(names.WarmUp), 64); err == nil {
 		r.report.Cold = time.Duration(n * float64(time.Millisecond))
 	}
 	switch {
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -35,7 +35,7 @@
 	if !g.leaving.Load() {
 		return true
 	}
-	end := time.Duration(g.leftAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.Grace - graceMargin - answerMargin
+	end := time.Duration(g.leftAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - graceMargin - answerMargin
 	return x.route.TargetLatency*2 < end
 }
 
@@ -46,10 +46,10 @@
 	g.announceAgain()
 	g.record(paevent.Stopping{Reason: "signal", InFlight: int(g.inFlight.Load())})
 	begun := g.config.Clock.Now()
-	g.sleep(hard, min(stayTime, g.config.Settings.Grace/2+stayTime/8))
-	ctx, cancel := g.withTimeout(hard, g.config.Settings.Grace-graceMargin-g.config.Clock.Since(begun))
+	g.sleep(hard, min(stayTime, g.config.Settings.GracePeriod/2+stayTime/8))
+	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-graceMargin-g.config.Clock.Since(begun))
 	defer cancel()
-	giveUp := g.config.Clock.AfterFunc(g.config.Settings.Grace-graceMargin-answerMargin-g.config.Clock.Since(begun), g.end)
+	giveUp := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-graceMargin-answerMargin-g.config.Clock.Since(begun), g.end)
 	defer giveUp.Stop()
 	if err := listener.Close(); err != nil {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -59,7 +59,7 @@
 
 // release ends a claim in the store, and says whether it has ended.
 func (l *limiter) release(ctx context.Context, lease paplatform.LeaseID) bool {
-	err := l.gate.storeCall(ctx, "End", func(ctx context.Context) error { return l.gate.config.Registry.End(ctx, lease) })
+	err := l.gate.storeCall(ctx, "End", func(ctx context.Context) error { return l.gate.config.Registry.RevokeLease(ctx, lease) })
 	if err != nil {
 		l.gate.record(paevent.StoreUnreachable{Reason: err.Error()})
 	}
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -29,7 +29,7 @@
 // reading. Harm prevented: it sends each of them everything, over a link of 10 Mbit/s that carries callers' requests too.
 func (p *peers) askElsewhere(ctx context.Context, e pafleet.Entry, s *state) {
 	g := p.gate
-	if g.age(s) > max(maxAge, g.config.Settings.ChangeTime) {
+	if g.age(s) > max(maxAge, g.config.Settings.MaxPropagation) {
 		if p.wholeAsked.CompareAndSwap(false, true) {
 			p.ask(ctx, e, 0, true)
 			p.wholeAsked.Store(false)
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -35,7 +35,7 @@
 		if last == kept {
 			continue
 		}
-		err := g.storeCall(ctx, "KeepWarm", func(ctx context.Context) error { return g.config.Registry.KeepWarm(ctx, notes) })
+		err := g.storeCall(ctx, "KeepWarm", func(ctx context.Context) error { return g.config.Registry.SaveWarmNotes(ctx, notes) })
 		switch {
 		case err == nil:
 			kept = last
