--- a/pafleet/change.go
+++ b/pafleet/change.go
@@ -12,21 +12,21 @@
 
 // Change is one thing that was written to the platform's store.
 type Change interface {
-	// written returns the revision of the write; 0 is not known.
-	written() Revision
+	// revision returns the revision of the write; 0 is not known.
+	revision() Revision
 }
 
-// ConfigWritten is a new version of the configuration.
-type ConfigWritten struct {
+// ConfigUpdated is a new version of the configuration.
+type ConfigUpdated struct {
 	Revision Revision
 	Config   *paroute.Config
 }
 
-// TargetSaid is what a target says of itself.
-type TargetSaid struct{ Target Target }
+// TargetUpdated is what a target says of itself.
+type TargetUpdated struct{ Target Target }
 
-// TargetGone is the removal of a target's entry.
-type TargetGone struct {
+// TargetRemoved is the removal of a target's entry.
+type TargetRemoved struct {
 	ID       string
 	Revision Revision
 }
@@ -43,17 +43,17 @@
 	Revision Revision
 }
 
-// EntrySaid is what an entry VM says of itself.
-type EntrySaid struct{ Entry Entry }
+// EntryUpdated is what an entry VM says of itself.
+type EntryUpdated struct{ Entry Entry }
 
-// EntryGone is the removal of an entry VM's registration.
-type EntryGone struct {
+// EntryRemoved is the removal of an entry VM's registration.
+type EntryRemoved struct {
 	Name     string
 	Revision Revision
 }
 
-// LimiterSaid says which entry VM keeps the pools of rate limits; an empty Name says that none does.
-type LimiterSaid struct {
+// LimiterUpdated says which entry VM keeps the pools of rate limits; an empty Name says that none does.
+type LimiterUpdated struct {
 	Name     string
 	Revision Revision
 }
@@ -65,18 +65,18 @@
 	Age time.Duration
 }
 
-// WarmKept is what was warm when an entry VM last kept it in the store.
-type WarmKept struct{ Notes []WarmNote }
+// WarmSnapshot is what was warm when an entry VM last kept it in the store.
+type WarmSnapshot struct{ Notes []WarmNote }
 
-func (c LimiterSaid) written() Revision   { return c.Revision }
-func (WarmKept) written() Revision        { return 0 }
-func (c ConfigWritten) written() Revision { return c.Revision }
-func (c TargetSaid) written() Revision    { return c.Target.Revision }
-func (c TargetGone) written() Revision    { return c.Revision }
-func (c ZoneEvacuated) written() Revision { return c.Revision }
-func (c ZoneRestored) written() Revision  { return c.Revision }
-func (c EntrySaid) written() Revision     { return c.Entry.Revision }
-func (c EntryGone) written() Revision     { return c.Revision }
+func (c LimiterUpdated) revision() Revision { return c.Revision }
+func (WarmSnapshot) revision() Revision     { return 0 }
+func (c ConfigUpdated) revision() Revision  { return c.Revision }
+func (c TargetUpdated) revision() Revision  { return c.Target.Revision }
+func (c TargetRemoved) revision() Revision  { return c.Revision }
+func (c ZoneEvacuated) revision() Revision  { return c.Revision }
+func (c ZoneRestored) revision() Revision   { return c.Revision }
+func (c EntryUpdated) revision() Revision   { return c.Entry.Revision }
+func (c EntryRemoved) revision() Revision   { return c.Revision }
 
 // Target is one lifetime of a target.
 type Target struct {
@@ -130,12 +130,12 @@
 	Revision Revision
 }
 
-// RanAtLeast returns the least time between the starts of two lifetimes of an entry VM's process.
+// MinStartInterval returns the least time between the starts of two lifetimes of an entry VM's process.
 //
 // Load: the time of day jumps between two starts. Harm prevented: a process that started a moment ago takes itself for
 // one that ran for long, and has what only such a one may have. Within one lifetime of the machine the time since its
 // start tells; it tells too little, and nothing wrong, where the machine started anew and was up for longer than before.
-func (e Entry) RanAtLeast(former Entry) time.Duration {
+func (e Entry) MinStartInterval(former Entry) time.Duration {
 	if former.BornUp > 0 && e.BornUp >= former.BornUp {
 		return time.Duration(e.BornUp-former.BornUp) * time.Millisecond
 	}
--- a/pafleet/delta.go
+++ b/pafleet/delta.go
@@ -13,51 +13,51 @@
 	// Since is the revision after which all changes are named.
 	Since Revision `json:",omitempty"`
 	// Skipped is a span of which only the outcome is named: who is complete up to a revision inside it needs a whole view.
-	Skipped *Span `json:",omitempty"`
+	Skipped *RevisionRange `json:",omitempty"`
 	// Whole says that what is not named is gone.
 	Whole    bool
 	Config   *paroute.Config `json:",omitempty"`
 	ConfigAt Revision        `json:",omitempty"`
 	Targets  []Target        `json:",omitempty"`
-	Gone     []TargetGone    `json:",omitempty"`
+	Gone     []TargetRemoved `json:",omitempty"`
 	// Zones holds evacuations and their ends.
-	Zones   []ZoneWord  `json:",omitempty"`
-	Entries []Entry     `json:",omitempty"`
-	Left    []EntryGone `json:",omitempty"`
+	Zones   []ZoneState    `json:",omitempty"`
+	Entries []Entry        `json:",omitempty"`
+	Left    []EntryRemoved `json:",omitempty"`
 	// Limiter is who keeps the pools of rate limits, where that changed.
-	Limiter *LimiterSaid `json:",omitempty"`
+	Limiter *LimiterUpdated `json:",omitempty"`
 }
 
-// ZoneWord says whether a zone is evacuated.
-type ZoneWord struct {
+// ZoneState says whether a zone is evacuated.
+type ZoneState struct {
 	Zone      string
 	Evacuated bool
 	Revision  Revision
 }
 
-// Covers says whether every removal after a revision is known, so that Delta can name what changed since. All that is known
+// CoversSince says whether every removal after a revision is known, so that Delta can name what changed since. All that is known
 // can be told to who knows nothing, at revision 0.
-func (v *View) Covers(since Revision) bool { return since == 0 || v.history.covers(since) }
+func (v *View) CoversSince(since Revision) bool { return since == 0 || v.history.covers(since) }
 
 // Delta returns what changed after a revision, nil where nothing did, and all that is known where the view does not cover it.
 func (v *View) Delta(since Revision, now time.Time) *Delta {
-	d := &Delta{Revision: v.Revision, Since: since, Whole: since == 0 || !v.Covers(since)}
+	d := &Delta{Revision: v.Revision, Since: since, Whole: since == 0 || !v.CoversSince(since)}
 	if d.Whole {
 		since, d.Since = 0, 0
 	}
-	if v.Config != nil && v.ConfigAt > since {
-		d.Config, d.ConfigAt = v.Config, v.ConfigAt
+	if v.Config != nil && v.ConfigRevision > since {
+		d.Config, d.ConfigAt = v.Config, v.ConfigRevision
 	}
 	for _, m := range v.Targets {
-		if !m.Lapsed.IsZero() {
+		if !m.LapsedAt.IsZero() {
 			// That the entry is gone is told at once: how long the target is used on, in case its entry
 			// only lapsed, is for each entry VM to say by the outages that it saw itself.
 			if m.LapseRevision > since && !d.Whole {
-				d.Gone = append(d.Gone, TargetGone{ID: m.ID, Revision: m.LapseRevision})
+				d.Gone = append(d.Gone, TargetRemoved{ID: m.ID, Revision: m.LapseRevision})
 			}
 			continue
 		}
-		if m.Changed > since {
+		if m.ChangeRevision > since {
 			t := m.Target
 			t.ColdLeft = max(0, m.ColdUntil.Sub(now))
 			d.Targets = append(d.Targets, t)
@@ -65,7 +65,7 @@
 	}
 	for zone, r := range v.zones {
 		if _, evacuated := v.Evacuated[zone]; r > since {
-			d.Zones = append(d.Zones, ZoneWord{Zone: zone, Evacuated: evacuated, Revision: r})
+			d.Zones = append(d.Zones, ZoneState{Zone: zone, Evacuated: evacuated, Revision: r})
 		}
 	}
 	for _, e := range v.Entries {
@@ -73,8 +73,8 @@
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	if v.LimiterAt > since {
-		d.Limiter = &LimiterSaid{Name: v.Limiter, Revision: v.LimiterAt}
+	if v.LimiterRevision > since {
+		d.Limiter = &LimiterUpdated{Name: v.Limiter, Revision: v.LimiterRevision}
 	}
 	if !d.Whole {
 		d.Gone = append(d.Gone, v.history.targetsGone(since)...)
@@ -90,10 +90,10 @@
 }
 
 // entriesLeft returns the entry VMs that are not registered any more and were removed after a revision.
-func (v *View) entriesLeft(since Revision) (all []EntryGone) {
+func (v *View) entriesLeft(since Revision) (all []EntryRemoved) {
 	for name, g := range v.history.left {
 		if _, back := v.Entries[name]; g.revision > since && !back {
-			all = append(all, EntryGone{Name: name, Revision: g.revision})
+			all = append(all, EntryRemoved{Name: name, Revision: g.revision})
 		}
 	}
 	return all
@@ -103,10 +103,10 @@
 func (v *View) Merge(d *Delta, now time.Time) bool {
 	var all []Change
 	if d.Config != nil {
-		all = append(all, ConfigWritten{Revision: d.ConfigAt, Config: d.Config})
+		all = append(all, ConfigUpdated{Revision: d.ConfigAt, Config: d.Config})
 	}
 	for _, t := range d.Targets {
-		all = append(all, TargetSaid{Target: t})
+		all = append(all, TargetUpdated{Target: t})
 	}
 	for _, g := range d.Gone {
 		all = append(all, g)
@@ -119,7 +119,7 @@
 		}
 	}
 	for _, e := range d.Entries {
-		all = append(all, EntrySaid{Entry: e})
+		all = append(all, EntryUpdated{Entry: e})
 	}
 	for _, l := range d.Left {
 		all = append(all, l)
@@ -128,14 +128,14 @@
 		all = append(all, *d.Limiter)
 	}
 	if d.Whole {
-		return v.Replace(all, d.Revision, now)
+		return v.ApplyListing(all, d.Revision, now)
 	}
 	if s := d.Skipped; s != nil {
 		if s.inside(v.Revision) {
 			return false
 		}
 		v.init()
-		v.history.skip(Span{After: max(s.After, v.Revision), To: s.To})
+		v.history.skip(RevisionRange{After: max(s.After, v.Revision), To: s.To})
 	}
-	return v.Follow(all, d.Since, d.Revision, now)
+	return v.ApplyRange(all, d.Since, d.Revision, now)
 }
--- a/pafleet/history.go
+++ b/pafleet/history.go
@@ -15,14 +15,14 @@
 	gone, left map[string]tombstone
 	// Every removal after floor is known, but for what came and went within skipped.
 	floor   Revision
-	skipped Span
+	skipped RevisionRange
 }
 
-// Span is what lies after a revision and up to another.
-type Span struct{ After, To Revision }
+// RevisionRange is what lies after a revision and up to another.
+type RevisionRange struct{ After, To Revision }
 
 // inside says whether a view that is complete up to a revision may know some of what came and went in the span.
-func (s Span) inside(r Revision) bool { return r > s.After && r < s.To }
+func (s RevisionRange) inside(r Revision) bool { return r > s.After && r < s.To }
 
 // tombstone is a removal. born and sequence are those of a target's last word; 0 is not known.
 type tombstone struct {
@@ -50,7 +50,7 @@
 
 // skip notes that a view knows of a span only what came of it. Of two spans the earlier one is given up, with all before
 // it.
-func (h *history) skip(s Span) {
+func (h *history) skip(s RevisionRange) {
 	if s.After >= s.To || s == h.skipped {
 		return
 	}
@@ -64,10 +64,10 @@
 }
 
 // targetsGone returns the removals of targets after a revision.
-func (h *history) targetsGone(since Revision) (all []TargetGone) {
+func (h *history) targetsGone(since Revision) (all []TargetRemoved) {
 	for id, g := range h.gone {
 		if g.revision > since {
-			all = append(all, TargetGone{ID: id, Revision: g.revision})
+			all = append(all, TargetRemoved{ID: id, Revision: g.revision})
 		}
 	}
 	return all
--- a/pafleet/model_test.go
+++ b/pafleet/model_test.go
@@ -85,7 +85,7 @@
 func (v *View) held() map[modelKey]string {
 	all := map[modelKey]string{}
 	for id, m := range v.Targets {
-		if m.Lapsed.IsZero() {
+		if m.LapsedAt.IsZero() {
 			all[modelKey{"target", id}] = targetValue(m.Born, m.Draining, m.Zone)
 		}
 	}
@@ -141,11 +141,11 @@
 		f.born++
 		born := f.born
 		s.write(modelKey{"entry", name}, fmt.Sprint(born), func(r Revision) Change {
-			return EntrySaid{Entry: Entry{Name: name, Born: born, Revision: r}}
+			return EntryUpdated{Entry: Entry{Name: name, Born: born, Revision: r}}
 		})
 	case 5:
 		if k := (modelKey{"entry", name}); s.last(k).value != "" {
-			s.write(k, "", func(r Revision) Change { return EntryGone{Name: name, Revision: r} })
+			s.write(k, "", func(r Revision) Change { return EntryRemoved{Name: name, Revision: r} })
 		}
 	case 6:
 		if k := (modelKey{"zone", name}); s.last(k).value == "" {
@@ -155,14 +155,14 @@
 		}
 	case 7:
 		if rapid.Bool().Draw(t, "claimed") {
-			s.write(modelKey{"limiter", ""}, name, func(r Revision) Change { return LimiterSaid{Name: name, Revision: r} })
+			s.write(modelKey{"limiter", ""}, name, func(r Revision) Change { return LimiterUpdated{Name: name, Revision: r} })
 		} else if s.last(modelKey{"limiter", ""}).value != "" {
-			s.write(modelKey{"limiter", ""}, "", func(r Revision) Change { return LimiterSaid{Revision: r} })
+			s.write(modelKey{"limiter", ""}, "", func(r Revision) Change { return LimiterUpdated{Revision: r} })
 		}
 	case 8:
 		version := int64(len(s.words[modelKey{"config", ""}]) + 1)
 		s.write(modelKey{"config", ""}, fmt.Sprint(version), func(r Revision) Change {
-			return ConfigWritten{Revision: r, Config: &paroute.Config{Version: version}}
+			return ConfigUpdated{Revision: r, Config: &paroute.Config{Version: version}}
 		})
 	}
 }
@@ -172,7 +172,7 @@
 	k := modelKey{"target", id}
 	last := Target{Zone: "z"}
 	for _, w := range f.store.words[k] {
-		if c, ok := w.change.(TargetSaid); ok {
+		if c, ok := w.change.(TargetUpdated); ok {
 			last = c.Target
 		}
 	}
@@ -181,7 +181,7 @@
 	present := f.store.last(k).value != ""
 	switch what := rapid.IntRange(0, 4).Draw(t, "word"); {
 	case present && what == 0:
-		f.store.write(k, "", func(r Revision) Change { return TargetGone{ID: id, Revision: r} })
+		f.store.write(k, "", func(r Revision) Change { return TargetRemoved{ID: id, Revision: r} })
 		return
 	case present && what == 1:
 		next.Draining = true
@@ -197,7 +197,7 @@
 		if !present {
 			next.Registered = r
 		}
-		return TargetSaid{Target: next}
+		return TargetUpdated{Target: next}
 	})
 }
 
@@ -205,20 +205,20 @@
 // where only the latest state of each key may be told.
 func (f *modelFleet) read(v *View, latest bool) {
 	if v.Revision == 0 || v.Revision < f.store.forgotten {
-		v.Replace(f.store.list(), f.store.revision, f.now)
+		v.ApplyListing(f.store.list(), f.store.revision, f.now)
 		return
 	}
 	var all []Change
 	for _, w := range f.store.since(v.Revision, latest) {
 		all = append(all, w.change)
 	}
-	v.Follow(all, v.Revision, f.store.revision, f.now)
+	v.ApplyRange(all, v.Revision, f.store.revision, f.now)
 }
 
 // ask puts a neighbour's answer on its way; one that has no history answers with everything or not at all.
 func (f *modelFleet) ask(to, from int, refuses bool) {
 	since, v := f.views[to].Revision, f.views[from]
-	if v.Revision <= since || refuses && !v.Covers(since) {
+	if v.Revision <= since || refuses && !v.CoversSince(since) {
 		return
 	}
 	c := v.answer(since, f.now)
@@ -268,11 +268,11 @@
 	case 13:
 		f.store.forgotten = f.store.revision
 	case 14:
-		f.views[view()].Outage(f.now)
+		f.views[view()].NoteOutage(f.now)
 	case 15:
 		f.now = f.now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second)
 		for _, v := range f.views {
-			v.Expire(f.now)
+			v.ExpireLapsed(f.now)
 		}
 	}
 }
@@ -301,7 +301,7 @@
 		v.Merge(c.delta, now)
 		return
 	}
-	v.Follow(nil, c.since, c.revision, now)
+	v.ApplyRange(nil, c.since, c.revision, now)
 }
 
 // tell lets one view ask another what changed.
--- a/pafleet/view.go
+++ b/pafleet/view.go
@@ -10,34 +10,34 @@
 // come back. Source: the platform's promise of about two seconds, and one reading.
 const LapseGrace = 2500 * time.Millisecond
 
-// Member is a target as an entry VM knows it.
-type Member struct {
+// TargetState is a target as an entry VM knows it.
+type TargetState struct {
 	Target
 	// ColdUntil is when the target stops being cold.
 	ColdUntil time.Time
-	// Lapsed is when the entry was found missing after an outage of the store; zero otherwise. A
+	// LapsedAt is when the entry was found missing after an outage of the store; zero otherwise. A
 	// lapsed target is used until LapseGrace has passed.
-	Lapsed time.Time
+	LapsedAt time.Time
 	// LapseRevision is the revision of the latest removal.
 	LapseRevision Revision
-	// Changed is the revision of the latest word that said more than that the target lives.
-	Changed Revision
+	// ChangeRevision is the revision of the latest word that said more than that the target lives.
+	ChangeRevision Revision
 }
 
 // View is everything known. The zero value knows nothing and is ready.
 type View struct {
 	// Revision is the store's revision that the view is complete up to.
-	Revision  Revision
-	Config    *paroute.Config
-	ConfigAt  Revision
-	Targets   map[string]*Member
-	Entries   map[string]Entry
-	Evacuated map[string]Revision
-	// Restored says when the evacuation of a zone ended.
-	Restored map[string]time.Time
+	Revision       Revision
+	Config         *paroute.Config
+	ConfigRevision Revision
+	Targets        map[string]*TargetState
+	Entries        map[string]Entry
+	Evacuated      map[string]Revision
+	// RestoredAt says when the evacuation of a zone ended.
+	RestoredAt map[string]time.Time
 	// Limiter is the entry VM that keeps the pools of rate limits, as of LimiterAt; empty is none.
-	Limiter   string
-	LimiterAt Revision
+	Limiter         string
+	LimiterRevision Revision
 
 	// OutageUntil is the end of the time in which missing entries may be lapses rather than ends.
 	OutageUntil time.Time
@@ -50,10 +50,10 @@
 	if v.Targets != nil {
 		return
 	}
-	v.Targets = map[string]*Member{}
+	v.Targets = map[string]*TargetState{}
 	v.Entries = map[string]Entry{}
 	v.Evacuated = map[string]Revision{}
-	v.Restored = map[string]time.Time{}
+	v.RestoredAt = map[string]time.Time{}
 	v.zones = map[string]Revision{}
 	v.history.gone = map[string]tombstone{}
 	v.history.left = map[string]tombstone{}
@@ -63,7 +63,7 @@
 // the revision that the view is complete up to comes late, may have been undone since, and is not taken.
 func (v *View) Apply(c Change, now time.Time) bool {
 	v.init()
-	if r := c.written(); r > 0 && r <= v.Revision {
+	if r := c.revision(); r > 0 && r <= v.Revision {
 		return false
 	}
 	return v.apply(c, now)
@@ -72,42 +72,42 @@
 // apply takes a change of whatever revision.
 func (v *View) apply(c Change, now time.Time) bool {
 	switch c := c.(type) {
-	case ConfigWritten:
+	case ConfigUpdated:
 		return v.applyConfig(c)
-	case TargetSaid:
+	case TargetUpdated:
 		return v.applyTarget(c.Target, now)
-	case TargetGone:
+	case TargetRemoved:
 		return v.applyGone(c, now)
 	case ZoneEvacuated:
 		return v.applyZone(c.Zone, c.Revision, true, now)
 	case ZoneRestored:
 		return v.applyZone(c.Zone, c.Revision, false, now)
-	case EntrySaid:
+	case EntryUpdated:
 		return v.applyEntry(c.Entry)
-	case EntryGone:
+	case EntryRemoved:
 		return v.applyEntryGone(c, now)
-	case LimiterSaid:
+	case LimiterUpdated:
 		return v.applyLimiter(c)
 	}
 	return false
 }
 
-func (v *View) applyLimiter(c LimiterSaid) bool {
-	if c.Revision <= v.LimiterAt {
+func (v *View) applyLimiter(c LimiterUpdated) bool {
+	if c.Revision <= v.LimiterRevision {
 		return false
 	}
 	changed := v.Limiter != c.Name
-	v.Limiter, v.LimiterAt = c.Name, c.Revision
+	v.Limiter, v.LimiterRevision = c.Name, c.Revision
 	return changed
 }
 
 // applyConfig takes a version only if it is higher than the one in force: a version that had an
 // effect once is never followed by an older one, however late that arrives.
-func (v *View) applyConfig(c ConfigWritten) bool {
+func (v *View) applyConfig(c ConfigUpdated) bool {
 	if v.Config != nil && c.Config.Version <= v.Config.Version {
 		return false
 	}
-	v.Config, v.ConfigAt = c.Config, c.Revision
+	v.Config, v.ConfigRevision = c.Config, c.Revision
 	return true
 }
 
@@ -117,7 +117,7 @@
 	}
 	m := v.Targets[t.ID]
 	if m == nil {
-		m = &Member{Target: t, ColdUntil: now.Add(t.ColdLeft), Changed: t.Revision}
+		m = &TargetState{Target: t, ColdUntil: now.Add(t.ColdLeft), ChangeRevision: t.Revision}
 		v.Targets[t.ID] = m
 		return true
 	}
@@ -127,20 +127,20 @@
 	fresh := t.Born != m.Born
 	// A target that said that it leaves stays leaving for this lifetime.
 	t.Draining = t.Draining || !fresh && m.Draining
-	changed := fresh || !m.Lapsed.IsZero() || t.differs(&m.Target)
+	changed := fresh || !m.LapsedAt.IsZero() || t.differs(&m.Target)
 	m.Target = t
-	m.Lapsed = time.Time{}
+	m.LapsedAt = time.Time{}
 	if until := now.Add(t.ColdLeft); t.ColdLeft > 0 || fresh {
 		changed = changed || until.Sub(m.ColdUntil) > time.Second
 		m.ColdUntil = until
 	}
 	if changed {
-		m.Changed = t.Revision
+		m.ChangeRevision = t.Revision
 	}
 	return changed
 }
 
-func (v *View) applyGone(c TargetGone, now time.Time) bool {
+func (v *View) applyGone(c TargetRemoved, now time.Time) bool {
 	m := v.Targets[c.ID]
 	if m == nil {
 		// Those who ask may know it.
@@ -149,12 +149,12 @@
 	}
 	if m.Revision >= c.Revision {
 		// It registered again, which those who gave it up must hear.
-		m.Changed = max(m.Changed, m.Revision)
+		m.ChangeRevision = max(m.ChangeRevision, m.Revision)
 		return false
 	}
 	if now.Before(v.OutageUntil) && !m.Draining {
-		if m.Lapsed.IsZero() {
-			m.Lapsed = now
+		if m.LapsedAt.IsZero() {
+			m.LapsedAt = now
 		}
 		m.LapseRevision = c.Revision
 		return false
@@ -163,7 +163,7 @@
 	return true
 }
 
-func (v *View) bury(m *Member, r Revision, now time.Time) {
+func (v *View) bury(m *TargetState, r Revision, now time.Time) {
 	remember(v.history.gone, m.ID, tombstone{born: m.Born, sequence: m.Sequence, revision: r, at: now})
 	delete(v.Targets, m.ID)
 }
@@ -180,7 +180,7 @@
 	}
 	if was {
 		delete(v.Evacuated, zone)
-		v.Restored[zone] = now
+		v.RestoredAt[zone] = now
 	}
 	return was
 }
@@ -194,7 +194,7 @@
 	return !ok || old.Born != e.Born || old.Front != e.Front
 }
 
-func (v *View) applyEntryGone(c EntryGone, now time.Time) bool {
+func (v *View) applyEntryGone(c EntryRemoved, now time.Time) bool {
 	e, ok := v.Entries[c.Name]
 	if ok && e.Revision >= c.Revision {
 		return false
@@ -204,9 +204,9 @@
 	return ok
 }
 
-// Follow takes all that changed in the store after a revision that the view is complete up to, and up to a later one.
+// ApplyRange takes all that changed in the store after a revision that the view is complete up to, and up to a later one.
 // Of what begins later the changes are taken, but the view is complete up to no later revision than before.
-func (v *View) Follow(all []Change, since, to Revision, now time.Time) bool {
+func (v *View) ApplyRange(all []Change, since, to Revision, now time.Time) bool {
 	changed := false
 	for _, c := range all {
 		changed = v.Apply(c, now) || changed
@@ -217,8 +217,8 @@
 	return changed
 }
 
-// Replace takes a complete listing of the store at a revision: what it does not name is gone.
-func (v *View) Replace(all []Change, r Revision, now time.Time) bool {
+// ApplyListing takes a complete listing of the store at a revision: what it does not name is gone.
+func (v *View) ApplyListing(all []Change, r Revision, now time.Time) bool {
 	v.init()
 	if r < v.Revision {
 		return false
@@ -229,11 +229,11 @@
 	for _, c := range all {
 		changed = v.apply(c, now) || changed
 		switch c := c.(type) {
-		case LimiterSaid:
+		case LimiterUpdated:
 			limiter = c.Name != ""
-		case TargetSaid:
+		case TargetUpdated:
 			targets[c.Target.ID] = true
-		case EntrySaid:
+		case EntryUpdated:
 			entries[c.Entry.Name] = true
 		case ZoneEvacuated:
 			zones[c.Zone] = true
@@ -241,12 +241,12 @@
 	}
 	for id := range v.Targets {
 		if !targets[id] {
-			changed = v.apply(TargetGone{ID: id, Revision: r}, now) || changed
+			changed = v.apply(TargetRemoved{ID: id, Revision: r}, now) || changed
 		}
 	}
 	for name := range v.Entries {
 		if !entries[name] {
-			changed = v.apply(EntryGone{Name: name, Revision: r}, now) || changed
+			changed = v.apply(EntryRemoved{Name: name, Revision: r}, now) || changed
 		}
 	}
 	for zone := range v.Evacuated {
@@ -255,22 +255,22 @@
 		}
 	}
 	if !limiter && v.Limiter != "" {
-		changed = v.apply(LimiterSaid{Revision: r}, now) || changed
+		changed = v.apply(LimiterUpdated{Revision: r}, now) || changed
 	}
-	v.history.skip(Span{After: v.Revision, To: r})
+	v.history.skip(RevisionRange{After: v.Revision, To: r})
 	v.Revision = r
 	return changed
 }
 
-// Outage notes that the store did not answer at this moment.
-func (v *View) Outage(now time.Time) { v.OutageUntil = now.Add(LapseGrace) }
+// NoteOutage notes that the store did not answer at this moment.
+func (v *View) NoteOutage(now time.Time) { v.OutageUntil = now.Add(LapseGrace) }
 
-// Expire takes lapsed targets that did not come back as gone, forgets old tombstones, and says
+// ExpireLapsed takes lapsed targets that did not come back as gone, forgets old tombstones, and says
 // whether a target went.
-func (v *View) Expire(now time.Time) bool {
+func (v *View) ExpireLapsed(now time.Time) bool {
 	changed := false
 	for _, m := range v.Targets {
-		if !m.Lapsed.IsZero() && now.After(v.OutageUntil) {
+		if !m.LapsedAt.IsZero() && now.After(v.OutageUntil) {
 			v.bury(m, m.LapseRevision, now)
 			changed = true
 		}
--- a/pafleet/view_test.go
+++ b/pafleet/view_test.go
@@ -10,8 +10,8 @@
 
 var begin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func said(id string, born, sequence int64, r Revision) TargetSaid {
-	return TargetSaid{Target: Target{
+func said(id string, born, sequence int64, r Revision) TargetUpdated {
+	return TargetUpdated{Target: Target{
 		ID: id, Service: "a", Zone: "z", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 3,
 		Born: born, Sequence: sequence, Revision: r,
 	}}
@@ -23,17 +23,17 @@
 func TestLateBurialReachesNeighbours(t *testing.T) {
 	var reader, neighbour View
 	for _, v := range []*View{&reader, &neighbour} {
-		v.Replace([]Change{said("t1", 1, 1, 5), said("t2", 1, 1, 6)}, 6, begin)
+		v.ApplyListing([]Change{said("t1", 1, 1, 5), said("t2", 1, 1, 6)}, 6, begin)
 	}
-	reader.Outage(begin)
-	reader.Apply(TargetGone{ID: "t1", Revision: 7}, begin.Add(time.Second))
+	reader.NoteOutage(begin)
+	reader.Apply(TargetRemoved{ID: "t1", Revision: 7}, begin.Add(time.Second))
 	reader.Apply(said("t2", 1, 9, 12), begin.Add(time.Second))
 	reader.Revision = 12
 	if d := reader.Delta(neighbour.Revision, begin); d != nil {
 		neighbour.Merge(d, begin)
 	}
 	neighbour.Revision = 12
-	reader.Expire(begin.Add(LapseGrace + time.Millisecond))
+	reader.ExpireLapsed(begin.Add(LapseGrace + time.Millisecond))
 	reader.Revision = 13
 	if d := reader.Delta(neighbour.Revision, begin.Add(3*time.Second)); d != nil {
 		neighbour.Merge(d, begin.Add(3*time.Second))
@@ -50,8 +50,8 @@
 // of life. A target that starts again under its ID is another lifetime.
 func TestLateHeartbeatDoesNotBringATargetBack(t *testing.T) {
 	var v View
-	v.Replace([]Change{said("t", 10, 4, 5)}, 5, begin)
-	v.Apply(TargetGone{ID: "t", Revision: 6}, begin)
+	v.ApplyListing([]Change{said("t", 10, 4, 5)}, 5, begin)
+	v.Apply(TargetRemoved{ID: "t", Revision: 6}, begin)
 	v.Apply(said("t", 10, 3, 7), begin)
 	if v.Targets["t"] != nil {
 		t.Error("a late heartbeat brought the target back")
@@ -65,7 +65,7 @@
 // A target says that it drains, and an older heartbeat of its own is delivered after that.
 func TestDrainingIsNotTakenBack(t *testing.T) {
 	var v View
-	v.Replace([]Change{said("t", 10, 4, 5)}, 5, begin)
+	v.ApplyListing([]Change{said("t", 10, 4, 5)}, 5, begin)
 	leaving := said("t", 10, 6, 6)
 	leaving.Target.Draining = true
 	v.Apply(leaving, begin)
@@ -80,15 +80,15 @@
 // its return; until then none of them may be given up, after that the missing ones are gone.
 func TestEntriesThatLapsedInAnOutageComeBack(t *testing.T) {
 	var v View
-	v.Replace([]Change{said("lives", 1, 4, 5), said("died", 1, 4, 6)}, 6, begin)
-	v.Outage(begin.Add(5 * time.Second))
+	v.ApplyListing([]Change{said("lives", 1, 4, 5), said("died", 1, 4, 6)}, 6, begin)
+	v.NoteOutage(begin.Add(5 * time.Second))
 	back := begin.Add(5500 * time.Millisecond)
-	v.Replace(nil, 20, back)
+	v.ApplyListing(nil, 20, back)
 	if len(v.Targets) != 2 {
 		t.Fatalf("%d targets are left right after the outage, want 2", len(v.Targets))
 	}
 	v.Apply(said("lives", 1, 5, 21), back.Add(time.Second))
-	v.Expire(back.Add(3 * time.Second))
+	v.ExpireLapsed(back.Add(3 * time.Second))
 	if v.Targets["lives"] == nil || v.Targets["died"] != nil {
 		t.Errorf("targets after the grace: %v", v.Targets)
 	}
@@ -97,7 +97,7 @@
 // An older configuration arrives by way of a slow neighbour after a newer one had an effect.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	var v View
-	v.Apply(ConfigWritten{Revision: 9, Config: &paroute.Config{Version: 7}}, begin)
+	v.Apply(ConfigUpdated{Revision: 9, Config: &paroute.Config{Version: 7}}, begin)
 	v.Merge(&Delta{Revision: 3, Config: &paroute.Config{Version: 5}, ConfigAt: 3}, begin)
 	if v.Config.Version != 7 {
 		t.Errorf("version %d is in force, want 7", v.Config.Version)
@@ -117,8 +117,8 @@
 // A listing that was taken before the latest watch does not undo what the watch told.
 func TestOldListingIsIgnored(t *testing.T) {
 	var v View
-	v.Replace([]Change{said("t", 1, 1, 5)}, 9, begin)
-	v.Replace(nil, 8, begin)
+	v.ApplyListing([]Change{said("t", 1, 1, 5)}, 9, begin)
+	v.ApplyListing(nil, 8, begin)
 	if v.Targets["t"] == nil {
 		t.Error("an old listing removed a target")
 	}
@@ -127,10 +127,10 @@
 // A neighbour that was told an old word of the limiter would ask one that gave its place away.
 func TestTheLatestWordOfTheLimiterHolds(t *testing.T) {
 	var v, neighbour View
-	v.Replace([]Change{LimiterSaid{Name: "a", Revision: 5}}, 6, begin)
-	v.Apply(LimiterSaid{Revision: 7}, begin)
-	v.Apply(LimiterSaid{Name: "b", Revision: 8}, begin)
-	v.Apply(LimiterSaid{Name: "a", Revision: 5}, begin)
+	v.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 5}}, 6, begin)
+	v.Apply(LimiterUpdated{Revision: 7}, begin)
+	v.Apply(LimiterUpdated{Name: "b", Revision: 8}, begin)
+	v.Apply(LimiterUpdated{Name: "a", Revision: 5}, begin)
 	if v.Limiter != "b" {
 		t.Errorf("limiter %q", v.Limiter)
 	}
@@ -138,7 +138,7 @@
 	if neighbour.Limiter != "b" {
 		t.Errorf("the neighbour's limiter %q", neighbour.Limiter)
 	}
-	if v.Replace(nil, 9, begin); v.Limiter != "" {
+	if v.ApplyListing(nil, 9, begin); v.Limiter != "" {
 		t.Errorf("limiter %q after a listing without one", v.Limiter)
 	}
 }
@@ -157,7 +157,7 @@
 		{"its machine started anew", Entry{Born: 1_020_000, BornUp: 300}, 20 * time.Second},
 		{"its machine started anew and was up for longer than before", Entry{Born: 1_070_000, BornUp: 60_000}, 10 * time.Second},
 	} {
-		if got := c.now.RanAtLeast(former); got != c.want {
+		if got := c.now.MinStartInterval(former); got != c.want {
 			t.Errorf("%s: ran for %v, want %v", c.what, got, c.want)
 		}
 	}
--- a/pagate/config.go
+++ b/pagate/config.go
@@ -50,7 +50,7 @@
 	// RevokeTime is how soon a key that was taken away must be out of force everywhere, whatever is cut off; 0 is no bound.
 	RevokeTime time.Duration
 	// Quota are the platform's terms for rate limits.
-	Quota paquota.Terms
+	Quota paquota.Tolerance
 	// LinkMbps is the bandwidth of the own link; 0 is not known.
 	LinkMbps float64
 }
--- a/pagate/elsewhere_test.go
+++ b/pagate/elsewhere_test.go
@@ -50,7 +50,7 @@
 		f.gates = append(f.gates, g)
 		e := g.self
 		e.Revision = pafleet.Revision(i + 1)
-		f.changes = append(f.changes, pafleet.EntrySaid{Entry: e})
+		f.changes = append(f.changes, pafleet.EntryUpdated{Entry: e})
 	}
 	s := &state{entries: f.entries()}
 	order := f.gates[0].byHash(s)
@@ -66,7 +66,7 @@
 
 func (f *fewGates) entries() (all []pafleet.Entry) {
 	for _, c := range f.changes {
-		all = append(all, c.(pafleet.EntrySaid).Entry)
+		all = append(all, c.(pafleet.EntryUpdated).Entry)
 	}
 	return all
 }
@@ -101,11 +101,11 @@
 func TestARestartedReaderSendsItsFollowersElsewhere(t *testing.T) {
 	f := newFewGates(t, 3)
 	restarted, reader, follower := f.gates[0], f.gates[1], f.gates[2]
-	target := pafleet.TargetSaid{Target: pafleet.Target{ID: "t", Service: "s", Revision: 8, Sequence: 1}}
+	target := pafleet.TargetUpdated{Target: pafleet.Target{ID: "t", Service: "s", Revision: 8, Sequence: 1}}
 	for _, g := range []*Gate{reader, follower} {
 		f.read(g, true, 10, target)
 	}
-	f.read(reader, false, 14, pafleet.TargetGone{ID: "t", Revision: 12})
+	f.read(reader, false, 14, pafleet.TargetRemoved{ID: "t", Revision: 12})
 	f.read(restarted, true, 14)
 	follower.peers.call(context.Background(), restarted.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 14 }) {
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -35,10 +35,10 @@
 	o.told, o.second, o.most = make([]int, entries), make([]int, entries), make([]int, entries)
 	v := &pafleet.View{}
 	zones := map[string]string{}
-	changes := []pafleet.Change{pafleet.ConfigWritten{Revision: 1, Config: &paroute.Config{Version: 1, Services: map[string]paroute.Service{"s": {}}}}}
+	changes := []pafleet.Change{pafleet.ConfigUpdated{Revision: 1, Config: &paroute.Config{Version: 1, Services: map[string]paroute.Service{"s": {}}}}}
 	for i := range gossipTargets {
 		t := pafleet.Target{ID: fmt.Sprint("t", i), Service: "s", Zone: "r0", Slots: 3, Born: 1, Sequence: 1, Revision: pafleet.Revision(i + 2)}
-		changes = append(changes, pafleet.TargetSaid{Target: t})
+		changes = append(changes, pafleet.TargetUpdated{Target: t})
 	}
 	index := map[string]int{}
 	for i := range entries {
@@ -49,7 +49,7 @@
 		o.budget[i] = &budget{rate: noteRate, burst: noteBurst}
 		o.entries = append(o.entries, e)
 	}
-	v.Replace(changes, gossipTargets+2, gossipBegin)
+	v.ApplyListing(changes, gossipTargets+2, gossipBegin)
 	s := &state{entries: o.entries}
 	for _, e := range o.entries {
 		g := New(Config{Settings: Settings{Name: e.Name, Zone: e.Zone, Region: e.Region, Regions: zones}, Network: unused{}, Clock: clockwork.NewFakeClock()})
@@ -166,4 +166,4 @@
 	}
 }
 
-var warmRoute = &paroute.Route{Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Affinity: true, TargetLatency: time.Second, Timeout: time.Minute}
+var warmRoute = &paroute.Route{Name: "r", Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, Affinity: true, TargetLatency: time.Second, Timeout: time.Minute}
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -51,7 +51,7 @@
 	case err != nil:
 		return http.StatusUnauthorized, reasonBadKey
 	}
-	if x.workspace = s.table.Holder(key); x.workspace == nil {
+	if x.workspace = s.table.WorkspaceByKey(key); x.workspace == nil {
 		return http.StatusUnauthorized, reasonKey
 	}
 	x.header.Set(g.config.Headers.Workspace, x.workspace.Name)
--- a/pagate/limit.go
+++ b/pagate/limit.go
@@ -69,7 +69,7 @@
 	if i < 0 {
 		return
 	}
-	ran := l.gate.self.RanAtLeast(s.entries[i])
+	ran := l.gate.self.MinStartInterval(s.entries[i])
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.from, l.again = l.gate.startedUp, ran > l.gate.config.Settings.Quota.Window+againMargin
@@ -88,20 +88,20 @@
 // admit takes a token for the request, waiting for the limiter if need be, or returns when one may be there.
 func (l *limits) admit(x *exchange, s *state) (comeBack time.Duration, ok bool) {
 	w := x.workspace
-	if w == nil || !w.Limited() {
+	if w == nil || !w.HasRateLimit() {
 		return 0, true
 	}
 	l.mutex.Lock()
 	h := l.shareOf(w, s)
 	now := l.gate.uptime()
-	verdict := h.Take(now, l.reachable(now))
+	verdict := h.Decide(now, l.reachable(now))
 	if verdict == paquota.Refuse {
 		defer l.mutex.Unlock()
 		l.gate.meter.limit("Refused")
-		return h.ComeBack(now), false
+		return h.RetryAfter(now), false
 	}
 	x.token = true
-	if verdict == paquota.Run {
+	if verdict == paquota.Admit {
 		l.mutex.Unlock()
 		l.gate.meter.limit("Own")
 		return 0, true
@@ -137,7 +137,7 @@
 	l.gate.meter.limit(outcome)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return h.ComeBack(l.gate.uptime()), false
+	return h.RetryAfter(l.gate.uptime()), false
 }
 
 // patience returns how long a request waits for a token, where it is usually a time.
@@ -157,7 +157,7 @@
 	defer l.mutex.Unlock()
 	if i := slices.Index(h.waiters, granted); i >= 0 {
 		h.waiters = slices.Delete(h.waiters, i, i+1)
-		h.Leave()
+		h.CancelWait()
 		return false
 	}
 	return <-granted
@@ -172,7 +172,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if h := l.shares[x.workspace.Name]; h != nil {
-		h.Return(l.gate.uptime())
+		h.Refund(l.gate.uptime())
 	}
 }
 
@@ -183,12 +183,12 @@
 	if h == nil {
 		again := 0.0
 		if l.again {
-			again = division.Again
+			again = division.RestartTokens
 		}
 		h = &share{Share: paquota.NewShare(division.Share, again, l.gate.config.Settings.Quota, l.from)}
 		l.shares[w.Name] = h
 	}
-	h.Set(division.Share, l.gate.uptime())
+	h.SetBucket(division.Share, l.gate.uptime())
 	return h
 }
 
@@ -214,7 +214,7 @@
 			return
 		}
 		s := g.state.Load()
-		if s.table == nil || !s.table.Limited() {
+		if s.table == nil || !s.table.HasRateLimit() {
 			continue
 		}
 		l.forget(s)
@@ -224,7 +224,7 @@
 		}
 		begun := g.uptime()
 		granted, err := g.limiter.ask(ctx, s, wanted)
-		if g.uptime()-begun > paquota.CallTime {
+		if g.uptime()-begun > paquota.MaxCallTime {
 			granted = nil
 		}
 		l.granted(wanted, granted, err)
@@ -237,7 +237,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, h := range l.shares {
-		if w := s.table.Workspace(name); (w == nil || !w.Limited()) && len(h.waiters) == 0 {
+		if w := s.table.Workspace(name); (w == nil || !w.HasRateLimit()) && len(h.waiters) == 0 {
 			delete(l.shares, name)
 		}
 	}
@@ -251,9 +251,9 @@
 	var all []*pawire.Wanted
 	for name, h := range l.shares {
 		if w := s.table.Workspace(name); w != nil {
-			h.Set(l.gate.division(w, s).Share, now)
+			h.SetBucket(l.gate.division(w, s).Share, now)
 		}
-		if n := h.Wanted(now); n.Waiting+n.Spare > 0 {
+		if n := h.Demand(now); n.Waiting+n.Spare > 0 {
 			all = append(all, &pawire.Wanted{Workspace: name, Waiting: uint32(n.Waiting), Spare: uint32(n.Spare)})
 		}
 	}
@@ -278,7 +278,7 @@
 			continue
 		}
 		next := time.Duration(granted[i].GetNextMilliseconds()) * time.Millisecond
-		run, refused := h.Granted(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.patience(dryPatience), now)
+		run, refused := h.ApplyGrant(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.patience(dryPatience), now)
 		for n, c := range h.waiters[:run+refused] {
 			c <- n < run
 		}
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -117,7 +117,7 @@
 
 // mayClaim says whether this entry VM may be the limiter, if there is anything to limit.
 func (l *limiter) mayClaim(s *state) bool {
-	return s.table != nil && s.table.Limited() && s.registered && !l.gate.leaving.Load()
+	return s.table != nil && s.table.HasRateLimit() && s.registered && !l.gate.leaving.Load()
 }
 
 // byLink orders entry VMs as limiters: those with a wider link come first, as all others call the limiter.
@@ -246,7 +246,7 @@
 	l.mutex.Lock()
 	l.until = longAgo
 	for name, p := range l.pools {
-		if n := p.Leave(l.gate.uptime()); n > 0 {
+		if n := p.Drain(l.gate.uptime()); n > 0 {
 			left = append(left, &pawire.Left{Workspace: name, Tokens: uint32(n)})
 		}
 	}
--- a/pagate/limiter_test.go
+++ b/pagate/limiter_test.go
@@ -53,7 +53,7 @@
 	seed(&pawire.TakeRequest{}, &pawire.TakeOverRequest{})
 	seed(&pawire.TakeRequest{Wanted: []*pawire.Wanted{{Workspace: "w", Waiting: 1 << 31, Spare: 1 << 31}, {Workspace: "none", Waiting: 1}, {}}, From: 7},
 		&pawire.TakeOverRequest{Left: []*pawire.Left{{Workspace: "w", Tokens: 1<<32 - 1}, {Workspace: "none", Tokens: 9}, {}}})
-	terms := paquota.Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	terms := paquota.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	limit := paquota.Limit{Rate: 100, Burst: 100}
 	f.Fuzz(func(t *testing.T, taken, over []byte) {
 		var take pawire.TakeRequest
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -86,7 +86,7 @@
 		case <-tick.Chan():
 			now = g.config.Clock.Now()
 			g.noted.source = ""
-			changed = v.Expire(now)
+			changed = v.ExpireLapsed(now)
 			g.pool.reap(now)
 			g.noteDropped()
 			g.noteFreshness(g.state.Load())
@@ -110,16 +110,16 @@
 		g.noted.source = sourceStore
 		changed := false
 		if e.whole {
-			changed = v.Replace(e.changes, e.revision, now)
+			changed = v.ApplyListing(e.changes, e.revision, now)
 		} else {
-			changed = v.Follow(e.changes, e.since, e.revision, now)
+			changed = v.ApplyRange(e.changes, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
 			*knownAt = max(*knownAt, e.at)
 		}
 		return changed
 	case storeFailed:
-		v.Outage(e.at)
+		v.NoteOutage(e.at)
 	case peerSaid:
 		if !e.asked && e.revision != v.Revision {
 			return false
@@ -129,7 +129,7 @@
 		if e.delta != nil {
 			changed = v.Merge(e.delta, now)
 		} else {
-			v.Follow(nil, e.since, e.revision, now)
+			v.ApplyRange(nil, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
 			*knownAt = max(*knownAt, e.knownAt)
@@ -139,9 +139,9 @@
 		}
 		return changed
 	case limiterClaimed:
-		return v.Apply(pafleet.LimiterSaid{Name: g.self.Name, Revision: e.at}, now)
+		return v.Apply(pafleet.LimiterUpdated{Name: g.self.Name, Revision: e.at}, now)
 	case deltaWanted:
-		if !v.Covers(e.since) {
+		if !v.CoversSince(e.since) {
 			e.to <- told{noHistory: true}
 			break
 		}
@@ -158,7 +158,7 @@
 	}
 	next := &state{
 		table: old.table, revision: v.Revision, knownAt: knownAt, entries: old.entries, fleet: old.fleet,
-		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterAt,
+		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterRevision,
 	}
 	if changed {
 		g.noteChanges(v, old, now)
--- a/pagate/note.go
+++ b/pagate/note.go
@@ -67,7 +67,7 @@
 // noteChanges logs what the process now believes, one line for each change.
 func (g *Gate) noteChanges(v *pafleet.View, old *state, now time.Time) {
 	if v.Config != nil && v.Config.Version != old.configVersion() {
-		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigAt)})
+		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigRevision)})
 	}
 	if g.noted.targets == nil {
 		// A start: what is known by then counts as known.
@@ -91,7 +91,7 @@
 		case m.Draining:
 			e.State = targetDraining
 			draining++
-		case !m.Lapsed.IsZero():
+		case !m.LapsedAt.IsZero():
 			e.State = targetLapsed
 		}
 		if g.noted.targets[id] == e {
--- a/pagate/note_test.go
+++ b/pagate/note_test.go
@@ -23,10 +23,10 @@
 	v := &pafleet.View{}
 	var all []pafleet.Change
 	for i := range 1600 {
-		all = append(all, pafleet.TargetSaid{Target: pafleet.Target{ID: fmt.Sprint("t", i), Sequence: 1, Revision: pafleet.Revision(i + 1)}})
+		all = append(all, pafleet.TargetUpdated{Target: pafleet.Target{ID: fmt.Sprint("t", i), Sequence: 1, Revision: pafleet.Revision(i + 1)}})
 	}
 	for i := range 120 {
-		all = append(all, pafleet.EntrySaid{Entry: pafleet.Entry{Name: fmt.Sprint("e", i), Revision: pafleet.Revision(2000 + i)}})
+		all = append(all, pafleet.EntryUpdated{Entry: pafleet.Entry{Name: fmt.Sprint("e", i), Revision: pafleet.Revision(2000 + i)}})
 	}
 	// Targets register one after the other while the process starts.
 	for i := range 8 {
@@ -41,7 +41,7 @@
 	}
 	clock.Advance(time.Minute)
 	out.Reset()
-	v.Apply(pafleet.TargetGone{ID: "t3", Revision: 3000}, clock.Now())
+	v.Apply(pafleet.TargetRemoved{ID: "t3", Revision: 3000}, clock.Now())
 	g.noteChanges(v, &state{}, clock.Now())
 	if !strings.Contains(out.String(), `"Target":"t3"`) {
 		t.Errorf("no line on a target that left: %s", out.String())
--- a/pagate/pack_test.go
+++ b/pagate/pack_test.go
@@ -16,14 +16,14 @@
 	for i := range 400 {
 		c.Routes = append(c.Routes, paroute.Route{
 			Name: fmt.Sprintf("route-%d", i), Host: "site.example", Prefix: fmt.Sprintf("/p%d/", i),
-			Parts: []paroute.Part{{Service: "s", Weight: 1}}, MaxAttempts: 2,
+			Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2,
 		})
 	}
 	return c
 }
 
 func TestADeltaSurvivesItsWay(t *testing.T) {
-	d := &pafleet.Delta{Revision: 7, Config: wide(), ConfigAt: 7, Left: []pafleet.EntryGone{{Name: "e", Revision: 6}}}
+	d := &pafleet.Delta{Revision: 7, Config: wide(), ConfigAt: 7, Left: []pafleet.EntryRemoved{{Name: "e", Revision: 6}}}
 	b, err := pack(d)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	g := New(Config{Network: unused{}, Clock: clock})
 	var v pafleet.View
 	knownAt := g.uptime()
-	v.Replace(nil, 5, clock.Now())
+	v.ApplyListing(nil, 5, clock.Now())
 	g.handle(&v, peerSaid{revision: 9, knownAt: knownAt + 1}, &knownAt, clock.Now())
 	if v.Revision != 5 {
 		t.Errorf("revision %d, want 5", v.Revision)
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -43,7 +43,7 @@
 	l.calls.Lock()
 	defer l.calls.Unlock()
 	for _, e := range l.successors() {
-		ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
+		ctx, cancel := g.withTimeout(ctx, paquota.MaxCallTime)
 		c, err := l.connect(ctx, e)
 		if err == nil {
 			_, err = pawire.NewDRPCLimitingClient(c).TakeOver(ctx, &pawire.TakeOverRequest{Lease: string(lease), Left: left})
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -31,7 +31,7 @@
 	for _, w := range all {
 		granted, next := 0, limiterLook
 		if pool := l.pool(s, w.GetWorkspace(), now); pool != nil {
-			wanted := paquota.Wanted{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), From: uint64(from)}
+			wanted := paquota.Demand{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), EntryID: uint64(from)}
 			granted, next = pool.Take(wanted, now)
 		}
 		r.Granted = append(r.Granted, &pawire.Granted{Tokens: uint32(granted), NextMilliseconds: uint32(next.Milliseconds())})
@@ -42,7 +42,7 @@
 // pool returns the pool of a workspace as the state divides its limit; nil for one that has none here.
 func (l *limiter) pool(s *state, name string, now time.Duration) *paquota.Pool {
 	w := s.table.Workspace(name)
-	if w == nil || !w.Limited() {
+	if w == nil || !w.HasRateLimit() {
 		delete(l.pools, name)
 		return nil
 	}
@@ -50,11 +50,11 @@
 	p := l.pools[name]
 	if p == nil {
 		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.from)
-		p.Put(l.left[name])
+		p.Add(l.left[name])
 		delete(l.left, name)
 		l.pools[name] = p
 	}
-	p.Set(bucket, now)
+	p.SetBucket(bucket, now)
 	return p
 }
 
@@ -80,7 +80,7 @@
 	if name == "" {
 		name = l.likely()
 	}
-	ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
+	ctx, cancel := g.withTimeout(ctx, paquota.MaxCallTime)
 	defer cancel()
 	l.calls.Lock()
 	defer l.calls.Unlock()
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -48,7 +48,7 @@
 // takeWarm hands what the store kept to the steering, once the targets are known.
 func (g *Gate) takeWarm(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
-		if k, ok := c.(pafleet.WarmKept); ok {
+		if k, ok := c.(pafleet.WarmSnapshot); ok {
 			g.steering.Lock()
 			g.steer.HearKept(k.Notes, now)
 			g.steering.Unlock()
--- a/pakey/key_test.go
+++ b/pakey/key_test.go
@@ -50,25 +50,25 @@
 }
 
 func TestRingFindsHolders(t *testing.T) {
-	r := NewRing()
+	r := NewKeyring()
 	r.Add("one", 1)
 	r.Add("two", 2)
-	if h, ok := r.Find("two"); !ok || h != 2 {
+	if h, ok := r.Lookup("two"); !ok || h != 2 {
 		t.Errorf("holder %d, %v", h, ok)
 	}
 	for _, k := range []string{"", "three", "ONE", "one "} {
-		if _, ok := r.Find(k); ok {
+		if _, ok := r.Lookup(k); ok {
 			t.Errorf("%q has a holder", k)
 		}
 	}
 }
 
 func BenchmarkFind(b *testing.B) {
-	r := NewRing()
+	r := NewKeyring()
 	for i := range 84 {
 		r.Add(strings.Repeat("k", i+1), i)
 	}
 	for b.Loop() {
-		r.Find("kkkkkkkkkkkkkkkkkkkk")
+		r.Lookup("kkkkkkkkkkkkkkkkkkkk")
 	}
 }
--- a/papayahead/check.go
+++ b/papayahead/check.go
@@ -53,7 +53,7 @@
 		return trace.Wrap(err)
 	}
 	var v pafleet.View
-	v.Replace(all, revision, clock.Now())
+	v.ApplyListing(all, revision, clock.Now())
 	if v.Config == nil {
 		report("no configuration is in the store")
 	} else {
--- a/paquota/bucket.go
+++ b/paquota/bucket.go
@@ -10,7 +10,7 @@
 //
 // Tokens that flow are there soon after a start, when nobody knows what was taken before; those that come back let
 // the whole allowance run all the time.
-type Bucket struct{ Rate, Depth, Window float64 }
+type Bucket struct{ Rate, Depth, WindowTokens float64 }
 
 // takenSlots is the number of parts of the time after which tokens come back.
 const takenSlots = 50
@@ -32,7 +32,7 @@
 // newLevel returns a level at which all but a number of tokens was taken at a moment.
 func newLevel(b Bucket, tokens float64, life, from time.Duration) level {
 	l := level{bucket: b, flowing: tokens, life: life, at: from, slot: int64(from) / int64(life/takenSlots)}
-	l.away = int(b.Window)
+	l.away = int(b.WindowTokens)
 	l.taken[l.index()] = int32(l.away)
 	return l
 }
@@ -68,7 +68,7 @@
 func (l *level) tokens() int { return int(l.flowing) + l.back() }
 
 // back returns how many of those that come back are there.
-func (l *level) back() int { return max(0, int(l.bucket.Window)-l.away) }
+func (l *level) back() int { return max(0, int(l.bucket.WindowTokens)-l.away) }
 
 // take takes up to a number of tokens and returns how many: first of those that flow, which would be lost in a full
 // bucket.
@@ -85,7 +85,7 @@
 func (l *level) add(n int) { l.flowing = math.Min(l.bucket.Depth, l.flowing+float64(n)) }
 
 // inflow is how many tokens a second come at most, in the long run.
-func (l *level) inflow() float64 { return l.bucket.Rate + l.bucket.Window/l.life.Seconds() }
+func (l *level) inflow() float64 { return l.bucket.Rate + l.bucket.WindowTokens/l.life.Seconds() }
 
 // until returns the time until the bucket holds a number of tokens, or longest where that is not known.
 func (l *level) until(n int, longest time.Duration) time.Duration {
--- a/paquota/divide.go
+++ b/paquota/divide.go
@@ -8,23 +8,23 @@
 // Limit is the rate limit of a workspace over all entry VMs: Rate requests a second after Burst at once.
 type Limit struct{ Rate, Burst float64 }
 
-// Terms say how far a limit may be passed: over any Window, (Rate x Window + Burst) x (1 + Overage) + Slack requests.
-type Terms struct {
+// Tolerance say how far a limit may be passed: over any Window, (Rate x Window + Burst) x (1 + Overage) + Slack requests.
+type Tolerance struct {
 	Window         time.Duration
 	Overage, Slack float64
 }
 
 // Allowance returns how many requests may run over a window.
-func (t Terms) Allowance(l Limit) float64 {
+func (t Tolerance) Allowance(l Limit) float64 {
 	return (l.Rate*t.Window.Seconds()+l.Burst)*(1+t.Overage) + t.Slack
 }
 
 // Division is how a limit is divided: what each entry VM has, and what the pool has.
 type Division struct {
 	Share, Pool Bucket
-	// Again is how many tokens a share has at once after its entry VM started again, if the former start was longer ago
+	// RestartTokens is how many tokens a share has at once after its entry VM started again, if the former start was longer ago
 	// than the window.
-	Again float64
+	RestartTokens float64
 }
 
 const (
@@ -43,17 +43,17 @@
 	sharedRate = 0.1
 	// sharedWindow is the part of the tokens that come back which shares have.
 	sharedWindow = 0.5
-	// CallTime is the longest that tokens of the pool are on their way; an answer that comes later is void.
-	CallTime = 400 * time.Millisecond
+	// MaxCallTime is the longest that tokens of the pool are on their way; an answer that comes later is void.
+	MaxCallTime = 400 * time.Millisecond
 )
 
 // divideSmall gives all tokens of a limit to the pool, which holds one at once.
 //
 // Load: a workspace that may send a request now and then, and terms without slack. Harm prevented: no bucket ever holds
 // a whole request, and all are refused.
-func divideSmall(tokens float64, t Terms) Division {
+func divideSmall(tokens float64, t Tolerance) Division {
 	depth := min(1, tokens)
-	return Division{Pool: Bucket{Depth: depth, Rate: (tokens - depth) / (t.Window + CallTime).Seconds()}}
+	return Division{Pool: Bucket{Depth: depth, Rate: (tokens - depth) / (t.Window + MaxCallTime).Seconds()}}
 }
 
 // Divide divides a limit among a number of entry VMs.
@@ -61,7 +61,7 @@
 // Load: each caller uses few entry VMs, so that a workspace of a dozen callers meets some of them only, and each of these
 // now and then. Harm prevented: equal parts for all refuse requests where the callers are while most of the limit is
 // unused elsewhere; and a limit without parts makes each request wait for a call to another region.
-func Divide(l Limit, t Terms, entries int) Division {
+func Divide(l Limit, t Tolerance, entries int) Division {
 	n := float64(max(1, entries))
 	left := used * t.Allowance(l)
 	var share, pool Bucket
@@ -74,7 +74,7 @@
 		again = share.Depth
 	}
 	left -= n * (share.Depth + again)
-	rate := flowing * left / (t.Window + CallTime).Seconds()
+	rate := flowing * left / (t.Window + MaxCallTime).Seconds()
 	if share.Depth > 0 {
 		// A bucket that holds no whole request lets none run.
 		share.Rate = sharedRate * rate / n
@@ -84,8 +84,8 @@
 		return divideSmall(used*t.Allowance(l), t)
 	}
 	left *= 1 - flowing
-	share.Window = math.Floor(sharedWindow * left / n)
-	left -= n * share.Window
-	pool.Depth, pool.Window = left/2, left/2
-	return Division{Share: share, Pool: pool, Again: again}
+	share.WindowTokens = math.Floor(sharedWindow * left / n)
+	left -= n * share.WindowTokens
+	pool.Depth, pool.WindowTokens = left/2, left/2
+	return Division{Share: share, Pool: pool, RestartTokens: again}
 }
--- a/paquota/pool.go
+++ b/paquota/pool.go
@@ -32,41 +32,41 @@
 )
 
 // NewPool returns a Pool of which all was taken at a moment.
-func NewPool(b Bucket, t Terms, from time.Duration) *Pool {
-	return &Pool{level: newLevel(b, 0, t.Window+CallTime, from)}
+func NewPool(b Bucket, t Tolerance, from time.Duration) *Pool {
+	return &Pool{level: newLevel(b, 0, t.Window+MaxCallTime, from)}
 }
 
-// Leave empties the pool and returns what one that takes its place may Put. Tokens that come back a time after they were
+// Drain empties the pool and returns what one that takes its place may Put. Tokens that come back a time after they were
 // taken are not among them: in the other pool all of them are taken at its start.
-func (p *Pool) Leave(now time.Duration) int {
+func (p *Pool) Drain(now time.Duration) int {
 	p.level.fill(now)
 	left := int(p.level.flowing)
 	p.level.flowing = 0
 	return left
 }
 
-// Put adds what a pool left that this one takes the place of, as far as it fits.
-func (p *Pool) Put(left int) { p.level.add(left) }
+// Add adds what a pool left that this one takes the place of, as far as it fits.
+func (p *Pool) Add(left int) { p.level.add(left) }
 
-// Set sets the bucket; what is in it stays, as far as it fits.
-func (p *Pool) Set(b Bucket, now time.Duration) { p.level.set(b, now) }
+// SetBucket sets the bucket; what is in it stays, as far as it fits.
+func (p *Pool) SetBucket(b Bucket, now time.Duration) { p.level.set(b, now) }
 
 // Take returns how many tokens an entry VM gets, and when there are more where it wanted more for requests that wait,
 // which is 0 where it did not.
 //
 // Load: a workspace close to its limit. Harm prevented: entry VMs that fill their own buckets leave nothing for requests
 // that wait elsewhere, so that only the upper half of the pool serves to fill them.
-func (p *Pool) Take(w Wanted, now time.Duration) (granted int, next time.Duration) {
+func (p *Pool) Take(w Demand, now time.Duration) (granted int, next time.Duration) {
 	p.level.fill(now)
-	due, kept := p.due(w.From, now)
+	due, kept := p.due(w.EntryID, now)
 	granted = p.level.take(max(0, min(w.Waiting, due)))
 	if short := w.Waiting - granted; short > 0 {
 		next = max(time.Millisecond, min(p.level.until(short, comeBackMost), p.refill()))
-		p.claim(w.From, granted, next, now)
+		p.claim(w.EntryID, granted, next, now)
 		return granted, next
 	}
-	p.claims = slices.DeleteFunc(p.claims, func(c claim) bool { return c.from == w.From })
-	half := int(p.level.bucket.Depth+p.level.bucket.Window) / 2
+	p.claims = slices.DeleteFunc(p.claims, func(c claim) bool { return c.from == w.EntryID })
+	half := int(p.level.bucket.Depth+p.level.bucket.WindowTokens) / 2
 	granted += p.level.take(max(0, min(w.Spare, p.level.tokens()-max(half, kept))))
 	return granted, 0
 }
--- a/paquota/quota_test.go
+++ b/paquota/quota_test.go
@@ -18,7 +18,7 @@
 // fleet is a model of entry VMs and a limiter in virtual time.
 type fleet struct {
 	random  *rand.Rand
-	terms   Terms
+	terms   Tolerance
 	limit   Limit
 	now     time.Duration
 	entries []*entry
@@ -54,7 +54,7 @@
 
 // call is a call to the limiter on its way.
 type call struct {
-	wanted  Wanted
+	wanted  Demand
 	at      time.Duration
 	granted int
 	next    time.Duration
@@ -76,7 +76,7 @@
 func newFleet(seed uint64, n int, l Limit) *fleet {
 	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), limit: l, limiter: -1, loses: 0.1,
-		terms: Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
+		terms: Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20},
 	}
 	for range n {
 		f.add(n, 0)
@@ -111,7 +111,7 @@
 		if f.now >= e.learnsAt {
 			e.limit, e.known = e.next, e.nextKnown
 		}
-		e.share.Set(f.divide(e.limit, e.known).Share, f.now)
+		e.share.SetBucket(f.divide(e.limit, e.known).Share, f.now)
 		f.exchange(e)
 	}
 }
@@ -120,9 +120,9 @@
 func (f *fleet) exchange(e *entry) {
 	c := e.call
 	if c == nil {
-		if w := e.share.Wanted(f.now); w.Waiting+w.Spare > 0 && !f.plain {
-			w.From = e.id
-			way := time.Duration(f.random.Int64N(int64(CallTime / 2)))
+		if w := e.share.Demand(f.now); w.Waiting+w.Spare > 0 && !f.plain {
+			w.EntryID = e.id
+			way := time.Duration(f.random.Int64N(int64(MaxCallTime / 2)))
 			e.call = &call{wanted: w, at: f.now, arrives: f.now + way, replies: f.now + 2*way, lost: f.random.Float64() < f.loses}
 		}
 		return
@@ -133,7 +133,7 @@
 			c.lost = true
 		} else {
 			l := f.entries[f.limiter]
-			f.pool.Set(f.divide(l.limit, l.known).Pool, f.now)
+			f.pool.SetBucket(f.divide(l.limit, l.known).Pool, f.now)
 			c.granted, c.next = f.pool.Take(c.wanted, f.now)
 		}
 	}
@@ -141,15 +141,15 @@
 		return
 	}
 	e.call = nil
-	if c.lost || f.now-c.at > CallTime {
+	if c.lost || f.now-c.at > MaxCallTime {
 		e.failedAt = f.now
 		for e.share.waiting > 0 {
-			e.share.Leave()
+			e.share.CancelWait()
 			f.refused++
 		}
 		return
 	}
-	run, refused := e.share.Granted(c.granted, c.next, 150*time.Millisecond, f.now)
+	run, refused := e.share.ApplyGrant(c.granted, c.next, 150*time.Millisecond, f.now)
 	f.refused += refused
 	for range run {
 		f.runs = append(f.runs, f.now)
@@ -159,8 +159,8 @@
 // request sends one request to an entry VM.
 func (f *fleet) request(e *entry) {
 	f.asked++
-	switch e.share.Take(f.now, !f.plain && f.now-e.failedAt > 250*time.Millisecond) {
-	case Run:
+	switch e.share.Decide(f.now, !f.plain && f.now-e.failedAt > 250*time.Millisecond) {
+	case Admit:
 		f.runs = append(f.runs, f.now)
 	case Refuse:
 		f.refused++
@@ -171,10 +171,10 @@
 func (f *fleet) restart(e *entry) {
 	d := f.divide(e.limit, e.known)
 	if f.now-e.startedAt <= f.terms.Window {
-		d.Again = 0
+		d.RestartTokens = 0
 	}
 	e.startedAt, e.call = f.now, nil
-	e.share = NewShare(d.Share, d.Again, f.terms, f.now)
+	e.share = NewShare(d.Share, d.RestartTokens, f.terms, f.now)
 }
 
 // trouble does one thing at random to an entry VM.
@@ -209,10 +209,10 @@
 func (f *fleet) leave() {
 	next := f.entries[f.random.IntN(len(f.entries))]
 	if l := f.entries[f.limiter]; l.alive && !l.cut && next.alive && f.random.IntN(2) == 0 {
-		left := f.pool.Leave(f.now)
+		left := f.pool.Drain(f.now)
 		f.limiter = slices.Index(f.entries, next)
 		f.pool = NewPool(f.divide(next.limit, next.known).Pool, f.terms, f.now)
-		f.pool.Put(left)
+		f.pool.Add(left)
 		return
 	}
 	f.limiter, f.claimAt = -1, f.now+time.Duration(f.random.Int64N(int64(2*time.Second)))
@@ -297,12 +297,12 @@
 
 // The parts of a limit add up to what is allowed and no more, also where there are more entry VMs than tokens.
 func TestPartsAddUp(t *testing.T) {
-	terms := Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	terms := Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	for _, l := range []Limit{{0.1, 0}, {1, 0}, {5, 5}, {30, 30}, {437, 437}, {30, 0}, {1e6, 1e6}} {
 		for _, n := range []int{0, 1, 7, 34, 300, 2127} {
 			d := Divide(l, terms, n)
-			sum := float64(max(1, n))*(d.Again+d.Share.Depth+d.Share.Window+d.Share.Rate*terms.Window.Seconds()) +
-				d.Pool.Depth + d.Pool.Window + d.Pool.Rate*(terms.Window+CallTime).Seconds()
+			sum := float64(max(1, n))*(d.RestartTokens+d.Share.Depth+d.Share.WindowTokens+d.Share.Rate*terms.Window.Seconds()) +
+				d.Pool.Depth + d.Pool.WindowTokens + d.Pool.Rate*(terms.Window+MaxCallTime).Seconds()
 			if allowed := terms.Allowance(l); sum > allowed || sum < 0.9*used*allowed || d.Pool.Depth < 0 || d.Pool.Rate < 0 {
 				t.Errorf("%v over %d entry VMs: %+v sums to %.1f of %.1f", l, n, d, sum, allowed)
 			}
@@ -342,28 +342,28 @@
 // Hundreds of entry VMs asked for a workspace whose pool had nothing to spare at each turn, and the calls between regions
 // cost more than all requests.
 func TestAsksInVainBecomeRare(t *testing.T) {
-	s := NewShare(Bucket{Depth: 2}, 0, Terms{Window: 5 * time.Second}, 0)
+	s := NewShare(Bucket{Depth: 2}, 0, Tolerance{Window: 5 * time.Second}, 0)
 	asks := 0
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
-		if w := s.Wanted(now); w.Spare > 0 {
+		if w := s.Demand(now); w.Spare > 0 {
 			asks++
-			s.Granted(0, 0, 0, now)
+			s.ApplyGrant(0, 0, 0, now)
 		}
 	}
 	if asks > 20 {
 		t.Errorf("%d calls in a minute that brought nothing", asks)
 	}
-	s.Granted(2, 0, 0, time.Minute)
-	if s.Take(time.Minute, true); s.Wanted(time.Minute).Spare == 0 {
+	s.ApplyGrant(2, 0, 0, time.Minute)
+	if s.Decide(time.Minute, true); s.Demand(time.Minute).Spare == 0 {
 		t.Error("a share that was refilled does not ask again once it was used")
 	}
 }
 
 func ExampleDivide() {
-	terms := Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	terms := Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	d := Divide(Limit{Rate: 100, Burst: 100}, terms, 10)
-	fmt.Printf("each: %.1f a second, %.0f and %.0f at once\n", d.Share.Rate, d.Share.Depth, d.Share.Window)
-	fmt.Printf("pool: %.1f a second, %.0f and %.0f at once\n", d.Pool.Rate, d.Pool.Depth, d.Pool.Window)
+	fmt.Printf("each: %.1f a second, %.0f and %.0f at once\n", d.Share.Rate, d.Share.Depth, d.Share.WindowTokens)
+	fmt.Printf("pool: %.1f a second, %.0f and %.0f at once\n", d.Pool.Rate, d.Pool.Depth, d.Pool.WindowTokens)
 	// Output: each: 0.9 a second, 4 and 5 at once
 	// pool: 77.3 a second, 33 and 33 at once
 }
--- a/paquota/share.go
+++ b/paquota/share.go
@@ -39,66 +39,66 @@
 
 // The verdicts.
 const (
-	// Run lets the request run.
-	Run Verdict = iota
-	// Ask lets it wait for the limiter's answer.
-	Ask
+	// Admit lets the request run.
+	Admit Verdict = iota
+	// AskLimiter lets it wait for the limiter's answer.
+	AskLimiter
 	// Refuse refuses it.
 	Refuse
 )
 
 // NewShare returns a Share of which all but a number of tokens was taken at a moment.
-func NewShare(b Bucket, tokens float64, t Terms, from time.Duration) *Share {
+func NewShare(b Bucket, tokens float64, t Tolerance, from time.Duration) *Share {
 	return &Share{level: newLevel(b, min(tokens, b.Depth), t.Window, from)}
 }
 
-// Set sets the bucket; what is in it stays, as far as it fits.
-func (s *Share) Set(b Bucket, now time.Duration) { s.level.set(b, now) }
+// SetBucket sets the bucket; what is in it stays, as far as it fits.
+func (s *Share) SetBucket(b Bucket, now time.Duration) { s.level.set(b, now) }
 
-// Take decides on a request. A request that waits counts until Granted or Leave.
+// Decide decides on a request. A request that waits counts until Granted or Leave.
 //
 // Load: a workspace that sends many times its limit. Harm prevented: its excess waits and asks the limiter, and costs
 // others their time; once the limiter said that it has nothing, all that is over the share is refused at once.
-func (s *Share) Take(now time.Duration, reachable bool) Verdict {
+func (s *Share) Decide(now time.Duration, reachable bool) Verdict {
 	s.level.fill(now)
 	switch {
 	case s.waiting == 0 && s.level.take(1) == 1:
-		return Run
+		return Admit
 	case reachable && now >= s.dryUntil:
 		s.waiting++
-		return Ask
+		return AskLimiter
 	}
 	return Refuse
 }
 
-// Leave takes back the wait of a request that waits no more.
-func (s *Share) Leave() { s.waiting = max(0, s.waiting-1) }
+// CancelWait takes back the wait of a request that waits no more.
+func (s *Share) CancelWait() { s.waiting = max(0, s.waiting-1) }
 
-// Return takes back a token whose request did not run.
-func (s *Share) Return(now time.Duration) {
+// Refund takes back a token whose request did not run.
+func (s *Share) Refund(now time.Duration) {
 	s.level.fill(now)
 	s.level.add(1)
 }
 
-// Wanted is what an entry VM asks of the pool.
-type Wanted struct {
+// Demand is what an entry VM asks of the pool.
+type Demand struct {
 	// Waiting is for requests that wait, Spare for those to come.
 	Waiting, Spare int
-	// From tells entry VMs apart; 0 is one that takes no turns with others.
-	From uint64
+	// EntryID tells entry VMs apart; 0 is one that takes no turns with others.
+	EntryID uint64
 }
 
-// Wanted returns what to ask the limiter for; nothing while it is known to have none.
+// Demand returns what to ask the limiter for; nothing while it is known to have none.
 //
 // Load: hundreds of entry VMs, and a workspace whose pool is below its half. Harm prevented: each asks for requests to come
 // several times a second and gets nothing, over links that callers need.
-func (s *Share) Wanted(now time.Duration) Wanted {
+func (s *Share) Demand(now time.Duration) Demand {
 	if now < s.dryUntil {
-		return Wanted{}
+		return Demand{}
 	}
 	s.level.fill(now)
-	w := Wanted{Waiting: min(s.waiting, wantedMost)}
-	if b := s.level.bucket; now >= s.spareAt && float64(s.level.tokens()) < (b.Depth+b.Window+1)/2 {
+	w := Demand{Waiting: min(s.waiting, wantedMost)}
+	if b := s.level.bucket; now >= s.spareAt && float64(s.level.tokens()) < (b.Depth+b.WindowTokens+1)/2 {
 		w.Spare = int(math.Ceil(b.Depth - s.level.flowing))
 	}
 	if w.Spare > 0 {
@@ -108,10 +108,10 @@
 	return w
 }
 
-// Granted takes the limiter's answer, whose next is 0 where it had all that was asked for, and returns how many of the
+// ApplyGrant takes the limiter's answer, whose next is 0 where it had all that was asked for, and returns how many of the
 // requests that wait may run, and how many of those behind them must be refused, since the limiter has nothing more for
 // longer than they may wait.
-func (s *Share) Granted(n int, next, patience, now time.Duration) (run, refused int) {
+func (s *Share) ApplyGrant(n int, next, patience, now time.Duration) (run, refused int) {
 	s.level.fill(now)
 	run = min(n, s.waiting)
 	if n > run {
@@ -130,8 +130,8 @@
 	return run, refused
 }
 
-// ComeBack returns when a refused request fits: when the limiter has more, or the share does by itself.
-func (s *Share) ComeBack(now time.Duration) time.Duration {
+// RetryAfter returns when a refused request fits: when the limiter has more, or the share does by itself.
+func (s *Share) RetryAfter(now time.Duration) time.Duration {
 	own := s.level.until(s.waiting+1, comeBackMost)
 	pool := comeBackMost
 	if s.dryUntil > now {
--- a/paquota/turn_test.go
+++ b/paquota/turn_test.go
@@ -17,7 +17,7 @@
 }
 
 // play lets entry VMs share a limit for two minutes and returns them.
-func play(l Limit, t Terms, all []*busy) {
+func play(l Limit, t Tolerance, all []*busy) {
 	d := Divide(l, t, len(all))
 	pool := NewPool(d.Pool, t, 0)
 	for _, b := range all {
@@ -34,7 +34,7 @@
 	if now >= b.nextRequest {
 		b.nextRequest += b.pace
 		b.asked++
-		if b.share.Take(now, true) == Refuse {
+		if b.share.Decide(now, true) == Refuse {
 			b.refused++
 		}
 	}
@@ -45,7 +45,7 @@
 		if now < c.replies {
 			return
 		}
-		_, refused := b.share.Granted(c.granted, c.next, 150*time.Millisecond, now)
+		_, refused := b.share.ApplyGrant(c.granted, c.next, 150*time.Millisecond, now)
 		b.refused += refused
 		b.asks, b.nextAsk = nil, now+15*time.Millisecond
 		return
@@ -53,8 +53,8 @@
 	if now < b.nextAsk {
 		return
 	}
-	if w := b.share.Wanted(now); w.Waiting+w.Spare > 0 {
-		w.From = b.id
+	if w := b.share.Demand(now); w.Waiting+w.Spare > 0 {
+		w.EntryID = b.id
 		b.asks = &call{wanted: w, arrives: now + b.way, replies: now + 2*b.way}
 	}
 }
@@ -67,7 +67,7 @@
 
 // Guards against entry VMs whose callers are refused for as long as those of others come first at the limiter.
 func TestBusyEntryVMsTakeTurnsAtTheLimiter(t *testing.T) {
-	terms := Terms{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
+	terms := Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	for _, rate := range []float64{20, 100, 400} {
 		for _, n := range []int{2, 3, 6, 12} {
 			for _, over := range []float64{1.5, 4, 20} {
@@ -91,7 +91,7 @@
 
 // Guards against a limit without slack of which no bucket ever holds a whole request.
 func TestASmallLimitWithoutSlackIsServed(t *testing.T) {
-	terms := Terms{Window: 5 * time.Second, Overage: 0.1}
+	terms := Tolerance{Window: 5 * time.Second, Overage: 0.1}
 	for _, rate := range []float64{0.5, 1, 2, 5} {
 		for _, n := range []int{1, 7, 34, 300} {
 			var all []*busy
--- a/paroute/config.go
+++ b/paroute/config.go
@@ -24,7 +24,7 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	// Parts are the services that share the requests; most routes have one.
-	Parts []Part
+	Parts []WeightedService
 	// Idempotent says that a request may run more than once.
 	Idempotent bool
 	// MaxAttempts is the most targets that one request may be sent to.
@@ -43,8 +43,8 @@
 	Public bool
 }
 
-// Part is a service that takes a share of a route's requests.
-type Part struct {
+// WeightedService is a service that takes a share of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -69,7 +69,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Allows says whether a list of regions has one; an empty list has all.
-func Allows(regions []string, region string) bool {
+// AllowsRegion says whether a list of regions has one; an empty list has all.
+func AllowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/paroute/route_test.go
+++ b/paroute/route_test.go
@@ -41,10 +41,10 @@
 func TestSharesAreExactToOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 100), 1, 5).Draw(t, "weights")
-		var parts []Part
+		var parts []WeightedService
 		var sum float64
 		for i, w := range weights {
-			parts = append(parts, Part{Service: string(rune('a' + i)), Weight: w})
+			parts = append(parts, WeightedService{Service: string(rune('a' + i)), Weight: w})
 			sum += w
 		}
 		var s Splitter
@@ -62,13 +62,13 @@
 
 func TestNoWeightNoService(t *testing.T) {
 	var s Splitter
-	if got := s.Next([]Part{{Service: "a"}, {Service: "b"}}); got != "" {
+	if got := s.Next([]WeightedService{{Service: "a"}, {Service: "b"}}); got != "" {
 		t.Errorf("service %q without any weight", got)
 	}
 }
 
 func TestAllowedRegions(t *testing.T) {
-	if !Allows([]string{"north"}, "north") || Allows([]string{"north"}, "south") || !Allows(nil, "south") {
+	if !AllowsRegion([]string{"north"}, "north") || AllowsRegion([]string{"north"}, "south") || !AllowsRegion(nil, "south") {
 		t.Error("allowed regions are not kept")
 	}
 }
@@ -108,7 +108,7 @@
 	before := NewTable(&Config{Workspaces: []Workspace{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"k3"}}}})
 	after := NewTable(&Config{Workspaces: []Workspace{{Name: "a", Keys: []string{"k1"}}, {Name: "b", Keys: []string{"k2"}}}})
 	name := func(t *Table, key string) string {
-		if w := t.Holder(key); w != nil {
+		if w := t.WorkspaceByKey(key); w != nil {
 			return w.Name
 		}
 		return ""
@@ -123,9 +123,9 @@
 func TestCheckNamesEveryFault(t *testing.T) {
 	c := &Config{
 		Routes: []Route{
-			{Name: "a", Prefix: "x/", Timeout: time.Second, TargetLatency: 2 * time.Second, Parts: []Part{{Service: "none", Weight: 1}}},
-			{Name: "b", Host: "h", Prefix: "/x/", Parts: []Part{{Service: "s"}}},
-			{Name: "c", Host: "H", Prefix: "/x/", Timeout: time.Second, Parts: []Part{{Service: "s", Weight: 1}}},
+			{Name: "a", Prefix: "x/", Timeout: time.Second, TargetLatency: 2 * time.Second, Parts: []WeightedService{{Service: "none", Weight: 1}}},
+			{Name: "b", Host: "h", Prefix: "/x/", Parts: []WeightedService{{Service: "s"}}},
+			{Name: "c", Host: "H", Prefix: "/x/", Timeout: time.Second, Parts: []WeightedService{{Service: "s", Weight: 1}}},
 		},
 		Services: map[string]Service{"s": {WarmUp: time.Second}},
 	}
--- a/paroute/split.go
+++ b/paroute/split.go
@@ -14,7 +14,7 @@
 	Seed uint64
 
 	// parts are those that credit is of.
-	parts  []Part
+	parts  []WeightedService
 	credit map[string]float64
 }
 
@@ -22,7 +22,7 @@
 const rounds = 1000
 
 // Next returns the service of the next request; it is empty for a route without a part of positive weight.
-func (s *Splitter) Next(parts []Part) string {
+func (s *Splitter) Next(parts []WeightedService) string {
 	if len(parts) == 1 {
 		return parts[0].Service
 	}
@@ -33,7 +33,7 @@
 }
 
 // begin takes new parts.
-func (s *Splitter) begin(parts []Part) {
+func (s *Splitter) begin(parts []WeightedService) {
 	s.parts, s.credit = slices.Clone(parts), make(map[string]float64, len(parts))
 	for range s.Seed % rounds {
 		s.next()
--- a/paroute/table.go
+++ b/paroute/table.go
@@ -12,7 +12,7 @@
 	Config *Config
 	hosts  map[string][]*Route
 	// keys has the workspaces by their keys, as their index in the configuration.
-	keys *pakey.Ring
+	keys *pakey.Keyring
 	// workspaces has them by their names.
 	workspaces map[string]*Workspace
 	limited    bool
@@ -29,12 +29,12 @@
 	for _, all := range t.hosts {
 		sort.Slice(all, func(i, j int) bool { return len(all[i].Prefix) > len(all[j].Prefix) })
 	}
-	t.keys = pakey.NewRing()
+	t.keys = pakey.NewKeyring()
 	t.workspaces = map[string]*Workspace{}
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		t.workspaces[w.Name] = w
-		t.limited = t.limited || w.Limited()
+		t.limited = t.limited || w.HasRateLimit()
 		for _, k := range w.Keys {
 			t.keys.Add(k, i)
 		}
@@ -42,15 +42,15 @@
 	return t
 }
 
-// Limited says that a workspace has a rate limit.
-func (t *Table) Limited() bool { return t.limited }
+// HasRateLimit says that a workspace has a rate limit.
+func (t *Table) HasRateLimit() bool { return t.limited }
 
 // Workspace returns the workspace of a name, or nil.
 func (t *Table) Workspace(name string) *Workspace { return t.workspaces[name] }
 
-// Holder returns the workspace that holds the key, or nil.
-func (t *Table) Holder(key string) *Workspace {
-	i, ok := t.keys.Find(key)
+// WorkspaceByKey returns the workspace that holds the key, or nil.
+func (t *Table) WorkspaceByKey(key string) *Workspace {
+	i, ok := t.keys.Lookup(key)
 	if !ok {
 		return nil
 	}
--- a/paroute/workspace.go
+++ b/paroute/workspace.go
@@ -15,5 +15,5 @@
 	AllowedRegions []string
 }
 
-// Limited says whether the workspace has a rate limit.
-func (w *Workspace) Limited() bool { return w.Rate > 0 }
+// HasRateLimit says whether the workspace has a rate limit.
+func (w *Workspace) HasRateLimit() bool { return w.Rate > 0 }
--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -112,7 +112,7 @@
 
 // allows says whether the request may be handled in a region.
 func (q Request) allows(region string) bool {
-	return paroute.Allows(q.Route.AllowedRegions, region) && paroute.Allows(q.Regions, region)
+	return paroute.AllowsRegion(q.Route.AllowedRegions, region) && paroute.AllowsRegion(q.Regions, region)
 }
 
 // bound says that the request's object has homes.
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -111,9 +111,9 @@
 		for i := range 4 {
 			name := fmt.Sprintf("entry-%s-%d", zone, i)
 			if region != "c" {
-				v.Apply(pafleet.EntrySaid{Entry: pafleet.Entry{Name: name, Zone: zone, Region: region, Revision: revision}}, begin)
+				v.Apply(pafleet.EntryUpdated{Entry: pafleet.Entry{Name: name, Zone: zone, Region: region, Revision: revision}}, begin)
 			}
-			v.Apply(pafleet.EntryGone{Name: "entry-" + zone, Revision: revision}, begin)
+			v.Apply(pafleet.EntryRemoved{Name: "entry-" + zone, Revision: revision}, begin)
 			revision++
 		}
 	}
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -278,7 +278,7 @@
 	movesOf := func(most float64, waits bool) float64 {
 		v := fleet(2)
 		for _, id := range []string{"c1-1", "c2-1"} {
-			v.Apply(pafleet.TargetGone{ID: id, Revision: 1000}, begin)
+			v.Apply(pafleet.TargetRemoved{ID: id, Revision: 1000}, begin)
 		}
 		r := newReplay(v, 12)
 		r.slow, r.waits = 2, waits
@@ -305,8 +305,8 @@
 func TestWhatMayRunElsewhereMakesRoomInAShortRegion(t *testing.T) {
 	share := func(off bool) float64 {
 		v := fleet(2)
-		v.Apply(pafleet.TargetGone{ID: "c1-1", Revision: 1000}, begin)
-		v.Apply(pafleet.TargetGone{ID: "c2-1", Revision: 1001}, begin)
+		v.Apply(pafleet.TargetRemoved{ID: "c1-1", Revision: 1000}, begin)
+		v.Apply(pafleet.TargetRemoved{ID: "c2-1", Revision: 1001}, begin)
 		r := newReplay(v, 40)
 		r.bound, r.waits = 1.0/6, true
 		for _, s := range r.steers {
--- a/pasteer/newcomer_test.go
+++ b/pasteer/newcomer_test.go
@@ -15,7 +15,7 @@
 	v := fleet(2)
 	for i := range 12 {
 		e := pafleet.Entry{Name: fmt.Sprint("more-", i), Zone: "a1", Region: "a", Revision: pafleet.Revision(1000 + i)}
-		v.Apply(pafleet.EntrySaid{Entry: e}, begin)
+		v.Apply(pafleet.EntryUpdated{Entry: e}, begin)
 	}
 	var all []*Steer
 	for name, e := range v.Entries {
@@ -34,7 +34,7 @@
 	}
 	joined := begin.Add(5 * time.Second)
 	for i := range 10 {
-		v.Apply(pafleet.TargetSaid{Target: pafleet.Target{
+		v.Apply(pafleet.TargetUpdated{Target: pafleet.Target{
 			ID: fmt.Sprint("new-", i), Service: "s", Zone: "a1", Slots: 3, Born: 1, Sequence: 1, Revision: pafleet.Revision(2000 + i),
 			Address: netip.MustParseAddrPort("10.0.0.2:80"),
 		}}, joined)
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -37,7 +37,7 @@
 			o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, Lost, Refused, Shed}).Draw(t, "outcome")
 			s.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Took: 300 * time.Millisecond, Warm: got.Warm}, now)
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
-				v.Apply(pafleet.TargetGone{ID: got.Target, Revision: v.Revision + 1}, now)
+				v.Apply(pafleet.TargetRemoved{ID: got.Target, Revision: v.Revision + 1}, now)
 				s.Update(v, now)
 			}
 		}
--- a/pasteer/steer.go
+++ b/pasteer/steer.go
@@ -76,7 +76,7 @@
 
 // target is what is known of one lifetime of a target.
 type target struct {
-	member pafleet.Member
+	member pafleet.TargetState
 	// hash is the ID's.
 	hash   uint64
 	region string
@@ -181,7 +181,7 @@
 	delete(s.targets, t.member.ID)
 }
 
-func (s *Steer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
+func (s *Steer) updateTarget(id string, m *pafleet.TargetState, v *pafleet.View, now time.Time) {
 	t := s.targets[id]
 	if t == nil || t.member.Born != m.Born || t.member.Address != m.Address || t.member.Service != m.Service || t.member.Zone != m.Zone {
 		if t != nil {
@@ -194,7 +194,7 @@
 	t.near = s.distance(m.Zone, t.region)
 	_, evacuated := v.Evacuated[m.Zone]
 	t.closed = m.Draining || evacuated
-	if at, ok := v.Restored[m.Zone]; ok && now.Sub(at) < evacuationCold {
+	if at, ok := v.RestoredAt[m.Zone]; ok && now.Sub(at) < evacuationCold {
 		// Targets may have turned cold while their availability zone was evacuated. Their own word
 		// of it takes a heartbeat and a reading to arrive; a rush before that crashes them.
 		t.coldUntil = later(t.coldUntil, at.Add(evacuationCold))
@@ -208,7 +208,7 @@
 }
 
 // add begins with a lifetime of a target.
-func (s *Steer) add(id string, m *pafleet.Member, now time.Time) *target {
+func (s *Steer) add(id string, m *pafleet.TargetState, now time.Time) *target {
 	t := &target{hash: xxhash.Sum64String(id), region: s.Config.Regions[m.Zone]}
 	s.targets[id] = t
 	if s.used[m.Service] {
--- a/pasteer/steer_test.go
+++ b/pasteer/steer_test.go
@@ -19,22 +19,22 @@
 // fleet returns a view of a service with a number of targets in each zone, and of one entry VM a zone.
 func fleet(perZone int) *pafleet.View {
 	v := &pafleet.View{}
-	all := []pafleet.Change{pafleet.ConfigWritten{Revision: 1, Config: &paroute.Config{
+	all := []pafleet.Change{pafleet.ConfigUpdated{Revision: 1, Config: &paroute.Config{
 		Version: 1, Services: map[string]paroute.Service{"s": {WarmUp: 3 * time.Second, ColdRate: 2}},
 	}}}
 	r := pafleet.Revision(2)
 	for zone, region := range regions {
 		for i := range perZone {
-			all = append(all, pafleet.TargetSaid{Target: pafleet.Target{
+			all = append(all, pafleet.TargetUpdated{Target: pafleet.Target{
 				ID: fmt.Sprintf("%s-%d", zone, i), Service: "s", Zone: zone, Slots: 3, Born: 1, Sequence: 1, Revision: r,
 				Address: netip.MustParseAddrPort("10.0.0.1:80"),
 			}})
 			r++
 		}
-		all = append(all, pafleet.EntrySaid{Entry: pafleet.Entry{Name: "entry-" + zone, Zone: zone, Region: region, Revision: r}})
+		all = append(all, pafleet.EntryUpdated{Entry: pafleet.Entry{Name: "entry-" + zone, Zone: zone, Region: region, Revision: r}})
 		r++
 	}
-	v.Replace(all, r, begin)
+	v.ApplyListing(all, r, begin)
 	return v
 }
 
@@ -48,7 +48,7 @@
 }
 
 var route = &paroute.Route{
-	Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Affinity: true, Idempotent: true,
+	Name: "r", Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, Affinity: true, Idempotent: true,
 	TargetLatency: 600 * time.Millisecond, Timeout: 3 * time.Second, MaxAttempts: 2,
 }
 
@@ -219,7 +219,7 @@
 				s.Update(v, now)
 			case 5:
 				id := rapid.SampledFrom([]string{"a2-0", "b1-0"}).Draw(t, "target")
-				v.Apply(pafleet.TargetGone{ID: id, Revision: 5000}, now)
+				v.Apply(pafleet.TargetRemoved{ID: id, Revision: 5000}, now)
 				delete(running, id)
 				s.Update(v, now)
 			}
@@ -273,7 +273,7 @@
 	for tick := range 40 {
 		ask(tick)
 	}
-	v.Apply(pafleet.TargetSaid{Target: pafleet.Target{
+	v.Apply(pafleet.TargetUpdated{Target: pafleet.Target{
 		ID: "new", Service: "s", Zone: "a2", Slots: 3, Born: 1, Sequence: 1, Revision: 900, Address: netip.MustParseAddrPort("10.0.0.9:80"),
 	}}, begin.Add(4*time.Second))
 	s.Update(v, begin.Add(4*time.Second))
--- a/pasteer/turn_test.go
+++ b/pasteer/turn_test.go
@@ -10,7 +10,7 @@
 
 // anywhere is a route whose requests have no object.
 var anywhere = &paroute.Route{
-	Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Idempotent: true,
+	Name: "r", Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, Idempotent: true,
 	TargetLatency: 600 * time.Millisecond, Timeout: 3 * time.Second, MaxAttempts: 2,
 }
 
