--- a/pagate/config.go
+++ b/pagate/config.go
@@ -50,7 +50,7 @@
 	// MaxRevocation is how soon a key that was taken away must be out of force everywhere, whatever is cut off; 0 is no bound.
 	MaxRevocation time.Duration
 	// Quota are the platform's terms for rate limits.
-	Quota paquota.Terms
+	Quota paquota.Tolerance
 	// LinkMbps is the bandwidth of the own link; 0 is not known.
 	LinkMbps float64
 }
