--- a/paentry/daemon_test.go
+++ b/paentry/daemon_test.go
@@ -36,8 +36,8 @@
 	t        *testing.T
 	network  *panetwork.Network
 	clock    *clockwork.FakeClock
-	store    *paplatform.Memory
-	machines *paplatform.Machines
+	store    *paplatform.MemoryStore
+	machines *paplatform.MemoryVMList
 	bundle   pabundle.Bundle
 	entries  []pasetting.Entry
 	stop     []context.CancelFunc
@@ -48,7 +48,7 @@
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 5, 1, 8, 0, 0, 0, time.UTC))
 	f := &fleet{
 		t: t, network: &panetwork.Network{}, clock: clock,
-		store: &paplatform.Memory{Clock: clock}, machines: &paplatform.Machines{Clock: clock},
+		store: &paplatform.MemoryStore{Clock: clock}, machines: &paplatform.MemoryVMList{Clock: clock},
 	}
 	data, err := os.ReadFile("../examples/instituto.json")
 	if err != nil {
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -106,7 +106,7 @@
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: paheader.EndToEnd(r.Header), size: r.ContentLength, arrived: g.config.Clock.Now(),
-		caller: r.Context(), lane: palane.Of(r.Context()),
+		caller: r.Context(), lane: palane.FromContext(r.Context()),
 	}
 	if c, err := r.Cookie(g.config.Headers.ObjectCookie); err == nil {
 		x.object = c.Value
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -127,11 +127,11 @@
 	g.spawn(func() { g.limiter.run(ctx) })
 	g.spawn(func() { g.logTraffic(ctx) })
 	g.spawn(func() { g.servePeers(ctx, listeners[3]) })
-	g.callers = palane.Listen(palane.Config{
-		Base: listeners[0], Clock: g.config.Clock, MaxHeader: maxHeader, HeadTimeout: func() time.Duration { return g.callerLimits().HeaderTimeout },
+	g.callers = palane.NewListener(palane.Config{
+		Base: listeners[0], Clock: g.config.Clock, MaxHeaderBytes: maxHeader, HeaderTimeout: func() time.Duration { return g.callerLimits().HeaderTimeout },
 	})
 	front := &http.Server{
-		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.callers.Observe, ConnContext: palane.WithLane,
+		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.callers.TrackState, ConnContext: palane.WithLane,
 	}
 	g.spawn(func() { g.loop(ctx) })
 	g.spawn(func() { g.closed(g.callers.Run()) })
@@ -146,7 +146,7 @@
 	}
 	g.end()
 	front.Close()
-	g.callers.End()
+	g.callers.CloseConnections()
 	for _, o := range others {
 		o.Close()
 	}
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -90,7 +90,7 @@
 			g.pool.reap(now)
 			g.noteDropped()
 			g.noteFreshness(g.state.Load())
-			g.callers.Reap(now, g.callerLimits().IdleTimeout)
+			g.callers.CloseIdle(now, g.callerLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
 			changed = g.handle(&v, e, &knownAt, now)
--- a/pagate/pool.go
+++ b/pagate/pool.go
@@ -146,4 +146,4 @@
 //
 // It guards against bytes after a whole answer, which belong to no request: on a connection that is
 // used again they would pass for the next answer.
-func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && pasocket.Quiet(c.Conn) }
+func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && pasocket.NothingToRead(c.Conn) }
--- a/pagate/series.go
+++ b/pagate/series.go
@@ -12,7 +12,7 @@
 // connection, and its caller then takes it as not read and sends it again. So do all, once answers that wait
 // for their turn fill their bounds.
 func (g *Gate) mayRun(w http.ResponseWriter, x *exchange) bool {
-	if !x.lane.Behind() || x.route.Idempotent && x.size == 0 && x.lane.RunsAhead() {
+	if !x.lane.EarlierPending() || x.route.Idempotent && x.size == 0 && x.lane.MayRunEarly() {
 		return true
 	}
 	g.awaitTurn(x)
@@ -25,7 +25,7 @@
 
 // awaitTurn waits until the answers ahead on the caller's connection are out.
 func (g *Gate) awaitTurn(x *exchange) {
-	if !x.lane.Behind() {
+	if !x.lane.EarlierPending() {
 		return
 	}
 	begun := g.config.Clock.Now()
@@ -39,9 +39,9 @@
 
 // beginAnswer waits for the answer's turn, and closes the connection behind the last request of one that ends.
 func (g *Gate) beginAnswer(w http.ResponseWriter, x *exchange, bytes int) {
-	x.lane.Hold(bytes)
+	x.lane.CountBuffered(bytes)
 	g.awaitTurn(x)
-	if g.closing() && x.lane.CloseAfter() {
+	if g.closing() && x.lane.MarkLast() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/pagate/traffic.go
+++ b/pagate/traffic.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return t.Count(c), nil
+	return t.Wrap(c), nil
 }
 
 // countTraffic adds the counts to the metrics.
--- a/palane/conn.go
+++ b/palane/conn.go
@@ -159,7 +159,7 @@
 			c.setReadDeadline(c.listener.config.Clock.Now().Add(d))
 		}
 	}
-	c.tap.start(c.listener.config.MaxHeader + headSlop)
+	c.tap.start(c.listener.config.MaxHeaderBytes + headSlop)
 	head.Reset(&c.tap)
 	r, err := http.ReadRequest(head)
 	if c.tap.wait = nil; timed {
@@ -169,10 +169,10 @@
 }
 
 func (c *conn) headTimeout() time.Duration {
-	if c.listener.config.HeadTimeout == nil {
+	if c.listener.config.HeaderTimeout == nil {
 		return 0
 	}
-	return c.listener.config.HeadTimeout()
+	return c.listener.config.HeaderTimeout()
 }
 
 // setReadDeadline bounds reads of the caller's connection. It fails only where the connection is closed, which
@@ -186,7 +186,7 @@
 // enter returns a lane whose request is the next one under way, or nil if no more are taken. It waits while
 // DepthMost are.
 func (c *conn) enter(r *http.Request) *Lane {
-	if !c.await(func() bool { return len(c.under) < DepthMost }) {
+	if !c.await(func() bool { return len(c.under) < MaxPipelined }) {
 		return nil
 	}
 	lane := c.takeSpare()
@@ -388,7 +388,7 @@
 	if c.ended {
 		return true
 	}
-	if !c.waiting || len(c.under) > 0 || !due(c.served, c.since) || !pasocket.Quiet(c.raw) {
+	if !c.waiting || len(c.under) > 0 || !due(c.served, c.since) || !pasocket.NothingToRead(c.raw) {
 		return false
 	}
 	c.end()
--- a/palane/lane_test.go
+++ b/palane/lane_test.go
@@ -55,8 +55,8 @@
 
 func newFront(t *testing.T, h http.HandlerFunc) *front {
 	f := &front{base: newListener()}
-	f.Listener = Listen(Config{Base: f.base, Clock: clockwork.NewRealClock(), MaxHeader: 8 << 10, HeadTimeout: func() time.Duration { return 3 * time.Second }})
-	f.server = &http.Server{Handler: h, MaxHeaderBytes: 8 << 10, ConnState: f.Observe, ConnContext: WithLane}
+	f.Listener = NewListener(Config{Base: f.base, Clock: clockwork.NewRealClock(), MaxHeaderBytes: 8 << 10, HeaderTimeout: func() time.Duration { return 3 * time.Second }})
+	f.server = &http.Server{Handler: h, MaxHeaderBytes: 8 << 10, ConnState: f.TrackState, ConnContext: WithLane}
 	go func() { ended(t, f.Run()) }()
 	go func() { ended(t, f.server.Serve(f.Listener)) }()
 	f.caller = f.connect()
@@ -81,7 +81,7 @@
 func (f *front) stop() {
 	f.caller.Close()
 	f.server.Close()
-	f.End()
+	f.CloseConnections()
 	synctest.Wait()
 }
 
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ran := make(chan string, 4)
 		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
-			lane := Of(r.Context())
+			lane := FromContext(r.Context())
 			if r.Method == http.MethodPost {
 				if err := lane.AwaitTurn(r.Context()); err != nil {
 					ran <- err.Error()
@@ -180,7 +180,7 @@
 		if status, _ := f.answer(t); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
-		if first, second := <-ran, <-ran; first != "GET" || second != ErrLeft.Error() {
+		if first, second := <-ran, <-ran; first != "GET" || second != ErrConnectionEnded.Error() {
 			t.Errorf("%s, %s", first, second)
 		}
 		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -202,7 +202,7 @@
 			})
 			f.say(strings.Repeat(get("/"), depth))
 			synctest.Wait()
-			if n := running.Load(); n != int32(min(depth, DepthMost)) {
+			if n := running.Load(); n != int32(min(depth, MaxPipelined)) {
 				t.Errorf("%d of %d run", n, depth)
 			}
 			f.caller.Close()
@@ -305,12 +305,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		var behind atomic.Int32
 		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
-			lane := Of(r.Context())
-			if lane.Behind() {
-				if !lane.RunsAhead() {
+			lane := FromContext(r.Context())
+			if lane.EarlierPending() {
+				if !lane.MayRunEarly() {
 					behind.Add(1)
 				}
-				lane.Hold(heldMost)
+				lane.CountBuffered(heldMost)
 			}
 			time.Sleep(time.Second)
 		})
@@ -333,8 +333,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(100 * time.Millisecond)
-			lane := Of(r.Context())
-			if lane.AwaitTurn(context.Background()) == nil && lane.CloseAfter() {
+			lane := FromContext(r.Context())
+			if lane.AwaitTurn(context.Background()) == nil && lane.MarkLast() {
 				w.Header().Set("Connection", "close")
 			}
 			write(w, r.URL.Path)
--- a/palane/listener.go
+++ b/palane/listener.go
@@ -15,17 +15,17 @@
 type Config struct {
 	Base  net.Listener
 	Clock clockwork.Clock
-	// MaxHeader is the MaxHeaderBytes of the server.
-	MaxHeader int
-	// HeadTimeout returns how long a caller may take to send the head of a request; zero is no limit.
-	HeadTimeout func() time.Duration
+	// MaxHeaderBytes is the MaxHeaderBytes of the server.
+	MaxHeaderBytes int
+	// HeaderTimeout returns how long a caller may take to send the head of a request; zero is no limit.
+	HeaderTimeout func() time.Duration
 }
 
-// DepthMost is how many requests of one connection are under way at once.
+// MaxPipelined is how many requests of one connection are under way at once.
 //
 // Load: a caller that writes request after request and reads no answer. Harm prevented: each takes a goroutine,
 // buffers of 8 KB and a slot of a target. Callers that wait for some answers at a time stay well below it.
-const DepthMost = 16
+const MaxPipelined = 16
 
 // Listener accepts lanes. Set Observe as ConnState and WithLane as ConnContext of the server that serves it, and
 // leave the server's timeouts at zero: the Listener keeps those of callers' connections.
@@ -41,10 +41,10 @@
 	open  map[*conn]struct{}
 }
 
-// Listen returns a Listener for the connections of c.Base.
-func Listen(c Config) *Listener {
-	if c.MaxHeader <= 0 {
-		c.MaxHeader = http.DefaultMaxHeaderBytes
+// NewListener returns a Listener for the connections of c.Base.
+func NewListener(c Config) *Listener {
+	if c.MaxHeaderBytes <= 0 {
+		c.MaxHeaderBytes = http.DefaultMaxHeaderBytes
 	}
 	l := &Listener{config: c, lanes: make(chan *Lane), open: map[*conn]struct{}{}}
 	l.ctx, l.end = context.WithCancel(context.Background())
@@ -85,16 +85,16 @@
 	return l.config.Base.Close()
 }
 
-// End closes all connections.
-func (l *Listener) End() {
+// CloseConnections closes all connections.
+func (l *Listener) CloseConnections() {
 	for _, c := range l.all() {
 		c.leave()
 		c.raw.Close()
 	}
 }
 
-// Reap closes connections that were unused for longer than the limit.
-func (l *Listener) Reap(now time.Time, limit time.Duration) {
+// CloseIdle closes connections that were unused for longer than the limit.
+func (l *Listener) CloseIdle(now time.Time, limit time.Duration) {
 	for _, c := range l.all() {
 		c.closeUnused(func(_ bool, since time.Time) bool { return now.Sub(since) > limit })
 	}
@@ -128,8 +128,8 @@
 	delete(l.open, c)
 }
 
-// Observe follows the lanes' states for the server that serves them.
-func (l *Listener) Observe(n net.Conn, s http.ConnState) {
+// TrackState follows the lanes' states for the server that serves them.
+func (l *Listener) TrackState(n net.Conn, s http.ConnState) {
 	if lane, ok := n.(*Lane); ok && s == http.StateIdle {
 		lane.conn.answered(lane)
 	}
@@ -145,8 +145,8 @@
 	return ctx
 }
 
-// Of returns the lane of a request, or nil if it has none.
-func Of(ctx context.Context) *Lane {
+// FromContext returns the lane of a request, or nil if it has none.
+func FromContext(ctx context.Context) *Lane {
 	lane, _ := ctx.Value(laneKey{}).(*Lane)
 	return lane
 }
--- a/palane/turn.go
+++ b/palane/turn.go
@@ -5,11 +5,11 @@
 	"errors"
 )
 
-// ErrLeft says that the caller left, or that an answer ahead closed the connection.
-var ErrLeft = errors.New("the caller's connection has ended")
+// ErrConnectionEnded says that the caller left, or that an answer ahead closed the connection.
+var ErrConnectionEnded = errors.New("the caller's connection has ended")
 
-// Behind says that answers to requests before this one are not out yet.
-func (l *Lane) Behind() bool {
+// EarlierPending says that answers to requests before this one are not out yet.
+func (l *Lane) EarlierPending() bool {
 	if l == nil {
 		return false
 	}
@@ -35,14 +35,14 @@
 	case <-l.turn:
 		return nil
 	case <-l.conn.left:
-		return ErrLeft
+		return ErrConnectionEnded
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// RunsAhead says whether a request may run before its turn, as far as the answers allow that wait already.
-func (l *Lane) RunsAhead() bool {
+// MayRunEarly says whether a request may run before its turn, as far as the answers allow that wait already.
+func (l *Lane) MayRunEarly() bool {
 	if l == nil {
 		return true
 	}
@@ -51,8 +51,8 @@
 	return l.conn.held < heldMost && l.conn.listener.held.Load() < heldMostAll
 }
 
-// Hold counts an answer that waits for its turn.
-func (l *Lane) Hold(bytes int) {
+// CountBuffered counts an answer that waits for its turn.
+func (l *Lane) CountBuffered(bytes int) {
 	if l == nil {
 		return
 	}
@@ -73,9 +73,9 @@
 	l.held = 0
 }
 
-// CloseAfter says whether the answer may close the connection: it may if no further request was read, and then
+// MarkLast says whether the answer may close the connection: it may if no further request was read, and then
 // none is.
-func (l *Lane) CloseAfter() bool {
+func (l *Lane) MarkLast() bool {
 	if l == nil {
 		return true
 	}
--- a/paoperator/command_test.go
+++ b/paoperator/command_test.go
@@ -31,7 +31,7 @@
 
 // terminal runs commands against one store.
 type terminal struct {
-	store *paplatform.Memory
+	store *paplatform.MemoryStore
 }
 
 // run returns what a command printed, its error text and its exit code.
@@ -57,7 +57,7 @@
 
 func TestOperatorsBringABundleIntoForce(t *testing.T) {
 	g := NewWithT(t)
-	m := terminal{&paplatform.Memory{Clock: clockwork.NewRealClock()}}
+	m := terminal{&paplatform.MemoryStore{Clock: clockwork.NewRealClock()}}
 	out, _, code := m.run("ana", "--output", "json", "propose", exampleFile)
 	g.Expect(code).To(Equal(Done))
 	var v paroll.Version
@@ -96,12 +96,12 @@
 	_, text, code = m.run("ana", "roll-out", string(v.Digest))
 	g.Expect(code).To(Equal(InDoubt))
 	g.Expect(text).To(ContainSubstring("repeat the same command"))
-	m.store.Heal()
+	m.store.ClearInjections()
 	m.store.Inject(paplatform.Injection{Effect: paplatform.Outage})
 	_, text, code = m.run("ana", "roll-out", string(v.Digest))
 	g.Expect(code).To(Equal(StoreDown))
 	g.Expect(text).To(HaveSuffix("the head is unchanged; repeat the command when the store answers again"))
-	m.store.Heal()
+	m.store.ClearInjections()
 	out, _, _ = m.run("ana", "roll-out", string(v.Digest))
 	g.Expect(out).To(HavePrefix("Won: sequence 2"))
 	out, _, _ = m.run("beso", "roll-back", short)
@@ -112,7 +112,7 @@
 
 func TestWrongSettingsAreNamedAllAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	m := terminal{&paplatform.Memory{Clock: clockwork.NewRealClock()}}
+	m := terminal{&paplatform.MemoryStore{Clock: clockwork.NewRealClock()}}
 	_, text, code := m.run("", "--store", "store:7000", "--output", "xml", "--timeout", "0s", "propose")
 	g.Expect(code).To(Equal(Refused))
 	for _, want := range []string{"PAPAYAHEAD_STORE", "PAPAYAHEAD_OPERATOR", "PAPAYAHEAD_OUTPUT", "PAPAYAHEAD_TIMEOUT", "want 1: FILE"} {
--- a/paowner/offer.go
+++ b/paowner/offer.go
@@ -29,7 +29,7 @@
 	f := o.newFlight(now, r)
 	f.cost, f.high = s.expect(r)
 	if r.Attempt == 0 {
-		s.budget.First(s.load(now))
+		s.budget.Deposit(s.load(now))
 	}
 	return o.place(now, s, f, into)
 }
@@ -217,10 +217,10 @@
 // again decides what follows an attempt that brought no answer.
 func (o *Owner) again(now time.Time, s *service, f *flight, res Result, into []Decision) []Decision {
 	notRun := res.Outcome.DidNotRun()
-	may := paretry.May(f.request.Idempotent, notRun) && f.attempt < MaxAttempts
+	may := paretry.CanRetry(f.request.Idempotent, notRun) && f.attempt < MaxAttempts
 	// Another owner's refusal cost no target anything, so that it needs no budget.
 	free := notRun && f.target == nil
-	if may && !now.Add(f.high).After(f.request.Deadline) && (free || s.budget.Take()) {
+	if may && !now.Add(f.high).After(f.request.Deadline) && (free || s.budget.TryWithdraw()) {
 		f.tried = f.target
 		f.target = nil
 		f.entry = ""
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -52,7 +52,7 @@
 	d, err := paentry.New(paentry.Config{
 		Settings: set, Version: Version, Incarnation: pamember.Incarnation(clock.Now().UnixMilli()),
 		Clock: clock, Random: random, Network: network,
-		Store: store, Machines: &paplatform.ListClient{Base: set.Machines.String(), Transport: transport},
+		Store: store, Machines: &paplatform.VMListClient{Base: set.Machines.String(), Transport: transport},
 		Recorder: paevent.NewRecorder(paevent.RecorderConfig{
 			Process: name, Clock: clock, Log: log.Level(set.LogLevel).With().Str("Process", name).Logger(),
 		}),
--- a/papayahead/gate.go
+++ b/papayahead/gate.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return storeTraffic.Count(c), nil
+		return storeTraffic.Wrap(c), nil
 	}
 	seed := uint64(clock.Now().UnixNano())
 	g := pagate.New(pagate.Config{
--- a/papayastand/platform.go
+++ b/papayastand/platform.go
@@ -30,7 +30,7 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			clock := clockwork.NewRealClock()
-			machines := &paplatform.Machines{Clock: clock}
+			machines := &paplatform.MemoryVMList{Clock: clock}
 			if err := putMachines(machines, c.String("machines")); err != nil {
 				return trace.Wrap(err)
 			}
@@ -38,10 +38,10 @@
 				return trace.Wrap(err)
 			}
 			machines.SetLag(c.Duration("lag"))
-			store := &paplatform.Memory{Clock: clock}
+			store := &paplatform.MemoryStore{Clock: clock}
 			mux := http.NewServeMux()
 			mux.Handle(platform.StandPrefix, &platform.Stand{Store: store})
-			mux.Handle("/", &paplatform.Server{Store: store, Machines: machines})
+			mux.Handle("/", &paplatform.Server{Store: store, VMs: machines})
 			h := recorded(newRecorder("platform"), mux, "/Faults", "/Machines/", "/MachineFaults")
 			return serveUntil(ctx, c.String("address"), h)
 		},
@@ -70,7 +70,7 @@
 // headerTimeout bounds the time a header takes.
 const headerTimeout = 5 * time.Second
 
-func putMachines(m *paplatform.Machines, file string) error {
+func putMachines(m *paplatform.MemoryVMList, file string) error {
 	if file == "" {
 		return nil
 	}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func putTargets(m *paplatform.Machines, file string) error {
+func putTargets(m *paplatform.MemoryVMList, file string) error {
 	if file == "" {
 		return nil
 	}
--- a/paplatform/example_test.go
+++ b/paplatform/example_test.go
@@ -10,9 +10,9 @@
 )
 
 // The store loses the reply of a write: the caller learns that it does not know, and reads back.
-func ExampleMemory() {
+func ExampleMemoryStore() {
 	ctx := context.Background()
-	store := &paplatform.Memory{Clock: clockwork.NewRealClock()}
+	store := &paplatform.MemoryStore{Clock: clockwork.NewRealClock()}
 	store.Inject(paplatform.Injection{Operation: paplatform.OperationCompareAndSwap, Effect: paplatform.LostAfter, Times: 1})
 	_, err := store.CompareAndSwap(ctx, "greeting", 0, []byte("gamarjoba"), "")
 	fmt.Println(paplatform.FaultOf(err))
--- a/paplatform/injection.go
+++ b/paplatform/injection.go
@@ -70,8 +70,8 @@
 	return strings.HasPrefix(string(key), string(i.Prefix))
 }
 
-// Delayed returns an injection of Slow for all calls.
-func Delayed(d time.Duration) Injection {
+// DelayAll returns an injection of Slow for all calls.
+func DelayAll(d time.Duration) Injection {
 	return Injection{Effect: Slow, Delay: pabundle.Duration{Duration: d}}
 }
 
--- a/paplatform/list_client.go
+++ b/paplatform/list_client.go
@@ -13,18 +13,18 @@
 // maxList bounds the VM list, in bytes: a few thousand VMs of a few hundred bytes.
 const maxList = 64 << 20
 
-// ListClient is a VMList over HTTP.
-type ListClient struct {
+// VMListClient is a VMList over HTTP.
+type VMListClient struct {
 	// Base is the list's address, such as http://127.0.0.1:7000.
 	Base string
 	// Transport carries the requests; nil is http.DefaultTransport.
 	Transport http.RoundTripper
 }
 
-var _ VMList = (*ListClient)(nil)
+var _ VMList = (*VMListClient)(nil)
 
 // List implements VMList.
-func (c *ListClient) List(ctx context.Context) ([]VM, error) {
+func (c *VMListClient) List(ctx context.Context) ([]VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+"/Machines", http.NoBody)
--- a/paplatform/list_client_test.go
+++ b/paplatform/list_client_test.go
@@ -14,16 +14,16 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewRealClock()
-	s := &Server{Store: &Memory{Clock: clock}, Machines: &Machines{Clock: clock}}
+	s := &Server{Store: &MemoryStore{Clock: clock}, VMs: &MemoryVMList{Clock: clock}}
 	h := httptest.NewServer(s)
 	t.Cleanup(h.Close)
-	c := &ListClient{Base: h.URL}
-	s.Machines.Put(VM{Name: "e1", Kind: Entry, Zone: "z", State: Live})
-	s.Machines.SetLag(time.Hour)
+	c := &VMListClient{Base: h.URL}
+	s.VMs.Put(VM{Name: "e1", Kind: Entry, Zone: "z", State: Live})
+	s.VMs.SetLag(time.Hour)
 	g.Expect(c.List(ctx)).To(BeEmpty())
-	s.Machines.SetLag(0)
+	s.VMs.SetLag(0)
 	g.Expect(c.List(ctx)).To(ConsistOf(HaveField("Name", "e1")))
-	s.Machines.SetDown(true)
+	s.VMs.SetOutage(true)
 	_, err := c.List(ctx)
 	g.Expect(FaultOf(err)).To(Equal(Unavailable))
 }
--- a/paplatform/machines.go
+++ b/paplatform/machines.go
@@ -11,9 +11,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Machines is a VM list in memory that lags: a change shows after the lag. The zero value with a
+// MemoryVMList is a VM list in memory that lags: a change shows after the lag. The zero value with a
 // Clock is ready to use.
-type Machines struct {
+type MemoryVMList struct {
 	// Clock times the lag.
 	Clock clockwork.Clock
 
@@ -34,10 +34,10 @@
 	vm *VM
 }
 
-var _ VMList = (*Machines)(nil)
+var _ VMList = (*MemoryVMList)(nil)
 
 // List returns the VMs as they were one lag ago, in the order of their names.
-func (m *Machines) List(ctx context.Context) ([]VM, error) {
+func (m *MemoryVMList) List(ctx context.Context) ([]VM, error) {
 	if ctx.Err() != nil {
 		return nil, fail(Unavailable, "Machines", "%v", context.Cause(ctx))
 	}
@@ -51,15 +51,15 @@
 	return sorted(m.shown), nil
 }
 
-// Present returns the VMs as they are, without the lag.
-func (m *Machines) Present() []VM {
+// Current returns the VMs as they are, without the lag.
+func (m *MemoryVMList) Current() []VM {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return sorted(m.present)
 }
 
-// Lists returns how many times the list was asked for.
-func (m *Machines) Lists() uint64 {
+// ListCalls returns how many times the list was asked for.
+func (m *MemoryVMList) ListCalls() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.lists
@@ -70,13 +70,13 @@
 }
 
 // Put adds a VM or changes it.
-func (m *Machines) Put(v VM) { m.change(v.Name, &v) }
+func (m *MemoryVMList) Put(v VM) { m.change(v.Name, &v) }
 
 // Remove takes a VM off the list.
-func (m *Machines) Remove(name string) { m.change(name, nil) }
+func (m *MemoryVMList) Remove(name string) { m.change(name, nil) }
 
-// Mark changes the state of a VM and reports whether the VM is known.
-func (m *Machines) Mark(name string, s VMState) bool {
+// SetState changes the state of a VM and reports whether the VM is known.
+func (m *MemoryVMList) SetState(name string, s VMState) bool {
 	m.mutex.Lock()
 	v, ok := m.present[name]
 	m.mutex.Unlock()
@@ -89,20 +89,20 @@
 }
 
 // SetLag sets how late changes show, those of the past included.
-func (m *Machines) SetLag(d time.Duration) {
+func (m *MemoryVMList) SetLag(d time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lag = d
 }
 
-// SetDown starts or ends an outage of the list.
-func (m *Machines) SetDown(down bool) {
+// SetOutage starts or ends an outage of the list.
+func (m *MemoryVMList) SetOutage(down bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.down = down
 }
 
-func (m *Machines) change(name string, v *VM) {
+func (m *MemoryVMList) change(name string, v *VM) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.present == nil {
@@ -114,7 +114,7 @@
 }
 
 // settle shows the changes that are older than the lag; the mutex is held.
-func (m *Machines) settle() {
+func (m *MemoryVMList) settle() {
 	until := m.Clock.Now().Add(-m.lag)
 	for len(m.recent) > 0 && !m.recent[0].at.After(until) {
 		c := m.recent[0]
--- a/paplatform/memory.go
+++ b/paplatform/memory.go
@@ -15,9 +15,9 @@
 // without a word does not hold one of its watches for good.
 const maxWatchWait = 5 * time.Minute
 
-// Memory is a store in memory on an injected clock, with counts and injected faults. The zero
+// MemoryStore is a store in memory on an injected clock, with counts and injected faults. The zero
 // value with a Clock is ready to use. Its own methods act for the caller with the empty name.
-type Memory struct {
+type MemoryStore struct {
 	// Clock times leases, waits and delays.
 	Clock clockwork.Clock
 
@@ -39,10 +39,10 @@
 }
 
 // As returns the store as the named caller sees it.
-func (m *Memory) As(c Caller) Store { return memoryCaller{m, c} }
+func (m *MemoryStore) As(c Caller) Store { return memoryCaller{m, c} }
 
 // Counts returns what was counted so far.
-func (m *Memory) Counts() Counts {
+func (m *MemoryStore) Counts() Counts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	c := m.counts
@@ -52,14 +52,14 @@
 }
 
 // Injections returns the faults that are in force.
-func (m *Memory) Injections() []Injection {
+func (m *MemoryStore) Injections() []Injection {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.injections)
 }
 
 // read returns the live value of a key; the mutex is held.
-func (m *Memory) read(key Key) (Value, bool) {
+func (m *MemoryStore) read(key Key) (Value, bool) {
 	c, ok := m.values[key]
 	if !ok || c.Deleted {
 		return Value{}, false
@@ -70,7 +70,7 @@
 }
 
 // changesAfter returns what a watch has to hear; the mutex is held.
-func (m *Memory) changesAfter(r WatchRequest) []Change {
+func (m *MemoryStore) changesAfter(r WatchRequest) []Change {
 	var found []Change
 	for k, c := range m.values {
 		match := k == r.Key || r.Prefix && strings.HasPrefix(string(k), string(r.Key))
@@ -90,7 +90,7 @@
 }
 
 // next returns the channel that closes at the next change; the mutex is held.
-func (m *Memory) next() <-chan struct{} {
+func (m *MemoryStore) next() <-chan struct{} {
 	if m.changed == nil {
 		m.changed = make(chan struct{})
 	}
--- a/paplatform/memory_call.go
+++ b/paplatform/memory_call.go
@@ -8,11 +8,11 @@
 
 // memoryCaller is a Memory as one caller sees it.
 type memoryCaller struct {
-	memory *Memory
+	memory *MemoryStore
 	caller Caller
 }
 
-var _ Store = (*Memory)(nil)
+var _ Store = (*MemoryStore)(nil)
 
 func (c memoryCaller) Get(ctx context.Context, key Key) (v Value, found bool, err error) {
 	m := c.memory
@@ -130,7 +130,7 @@
 }
 
 // waiting counts a watch in or out.
-func (m *Memory) waiting(by int) {
+func (m *MemoryStore) waiting(by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.counts.Waiting += by
@@ -138,7 +138,7 @@
 }
 
 // down reports whether an outage is in force for a watch of the caller.
-func (m *Memory) down(c Caller, key Key) bool {
+func (m *MemoryStore) down(c Caller, key Key) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.ContainsFunc(m.injections, func(i Injection) bool {
@@ -147,36 +147,36 @@
 }
 
 // Get implements Store.
-func (m *Memory) Get(ctx context.Context, key Key) (Value, bool, error) {
+func (m *MemoryStore) Get(ctx context.Context, key Key) (Value, bool, error) {
 	return m.As("").Get(ctx, key)
 }
 
 // CompareAndSwap implements Store.
-func (m *Memory) CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, l LeaseID) (Revision, error) {
+func (m *MemoryStore) CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, l LeaseID) (Revision, error) {
 	return m.As("").CompareAndSwap(ctx, key, expected, data, l)
 }
 
 // Delete implements Store.
-func (m *Memory) Delete(ctx context.Context, key Key, expected Revision) error {
+func (m *MemoryStore) Delete(ctx context.Context, key Key, expected Revision) error {
 	return m.As("").Delete(ctx, key, expected)
 }
 
 // Watch implements Store.
-func (m *Memory) Watch(ctx context.Context, r WatchRequest) (WatchReply, error) {
+func (m *MemoryStore) Watch(ctx context.Context, r WatchRequest) (WatchReply, error) {
 	return m.As("").Watch(ctx, r)
 }
 
 // GrantLease implements Store.
-func (m *Memory) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+func (m *MemoryStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	return m.As("").GrantLease(ctx, ttl)
 }
 
 // RenewLease implements Store.
-func (m *Memory) RenewLease(ctx context.Context, id LeaseID) error {
+func (m *MemoryStore) RenewLease(ctx context.Context, id LeaseID) error {
 	return m.As("").RenewLease(ctx, id)
 }
 
 // RevokeLease implements Store.
-func (m *Memory) RevokeLease(ctx context.Context, id LeaseID) error {
+func (m *MemoryStore) RevokeLease(ctx context.Context, id LeaseID) error {
 	return m.As("").RevokeLease(ctx, id)
 }
--- a/paplatform/memory_change.go
+++ b/paplatform/memory_change.go
@@ -7,15 +7,15 @@
 )
 
 // Inject adds a fault to those in force; an outage ends all waiting watches that it matches.
-func (m *Memory) Inject(i ...Injection) {
+func (m *MemoryStore) Inject(i ...Injection) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = append(m.injections, i...)
 	m.wake()
 }
 
-// Heal removes all injected faults.
-func (m *Memory) Heal() {
+// ClearInjections removes all injected faults.
+func (m *MemoryStore) ClearInjections() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = nil
@@ -23,7 +23,7 @@
 }
 
 // wake lets waiting watches look again; the mutex is held.
-func (m *Memory) wake() {
+func (m *MemoryStore) wake() {
 	if m.changed != nil {
 		close(m.changed)
 	}
@@ -31,7 +31,7 @@
 }
 
 // count records a call; the mutex is held.
-func (m *Memory) count(c Caller, o Operation) {
+func (m *MemoryStore) count(c Caller, o Operation) {
 	if m.counts.Calls == nil {
 		m.counts.Calls = map[Operation]uint64{}
 		m.counts.ByCaller = map[Caller]uint64{}
@@ -41,7 +41,7 @@
 }
 
 // injected returns the fault that a call meets and uses it up; the mutex is held.
-func (m *Memory) injected(c Caller, o Operation, key Key) (Injection, bool) {
+func (m *MemoryStore) injected(c Caller, o Operation, key Key) (Injection, bool) {
 	for n, i := range m.injections {
 		if !i.matches(c, o, key) {
 			continue
@@ -58,7 +58,7 @@
 }
 
 // call runs one operation under the injected faults; effect runs with the mutex held.
-func (m *Memory) call(ctx context.Context, c Caller, o Operation, key Key, effect func() error) error {
+func (m *MemoryStore) call(ctx context.Context, c Caller, o Operation, key Key, effect func() error) error {
 	m.mutex.Lock()
 	m.count(c, o)
 	i, hit := m.injected(c, o, key)
@@ -92,7 +92,7 @@
 }
 
 // apply lets an operation take effect unless the caller has given up before.
-func (m *Memory) apply(ctx context.Context, _ Operation, key Key, effect func() error) error {
+func (m *MemoryStore) apply(ctx context.Context, _ Operation, key Key, effect func() error) error {
 	if ctx.Err() != nil {
 		return fail(Unavailable, key, "%v", context.Cause(ctx))
 	}
@@ -103,7 +103,7 @@
 }
 
 // expire ends the leases whose time is over; the mutex is held.
-func (m *Memory) expire() {
+func (m *MemoryStore) expire() {
 	now := m.Clock.Now()
 	for id, l := range m.leases {
 		if !now.Before(l.ends) {
@@ -113,7 +113,7 @@
 }
 
 // end deletes a lease and its values; the mutex is held.
-func (m *Memory) end(id LeaseID) {
+func (m *MemoryStore) end(id LeaseID) {
 	l, ok := m.leases[id]
 	if !ok {
 		return
@@ -128,7 +128,7 @@
 }
 
 // write puts a change under the next revision; the mutex is held.
-func (m *Memory) write(key Key, c Change) Revision {
+func (m *MemoryStore) write(key Key, c Change) Revision {
 	if m.values == nil {
 		m.values = map[Key]Change{}
 	}
@@ -148,7 +148,7 @@
 // swap is the effect of CompareAndSwap and Delete. The expected revision is the fence: a holder
 // that was paused past its lease still writes with the revision it knew, which is never current
 // again once the lease's end deleted the value or another holder wrote it.
-func (m *Memory) swap(key Key, expected Revision, c Change) (Revision, error) {
+func (m *MemoryStore) swap(key Key, expected Revision, c Change) (Revision, error) {
 	if c.Lease != "" && m.leases[c.Lease] == nil {
 		return 0, fail(LeaseLapsed, key, "lease %s has ended", c.Lease)
 	}
@@ -161,7 +161,7 @@
 }
 
 // hold starts or restarts the time of a lease; the mutex is held.
-func (m *Memory) hold(id LeaseID, ttl time.Duration) {
+func (m *MemoryStore) hold(id LeaseID, ttl time.Duration) {
 	if m.leases == nil {
 		m.leases = map[LeaseID]*lease{}
 	}
@@ -173,7 +173,7 @@
 }
 
 // sweep ends lapsed leases without a call, so that watches hear of it.
-func (m *Memory) sweep() {
+func (m *MemoryStore) sweep() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.expire()
--- a/paplatform/memory_test.go
+++ b/paplatform/memory_test.go
@@ -18,7 +18,7 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewFakeClock()
-	m := &Memory{Clock: clock}
+	m := &MemoryStore{Clock: clock}
 	old, _ := m.GrantLease(ctx, time.Second)
 	r, err := m.CompareAndSwap(ctx, "owner", 0, []byte("first"), old)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -42,7 +42,7 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewFakeClock()
-	m := &Memory{Clock: clock}
+	m := &MemoryStore{Clock: clock}
 	m.Inject(Injection{Caller: "bo", Effect: LostLate, Delay: pabundle.Duration{Duration: time.Second}, Times: 1})
 	_, err := m.As("bo").CompareAndSwap(ctx, "k", 0, []byte("v"), "")
 	g.Expect(FaultOf(err)).To(Equal(Unknown))
--- a/paplatform/server.go
+++ b/paplatform/server.go
@@ -20,15 +20,15 @@
 //	POST /Machines/{name}     a MachineChange
 //	POST /MachineFaults       a MachineFault
 type Server struct {
-	Store    *Memory
-	Machines *Machines
+	Store *MemoryStore
+	VMs   *MemoryVMList
 
 	once  sync.Once
 	inner http.Handler
 }
 
-// MachineChange adds or changes a VM, marks it or removes it.
-type MachineChange struct {
+// VMChange adds or changes a VM, marks it or removes it.
+type VMChange struct {
 	// Put is the VM to add or change, if any; its name is that of the path.
 	Put *VM `json:",omitempty"`
 	// State marks the VM, if any.
@@ -37,8 +37,8 @@
 	Remove bool `json:",omitempty"`
 }
 
-// MachineFault makes the VM list lag or fail.
-type MachineFault struct {
+// VMListFault makes the VM list lag or fail.
+type VMListFault struct {
 	Lag    pabundle.Duration
 	Outage bool
 }
@@ -47,7 +47,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /Counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Store.Counts()) })
 	mux.HandleFunc("GET /Faults", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Store.Injections()) })
-	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) { s.Store.Heal(); reply(w, struct{}{}) })
+	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) { s.Store.ClearInjections(); reply(w, struct{}{}) })
 	mux.HandleFunc("POST /Faults", s.inject)
 	mux.HandleFunc("GET /Machines", s.list)
 	mux.HandleFunc("POST /Machines/{name}", s.change)
@@ -90,10 +90,10 @@
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("Present") == "true" {
-		reply(w, s.Machines.Present())
+		reply(w, s.VMs.Current())
 		return
 	}
-	all, err := s.Machines.List(r.Context())
+	all, err := s.VMs.List(r.Context())
 	if err != nil {
 		refuse(w, "Machines", err)
 		return
@@ -102,32 +102,32 @@
 }
 
 func (s *Server) change(w http.ResponseWriter, r *http.Request) {
-	var q MachineChange
+	var q VMChange
 	if !take(w, r, &q) {
 		return
 	}
 	name := r.PathValue("name")
 	if q.Put != nil {
 		q.Put.Name = name
-		s.Machines.Put(*q.Put)
+		s.VMs.Put(*q.Put)
 	}
-	if q.State != "" && !s.Machines.Mark(name, q.State) {
+	if q.State != "" && !s.VMs.SetState(name, q.State) {
 		refuse(w, Key(name), fail(NotFound, Key(name), "no such VM"))
 		return
 	}
 	if q.Remove {
-		s.Machines.Remove(name)
+		s.VMs.Remove(name)
 	}
-	reply(w, s.Machines.Present())
+	reply(w, s.VMs.Current())
 }
 
 func (s *Server) machineFault(w http.ResponseWriter, r *http.Request) {
-	var q MachineFault
+	var q VMListFault
 	if !take(w, r, &q) {
 		return
 	}
-	s.Machines.SetLag(q.Lag.Duration)
-	s.Machines.SetDown(q.Outage)
+	s.VMs.SetLag(q.Lag.Duration)
+	s.VMs.SetOutage(q.Outage)
 	reply(w, q)
 }
 
--- a/paroll/calls_test.go
+++ b/paroll/calls_test.go
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		store := &paplatform.Memory{Clock: clockwork.NewRealClock()}
+		store := &paplatform.MemoryStore{Clock: clockwork.NewRealClock()}
 		calls := func(what string, want uint64, do func()) {
 			before := store.Counts().Total()
 			do()
@@ -100,7 +100,7 @@
 				time.Sleep(time.Second)
 			}
 		})
-		store.Heal()
+		store.ClearInjections()
 		time.Sleep(lastBackoff)
 		synctest.Wait()
 
--- a/paroll/example_test.go
+++ b/paroll/example_test.go
@@ -20,7 +20,7 @@
 
 	ctx := context.Background()
 	clock := clockwork.NewRealClock()
-	store := &paplatform.Memory{Clock: clock}
+	store := &paplatform.MemoryStore{Clock: clock}
 	ana := &paroll.Operator{Name: "ana", Deployment: "kartuli", Store: store, Clock: clock}
 	beso := &paroll.Operator{Name: "beso", Deployment: "kartuli", Store: store, Clock: clock}
 
--- a/paroll/roll_test.go
+++ b/paroll/roll_test.go
@@ -48,12 +48,12 @@
 // desk is a store with operators on it.
 type desk struct {
 	clock *clockwork.FakeClock
-	store *paplatform.Memory
+	store *paplatform.MemoryStore
 }
 
 func newDesk() desk {
 	c := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
-	return desk{c, &paplatform.Memory{Clock: c}}
+	return desk{c, &paplatform.MemoryStore{Clock: c}}
 }
 
 func (d desk) operator(name string) *Operator {
@@ -151,7 +151,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Outcome).To(Equal(Unresolved), "no reply of the swap ever came")
 		d.clock.Advance(time.Second)
-		d.store.Heal()
+		d.store.ClearInjections()
 		r, err = d.operator("ana").RollOut(ctx, Request{Digest: two})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Outcome).To(Equal(Won), string(effect))
--- a/pascenario/faults.go
+++ b/pascenario/faults.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return trace.BadParameter("slow=%q: want a time", value)
 		}
-		return w.platformCall("POST", "/Faults", paplatform.Delayed(d))
+		return w.platformCall("POST", "/Faults", paplatform.DelayAll(d))
 	case "lostreply":
 		return w.platformCall("POST", "/Faults", paplatform.Injection{
 			Operation: paplatform.OperationCompareAndSwap, Prefix: paplatform.Key(value),
@@ -49,7 +49,7 @@
 		return err
 	}
 	kind, value, _ := strings.Cut(a[0], "=")
-	f := paplatform.MachineFault{Outage: kind == "outage"}
+	f := paplatform.VMListFault{Outage: kind == "outage"}
 	if kind == "lag" {
 		d, err := time.ParseDuration(value)
 		if err != nil {
@@ -72,7 +72,7 @@
 		w.drained[a[0]] = time.Now()
 	}
 	if a[1] == "listed" {
-		return w.platformCall("POST", "/Machines/"+a[0], paplatform.MachineChange{State: paplatform.Leaving})
+		return w.platformCall("POST", "/Machines/"+a[0], paplatform.VMChange{State: paplatform.Leaving})
 	}
 	f, err := faultsOf(a[1:])
 	if err != nil {
--- a/pasocket/quiet.go
+++ b/pasocket/quiet.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Quiet says that neither bytes nor the end of the connection wait to be read. It may be called beside a read
+// NothingToRead says that neither bytes nor the end of the connection wait to be read. It may be called beside a read
 // that waits. Of a connection without a file descriptor nothing is known, and it counts as quiet.
-func Quiet(c net.Conn) bool {
+func NothingToRead(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/pasocket/traffic.go
+++ b/pasocket/traffic.go
@@ -8,8 +8,8 @@
 // Traffic counts the bytes of connections. The zero value is ready for use.
 type Traffic struct{ Sent, Received atomic.Uint64 }
 
-// Count returns the connection with its bytes counted.
-func (t *Traffic) Count(c net.Conn) net.Conn { return &countedConn{c, t} }
+// Wrap returns the connection with its bytes counted.
+func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countedConn{c, t} }
 
 type countedConn struct {
 	net.Conn
