--- a/pafleet/change.go
+++ b/pafleet/change.go
@@ -7,65 +7,66 @@
 	"papayahead/paroute"
 )
 
-// Revision orders all changes of the platform's store.
+// Revision is a revision of the platform's store. Revisions order all writes to it; 0 means unknown.
 type Revision uint64
 
-// Change is one thing that was written to the platform's store.
+// Change is one write to the platform's store.
 type Change interface {
-	// revision returns the revision of the write; 0 is not known.
+	// revision returns the store revision of the write, or 0 if it is unknown.
 	revision() Revision
 }
 
-// ConfigUpdated is a new version of the configuration.
+// ConfigUpdated carries a new version of the configuration.
 type ConfigUpdated struct {
 	Revision Revision
 	Config   *paroute.Config
 }
 
-// TargetUpdated is what a target says of itself.
+// TargetUpdated carries a target's registration or heartbeat.
 type TargetUpdated struct{ Target Target }
 
-// TargetRemoved is the removal of a target's entry.
+// TargetRemoved reports that the key of a target was removed from the store.
 type TargetRemoved struct {
 	ID       string
 	Revision Revision
 }
 
-// ZoneEvacuated asks that no more be sent to the targets of a zone.
+// ZoneEvacuated is an operator's request to send no more traffic to the targets of a zone.
 type ZoneEvacuated struct {
 	Zone     string
 	Revision Revision
 }
 
-// ZoneRestored takes an evacuation back.
+// ZoneRestored cancels the evacuation of a zone.
 type ZoneRestored struct {
 	Zone     string
 	Revision Revision
 }
 
-// EntryUpdated is what an entry VM says of itself.
+// EntryUpdated carries the registration of an entry VM.
 type EntryUpdated struct{ Entry Entry }
 
-// EntryRemoved is the removal of an entry VM's registration.
+// EntryRemoved reports that the registration of an entry VM was removed from the store.
 type EntryRemoved struct {
 	Name     string
 	Revision Revision
 }
 
-// LimiterUpdated says which entry VM keeps the pools of rate limits; an empty Name says that none does.
+// LimiterUpdated names the limiter: the entry VM that holds the token pools of the rate limits. An empty Name means that
+// there is none.
 type LimiterUpdated struct {
 	Name     string
 	Revision Revision
 }
 
-// WarmNote says that a target handled an object lately.
+// WarmNote records that a target handled an object recently, and therefore serves it faster.
 type WarmNote struct {
 	Target, Object string
-	// Age is how long ago that was.
+	// Age is the time since then.
 	Age time.Duration
 }
 
-// WarmSnapshot is what was warm when an entry VM last kept it in the store.
+// WarmSnapshot is the set of warm objects that an entry VM last saved in the store.
 type WarmSnapshot struct{ Notes []WarmNote }
 
 func (c LimiterUpdated) revision() Revision { return c.Revision }
@@ -78,28 +79,29 @@
 func (c EntryUpdated) revision() Revision   { return c.Entry.Revision }
 func (c EntryRemoved) revision() Revision   { return c.Revision }
 
-// Target is one lifetime of a target.
+// Target is the state of a target as it registered itself, within one lifetime of its process.
 type Target struct {
 	ID      string
 	Service string
 	Zone    string
 	Address netip.AddrPort
-	// Slots is how many requests the target works on at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots int
-	// Draining says that the target is about to leave and takes no more work.
+	// Draining is set when the target is shutting down and accepts no new requests.
 	Draining bool
-	// ColdLeft is how much longer the target stays cold, as of the word's arrival.
+	// ColdLeft is the remaining warm-up time when the update arrives.
 	ColdLeft time.Duration
-	// Born is the Unix millisecond of the target's start; a later one is another lifetime.
+	// Born is the start time of the target's process in Unix milliseconds; a later value is a new lifetime.
 	Born int64
-	// Sequence counts the target's words in one lifetime.
+	// Sequence numbers the target's updates within one lifetime.
 	Sequence int64
 	Revision Revision
-	// Registered is the revision at which its entry came into the store, later than a removal before; 0 is not known.
+	// Registered is the revision at which the target's key was created in the store, after any previous removal; 0 if
+	// unknown.
 	Registered Revision `json:",omitempty"`
 }
 
-// Newer says whether t is a later word of the same target than u.
+// Newer reports whether t is a later update of the same target than u.
 func (t *Target) Newer(u *Target) bool {
 	if t.Born != u.Born {
 		return t.Born > u.Born
@@ -107,37 +109,38 @@
 	return t.Sequence > u.Sequence
 }
 
-// differs says whether t says more than u of the same lifetime, beside that the target lives.
+// differs reports whether t is more than a heartbeat after u, an earlier update of the same lifetime.
 func (t *Target) differs(u *Target) bool {
 	return t.Draining != u.Draining || t.Registered > u.Registered || t.Address != u.Address || t.Slots != u.Slots ||
 		t.Service != u.Service || t.Zone != u.Zone
 }
 
-// Entry is an entry VM as it registered itself.
+// Entry is the registration of an entry VM.
 type Entry struct {
 	Name   string
 	Zone   string
 	Region string
-	// Front is where callers connect, Peers where other entry VMs do.
+	// Front is the address for callers, Peers the one for other entry VMs.
 	Front netip.AddrPort
 	Peers netip.AddrPort
-	// Born is the Unix millisecond of the process's start.
+	// Born is the start time of the process in Unix milliseconds.
 	Born int64
-	// BornUp is the milliseconds from the machine's start to the process's; 0 is not known.
+	// BornUp is the uptime of the VM at the start of the process, in milliseconds; 0 if unknown.
 	BornUp int64 `json:",omitempty"`
-	// LinkMbps is the bandwidth of its link; 0 is not known.
+	// LinkMbps is the bandwidth of the network link in Mbit/s; 0 if unknown.
 	LinkMbps float64 `json:",omitempty"`
 	Revision Revision
 }
 
-// MinStartInterval returns the least time between the starts of two lifetimes of an entry VM's process.
+// MinStartInterval returns a lower bound of the time between the starts of two lifetimes of an entry VM's process.
 //
-// Load: the time of day jumps between two starts. Harm prevented: a process that started a moment ago takes itself for
-// one that ran for long, and has what only such a one may have. Within one lifetime of the machine the time since its
-// start tells; it tells too little, and nothing wrong, where the machine started anew and was up for longer than before.
-func (e Entry) MinStartInterval(former Entry) time.Duration {
-	if former.BornUp > 0 && e.BornUp >= former.BornUp {
-		return time.Duration(e.BornUp-former.BornUp) * time.Millisecond
+// It compares VM uptimes where it can, since the wall clock may jump between the starts: a process that restarted a moment
+// ago would then conclude that its previous lifetime began long before, and claim tokens that only a long-lived process may
+// have. If the VM rebooted in between and its uptime is higher than at the previous start, the difference of the uptimes is
+// too small, which is safe.
+func (e Entry) MinStartInterval(previous Entry) time.Duration {
+	if previous.BornUp > 0 && e.BornUp >= previous.BornUp {
+		return time.Duration(e.BornUp-previous.BornUp) * time.Millisecond
 	}
-	return time.Duration(e.Born-former.Born) * time.Millisecond
+	return time.Duration(e.Born-previous.Born) * time.Millisecond
 }
--- a/pafleet/delta.go
+++ b/pafleet/delta.go
@@ -6,40 +6,43 @@
 	"papayahead/paroute"
 )
 
-// Delta is what one entry VM tells a neighbour of what changed in the store. Sequences of targets
-// that say nothing else new are left out: they are most of all writes.
+// Delta is what an entry VM sends a neighbour about changes in the store. Plain heartbeats, which change nothing but a
+// target's sequence number, are left out: they are most of all writes.
 type Delta struct {
+	// Revision is the revision up to which the sender's view is complete.
 	Revision Revision
-	// Since is the revision after which all changes are named.
+	// Since is the revision after which all changes are included.
 	Since Revision `json:",omitempty"`
-	// Skipped is a span of which only the outcome is named: who is complete up to a revision inside it needs a whole view.
+	// Skipped is a range of revisions of which only the net effect is included: keys that were created and removed within it
+	// are missing. A receiver that is complete up to a revision inside it may hold such a key and needs a whole view.
 	Skipped *RevisionRange `json:",omitempty"`
-	// Whole says that what is not named is gone.
+	// Whole is set when the delta holds the complete state: whatever it does not list no longer exists.
 	Whole    bool
 	Config   *paroute.Config `json:",omitempty"`
 	ConfigAt Revision        `json:",omitempty"`
 	Targets  []Target        `json:",omitempty"`
 	Gone     []TargetRemoved `json:",omitempty"`
-	// Zones holds evacuations and their ends.
+	// Zones holds zones whose evacuation began or ended.
 	Zones   []ZoneState    `json:",omitempty"`
 	Entries []Entry        `json:",omitempty"`
 	Left    []EntryRemoved `json:",omitempty"`
-	// Limiter is who keeps the pools of rate limits, where that changed.
+	// Limiter is set if the entry VM that holds the token pools of the rate limits changed.
 	Limiter *LimiterUpdated `json:",omitempty"`
 }
 
-// ZoneState says whether a zone is evacuated.
+// ZoneState tells whether a zone is evacuated, as of a revision.
 type ZoneState struct {
 	Zone      string
 	Evacuated bool
 	Revision  Revision
 }
 
-// CoversSince says whether every removal after a revision is known, so that Delta can name what changed since. All that is known
-// can be told to who knows nothing, at revision 0.
-func (v *View) CoversSince(since Revision) bool { return since == 0 || v.history.covers(since) }
+// CoversSince reports whether the view knows every removal after a revision, so that Delta can list all changes since. It
+// is true for revision 0, since a neighbour that knows nothing gets the whole view.
+func (v *View) CoversSince(since Revision) bool { return since == 0 || v.history.completeSince(since) }
 
-// Delta returns what changed after a revision, nil where nothing did, and all that is known where the view does not cover it.
+// Delta returns what changed after a revision, or nil if nothing did. It returns the whole view if the view does not know
+// every removal since then.
 func (v *View) Delta(since Revision, now time.Time) *Delta {
 	d := &Delta{Revision: v.Revision, Since: since, Whole: since == 0 || !v.CoversSince(since)}
 	if d.Whole {
@@ -50,8 +53,8 @@
 	}
 	for _, m := range v.Targets {
 		if !m.LapsedAt.IsZero() {
-			// That the entry is gone is told at once: how long the target is used on, in case its entry
-			// only lapsed, is for each entry VM to say by the outages that it saw itself.
+			// The removal is passed on at once. Each entry VM decides by the store outages that it saw itself how long
+			// it goes on using the target in case its lease only lapsed.
 			if m.LapseRevision > since && !d.Whole {
 				d.Gone = append(d.Gone, TargetRemoved{ID: m.ID, Revision: m.LapseRevision})
 			}
@@ -63,7 +66,7 @@
 			d.Targets = append(d.Targets, t)
 		}
 	}
-	for zone, r := range v.zones {
+	for zone, r := range v.zoneRevisions {
 		if _, evacuated := v.Evacuated[zone]; r > since {
 			d.Zones = append(d.Zones, ZoneState{Zone: zone, Evacuated: evacuated, Revision: r})
 		}
@@ -77,8 +80,8 @@
 		d.Limiter = &LimiterUpdated{Name: v.Limiter, Revision: v.LimiterRevision}
 	}
 	if !d.Whole {
-		d.Gone = append(d.Gone, v.history.targetsGone(since)...)
-		d.Left = v.entriesLeft(since)
+		d.Gone = append(d.Gone, v.history.removedTargets(since)...)
+		d.Left = v.removedEntries(since)
 	}
 	if s := v.history.skipped; !d.Whole && s.To > since {
 		d.Skipped = &s
@@ -89,17 +92,18 @@
 	return d
 }
 
-// entriesLeft returns the entry VMs that are not registered any more and were removed after a revision.
-func (v *View) entriesLeft(since Revision) (all []EntryRemoved) {
-	for name, g := range v.history.left {
-		if _, back := v.Entries[name]; g.revision > since && !back {
-			all = append(all, EntryRemoved{Name: name, Revision: g.revision})
+// removedEntries returns the entry VMs that were removed after a revision and have not registered again.
+func (v *View) removedEntries(since Revision) (all []EntryRemoved) {
+	for name, ts := range v.history.entries {
+		if _, registered := v.Entries[name]; ts.revision > since && !registered {
+			all = append(all, EntryRemoved{Name: name, Revision: ts.revision})
 		}
 	}
 	return all
 }
 
-// Merge takes a neighbour's delta and says whether anything is new.
+// Merge applies a neighbour's delta and reports whether anything but a target's sequence changed. It ignores a delta whose
+// skipped range contains the view's revision.
 func (v *View) Merge(d *Delta, now time.Time) bool {
 	var all []Change
 	if d.Config != nil {
@@ -108,8 +112,8 @@
 	for _, t := range d.Targets {
 		all = append(all, TargetUpdated{Target: t})
 	}
-	for _, g := range d.Gone {
-		all = append(all, g)
+	for _, r := range d.Gone {
+		all = append(all, r)
 	}
 	for _, z := range d.Zones {
 		if z.Evacuated {
@@ -121,8 +125,8 @@
 	for _, e := range d.Entries {
 		all = append(all, EntryUpdated{Entry: e})
 	}
-	for _, l := range d.Left {
-		all = append(all, l)
+	for _, r := range d.Left {
+		all = append(all, r)
 	}
 	if d.Limiter != nil {
 		all = append(all, *d.Limiter)
@@ -131,11 +135,11 @@
 		return v.ApplyListing(all, d.Revision, now)
 	}
 	if s := d.Skipped; s != nil {
-		if s.inside(v.Revision) {
+		if s.contains(v.Revision) {
 			return false
 		}
 		v.init()
-		v.history.skip(RevisionRange{After: max(s.After, v.Revision), To: s.To})
+		v.history.addSkipped(RevisionRange{After: max(s.After, v.Revision), To: s.To})
 	}
 	return v.ApplyRange(all, d.Since, d.Revision, now)
 }
--- a/pafleet/doc.go
+++ b/pafleet/doc.go
@@ -1,11 +1,12 @@
-// Package pafleet is what an entry VM knows of its deployment: the configuration in force, the
-// targets, the availability zones that are being evacuated and the other entry VMs.
+// Package pafleet holds an entry VM's view of its deployment: the configuration in force, the targets, the evacuated
+// availability zones and the other entry VMs.
 //
-// A View takes changes from the platform's store and from neighbours in any order, more than once
-// and late, and only ever moves forward: an older word never replaces a newer one. It is pure; the
-// time is an argument.
+// A View accepts changes from the platform's store and from neighbours (other entry VMs) in any order, late and more than
+// once. Newer state is never replaced by older state. The package does no I/O and reads no clock; the current time is a
+// parameter.
 //
-// Revision says up to where in the store's order of changes a View is complete: for each key it holds what the store held
-// there, or later. A whole listing raises it, and so do all changes since a revision that it is complete up to. A
-// View that began with a listing does not know what was removed before; Covers says whom it can tell what changed.
+// View.Revision is the store revision up to which the view is complete: for each key the view holds the value that the
+// store had at that revision, or a later one. A complete listing raises Revision, and so do all changes since a revision
+// up to which the view is already complete. A view that was initialised from a listing does not know which keys were
+// removed before it, so it can't tell a neighbour at an earlier revision what changed; CoversSince reports whether it can.
 package pafleet
--- a/pafleet/history.go
+++ b/pafleet/history.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// removalLife is how long a removal is remembered, so that a late word of a former lifetime does not bring a target back
-// and neighbours hear of it. Source: targets speak every 1.5 s and the store may deliver a write seconds after it was
-// sent; a minute is far beyond both.
-const removalLife = time.Minute
+// tombstoneTTL is how long a removal is remembered, so that a late update of a former lifetime does not bring a target back
+// and neighbours learn of the removal. Targets send a heartbeat every 1.5 s and the store may deliver a write seconds after
+// it was sent; a minute is far beyond both.
+const tombstoneTTL = time.Minute
 
-// history is what a view knows of removals, and of which time it knows all of them.
+// history holds the removals that a view knows, and the revisions for which it knows all of them.
 //
-// Failure prevented: a process that starts reads what the store holds now. A neighbour that stands at an earlier revision
-// follows it, is told of no removal in between, and takes itself for complete.
+// A process that has just started knows only the current content of the store. Without this record a neighbour at an earlier
+// revision would sync from it, learn of no removal in between and take itself for complete.
 type history struct {
-	gone, left map[string]tombstone
-	// Every removal after floor is known, but for what came and went within skipped.
+	// targets and entries hold the tombstones of removed targets by ID and of removed entry VMs by name.
+	targets, entries map[string]tombstone
+	// Every removal after floor is known, except of keys that were both created and removed within skipped.
 	floor   Revision
 	skipped RevisionRange
 }
 
-// RevisionRange is what lies after a revision and up to another.
+// RevisionRange is the range of revisions after After and up to To.
 type RevisionRange struct{ After, To Revision }
 
-// inside says whether a view that is complete up to a revision may know some of what came and went in the span.
-func (s RevisionRange) inside(r Revision) bool { return r > s.After && r < s.To }
+// contains reports whether r lies between the bounds, both excluded. A view that is complete up to r may know keys that
+// were created and removed within the range.
+func (s RevisionRange) contains(r Revision) bool { return r > s.After && r < s.To }
 
-// tombstone is a removal. born and sequence are those of a target's last word; 0 is not known.
+// tombstone records a removal. born and sequence are those of a target's last update; 0 if unknown.
 type tombstone struct {
 	born, sequence int64
 	revision       Revision
 	at             time.Time
 }
 
-// outlives says whether a word of the removed target is older than the removal.
-func (g tombstone) outlives(t *Target) bool {
-	return t.Revision <= g.revision || t.Born < g.born || t.Born == g.born && t.Sequence <= g.sequence
+// covers reports whether an update of the removed target is older than the removal, or no later than its last known update.
+func (ts tombstone) covers(t *Target) bool {
+	return t.Revision <= ts.revision || t.Born < ts.born || t.Born == ts.born && t.Sequence <= ts.sequence
 }
 
-// remember adds a removal; of two of one name the later one counts.
-func remember(all map[string]tombstone, name string, g tombstone) {
+// addTombstone records a removal. Of two removals of the same name the later one is kept.
+func addTombstone(all map[string]tombstone, name string, ts tombstone) {
 	old := all[name]
-	if g.revision <= old.revision {
+	if ts.revision <= old.revision {
 		return
 	}
-	if g.born == 0 {
-		g.born, g.sequence = old.born, old.sequence
+	if ts.born == 0 {
+		ts.born, ts.sequence = old.born, old.sequence
 	}
-	all[name] = g
+	all[name] = ts
 }
 
-// skip notes that a view knows of a span only what came of it. Of two spans the earlier one is given up, with all before
-// it.
-func (h *history) skip(s RevisionRange) {
+// addSkipped records that a view knows only the final state of a range of revisions. Only one range is kept: a second one
+// replaces it, and the history then begins at the end of the first.
+func (h *history) addSkipped(s RevisionRange) {
 	if s.After >= s.To || s == h.skipped {
 		return
 	}
@@ -58,27 +60,27 @@
 	h.skipped = s
 }
 
-// covers says whether a neighbour that is complete up to a revision can be told of all removals since.
-func (h *history) covers(since Revision) bool {
-	return since >= h.floor && !h.skipped.inside(since)
+// completeSince reports whether all removals since a revision can be listed for a neighbour that is complete up to it.
+func (h *history) completeSince(since Revision) bool {
+	return since >= h.floor && !h.skipped.contains(since)
 }
 
-// targetsGone returns the removals of targets after a revision.
-func (h *history) targetsGone(since Revision) (all []TargetRemoved) {
-	for id, g := range h.gone {
-		if g.revision > since {
-			all = append(all, TargetRemoved{ID: id, Revision: g.revision})
+// removedTargets returns the targets that were removed after a revision.
+func (h *history) removedTargets(since Revision) (all []TargetRemoved) {
+	for id, ts := range h.targets {
+		if ts.revision > since {
+			all = append(all, TargetRemoved{ID: id, Revision: ts.revision})
 		}
 	}
 	return all
 }
 
-// forget drops old removals.
-func (h *history) forget(now time.Time) {
-	for _, all := range []map[string]tombstone{h.gone, h.left} {
-		for name, g := range all {
-			if now.Sub(g.at) > removalLife {
-				h.floor = max(h.floor, g.revision)
+// expire drops tombstones that are older than tombstoneTTL.
+func (h *history) expire(now time.Time) {
+	for _, all := range []map[string]tombstone{h.targets, h.entries} {
+		for name, ts := range all {
+			if now.Sub(ts.at) > tombstoneTTL {
+				h.floor = max(h.floor, ts.revision)
 				delete(all, name)
 			}
 		}
--- a/pafleet/history_test.go
+++ b/pafleet/history_test.go
@@ -9,11 +9,11 @@
 func TestRemovalsBeforeARestartReachThoseWhoFollow(t *testing.T) {
 	var neighbour, restarted View
 	neighbour.ApplyListing([]Change{
-		said("left", 1, 1, 5), said("stays", 1, 1, 6), EntryUpdated{Entry: Entry{Name: "e", Revision: 7}},
+		targetUpdate("left", 1, 1, 5), targetUpdate("stays", 1, 1, 6), EntryUpdated{Entry: Entry{Name: "e", Revision: 7}},
 		ZoneEvacuated{Zone: "z", Revision: 8}, LimiterUpdated{Name: "e", Revision: 9},
-	}, 10, begin)
-	restarted.ApplyListing([]Change{said("stays", 1, 1, 6)}, 14, begin)
-	tell(&restarted, &neighbour)
+	}, 10, start)
+	restarted.ApplyListing([]Change{targetUpdate("stays", 1, 1, 6)}, 14, start)
+	syncFrom(&restarted, &neighbour)
 	if neighbour.Targets["left"] != nil {
 		t.Error("the target that left is still used")
 	}
@@ -29,12 +29,12 @@
 func TestNeighbourHearsOfATargetsNewZone(t *testing.T) {
 	var reader, neighbour View
 	for _, v := range []*View{&reader, &neighbour} {
-		v.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
+		v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
 	}
-	moved := said("t", 1, 2, 6)
+	moved := targetUpdate("t", 1, 2, 6)
 	moved.Target.Zone = "y"
-	reader.ApplyRange([]Change{moved}, 5, 6, begin)
-	tell(&reader, &neighbour)
+	reader.ApplyRange([]Change{moved}, 5, 6, start)
+	syncFrom(&reader, &neighbour)
 	if got := neighbour.Targets["t"].Zone; got != "y" {
 		t.Errorf("the neighbour has the target in zone %q", got)
 	}
@@ -44,16 +44,16 @@
 func TestNeighbourHearsThatALapsedTargetIsBack(t *testing.T) {
 	var reader, neighbour View
 	for _, v := range []*View{&reader, &neighbour} {
-		v.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
+		v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
 	}
-	reader.NoteOutage(begin)
-	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, begin)
-	tell(&reader, &neighbour)
+	reader.NoteOutage(start)
+	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, start)
+	syncFrom(&reader, &neighbour)
 	if neighbour.Targets["t"] != nil {
 		t.Fatal("the neighbour, which saw no outage, uses a target that is gone")
 	}
-	reader.ApplyRange([]Change{said("t", 1, 2, 7)}, 6, 7, begin.Add(time.Second))
-	tell(&reader, &neighbour)
+	reader.ApplyRange([]Change{targetUpdate("t", 1, 2, 7)}, 6, 7, start.Add(time.Second))
+	syncFrom(&reader, &neighbour)
 	if neighbour.Targets["t"] == nil {
 		t.Error("the neighbour does not use the target that is back")
 	}
@@ -62,13 +62,13 @@
 // A word that was on its way while the store was listed brought back what the listing had left out.
 func TestALateWordDoesNotUndoAListing(t *testing.T) {
 	var v View
-	v.ApplyListing(nil, 4, begin)
+	v.ApplyListing(nil, 4, start)
 	late := []Change{
-		said("t", 1, 1, 5), EntryUpdated{Entry: Entry{Name: "e", Revision: 6}}, ZoneEvacuated{Zone: "z", Revision: 7},
+		targetUpdate("t", 1, 1, 5), EntryUpdated{Entry: Entry{Name: "e", Revision: 6}}, ZoneEvacuated{Zone: "z", Revision: 7},
 		LimiterUpdated{Name: "e", Revision: 8},
 	}
-	v.ApplyListing([]Change{said("stays", 1, 1, 3)}, 20, begin)
-	v.ApplyRange(late, 4, 8, begin)
+	v.ApplyListing([]Change{targetUpdate("stays", 1, 1, 3)}, 20, start)
+	v.ApplyRange(late, 4, 8, start)
 	if len(v.Targets) != 1 || len(v.Entries) != 0 || len(v.Evacuated) != 0 || v.Limiter != "" {
 		t.Errorf("targets %v, entry VMs %v, evacuated zones %v, limiter %q after late words", v.Targets, v.Entries, v.Evacuated, v.Limiter)
 	}
@@ -77,11 +77,11 @@
 // A limiter claimed its place and left while a neighbour took the store by listings; what that told kept its name in force.
 func TestAnOldWordOfNoLimiterNamesNone(t *testing.T) {
 	var reader, v View
-	reader.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 2}}, 3, begin)
-	reader.ApplyListing(nil, 5, begin)
-	reader.ApplyListing(nil, 20, begin)
-	v.ApplyListing([]Change{LimiterUpdated{Name: "b", Revision: 8}}, 10, begin)
-	tell(&reader, &v)
+	reader.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 2}}, 3, start)
+	reader.ApplyListing(nil, 5, start)
+	reader.ApplyListing(nil, 20, start)
+	v.ApplyListing([]Change{LimiterUpdated{Name: "b", Revision: 8}}, 10, start)
+	syncFrom(&reader, &v)
 	if v.Limiter != "" || v.Revision != 20 {
 		t.Errorf("limiter %q at revision %d", v.Limiter, v.Revision)
 	}
@@ -90,25 +90,25 @@
 // A target registered and left while a reader had lost the store's history; who had heard of it meanwhile followed that reader.
 func TestWhoIsWithinASkippedSpanNeedsMoreThanChanges(t *testing.T) {
 	var reader, asker View
-	reader.ApplyListing(nil, 4, begin)
-	asker.ApplyListing(nil, 4, begin)
-	reader.ApplyListing(nil, 20, begin)
-	late := reader.answer(asker.Revision, begin)
-	asker.ApplyRange([]Change{said("t", 1, 1, 9)}, 4, 10, begin)
-	asker.hear(late, begin)
+	reader.ApplyListing(nil, 4, start)
+	asker.ApplyListing(nil, 4, start)
+	reader.ApplyListing(nil, 20, start)
+	late := reader.reply(asker.Revision, start)
+	asker.ApplyRange([]Change{targetUpdate("t", 1, 1, 9)}, 4, 10, start)
+	asker.applyReply(late, start)
 	if asker.Revision >= 20 && asker.Targets["t"] != nil {
 		t.Error("the asker took itself for complete with a target that is gone")
 	}
-	tell(&reader, &asker)
+	syncFrom(&reader, &asker)
 	if asker.Revision != 20 || asker.Targets["t"] != nil {
 		t.Errorf("complete up to %d, targets %v", asker.Revision, asker.Targets)
 	}
 	var behind View
-	behind.ApplyListing([]Change{said("u", 1, 1, 5)}, 6, begin)
+	behind.ApplyListing([]Change{targetUpdate("u", 1, 1, 5)}, 6, start)
 	var follower View
-	follower.ApplyListing(nil, 4, begin)
-	tell(&reader, &follower)
-	tell(&follower, &behind)
+	follower.ApplyListing(nil, 4, start)
+	syncFrom(&reader, &follower)
+	syncFrom(&follower, &behind)
 	if behind.Revision != 20 || behind.Targets["u"] != nil {
 		t.Errorf("behind one that followed the reader: complete up to %d, targets %v", behind.Revision, behind.Targets)
 	}
@@ -118,13 +118,13 @@
 func TestNeighbourHearsOfARegistrationAfterALapse(t *testing.T) {
 	var reader, follower, last View
 	for _, v := range []*View{&reader, &follower, &last} {
-		v.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
+		v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
 	}
 	lapse := TargetRemoved{ID: "t", Revision: 6}
-	reader.ApplyRange([]Change{lapse, said("t", 1, 2, 7)}, 5, 7, begin)
-	last.ApplyRange([]Change{lapse}, 5, 6, begin)
-	tell(&reader, &follower)
-	tell(&follower, &last)
+	reader.ApplyRange([]Change{lapse, targetUpdate("t", 1, 2, 7)}, 5, 7, start)
+	last.ApplyRange([]Change{lapse}, 5, 6, start)
+	syncFrom(&reader, &follower)
+	syncFrom(&follower, &last)
 	if last.Targets["t"] == nil {
 		t.Error("the target that is back is not used")
 	}
@@ -132,23 +132,23 @@
 
 // A target lapsed and registered again while its reader did not look; entry VMs that had given it up never used it again.
 func TestNeighbourHearsOfARegistrationThatAListingShows(t *testing.T) {
-	again := said("t", 1, 2, 7)
+	again := targetUpdate("t", 1, 2, 7)
 	again.Target.Registered = 7
 	for _, whole := range []bool{false, true} {
 		var reader, gaveUp View
 		for _, v := range []*View{&reader, &gaveUp} {
-			v.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
+			v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
 		}
-		gaveUp.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, begin)
+		gaveUp.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, start)
 		if whole {
-			reader.ApplyListing([]Change{again}, 7, begin)
+			reader.ApplyListing([]Change{again}, 7, start)
 		} else {
-			reader.ApplyRange([]Change{again}, 5, 7, begin)
+			reader.ApplyRange([]Change{again}, 5, 7, start)
 		}
 		var between View
-		between.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
-		tell(&reader, &between)
-		tell(&between, &gaveUp)
+		between.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
+		syncFrom(&reader, &between)
+		syncFrom(&between, &gaveUp)
 		if gaveUp.Targets["t"] == nil {
 			t.Errorf("a listing %v: the target that is back is not used", whole)
 		}
@@ -158,12 +158,12 @@
 // A target lapsed, came back as another and left, of which its reader heard the end only; neighbours that had it kept it.
 func TestNeighbourHearsOfALaterEndOfALapsedTarget(t *testing.T) {
 	var reader, neighbour View
-	reader.ApplyListing([]Change{said("t", 1, 1, 5)}, 5, begin)
-	reader.NoteOutage(begin)
-	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, begin)
-	neighbour.ApplyListing([]Change{said("t", 2, 1, 7)}, 7, begin)
-	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 8}}, 6, 8, begin)
-	tell(&reader, &neighbour)
+	reader.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 5, start)
+	reader.NoteOutage(start)
+	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 6}}, 5, 6, start)
+	neighbour.ApplyListing([]Change{targetUpdate("t", 2, 1, 7)}, 7, start)
+	reader.ApplyRange([]Change{TargetRemoved{ID: "t", Revision: 8}}, 6, 8, start)
+	syncFrom(&reader, &neighbour)
 	if neighbour.Targets["t"] != nil {
 		t.Error("the neighbour still uses the target that is gone")
 	}
--- a/pafleet/model_test.go
+++ b/pafleet/model_test.go
@@ -22,13 +22,13 @@
 
 type modelStore struct {
 	revision Revision
-	// forgotten is the latest revision whose changes a watch no longer tells.
-	forgotten Revision
-	words     map[modelKey][]modelWord
+	// compacted is the latest revision whose changes a watch no longer tells.
+	compacted Revision
+	writes    map[modelKey][]modelWrite
 }
 
-// modelWord is what a key was set to; value is empty for a removal.
-type modelWord struct {
+// modelWrite is what a key was set to; value is empty for a removal.
+type modelWrite struct {
 	revision Revision
 	value    string
 	change   Change
@@ -36,19 +36,19 @@
 
 func (s *modelStore) write(k modelKey, value string, c func(r Revision) Change) {
 	s.revision++
-	s.words[k] = append(s.words[k], modelWord{revision: s.revision, value: value, change: c(s.revision)})
+	s.writes[k] = append(s.writes[k], modelWrite{revision: s.revision, value: value, change: c(s.revision)})
 }
 
 // at returns a key's last word.
-func (s *modelStore) last(k modelKey) modelWord {
-	if all := s.words[k]; len(all) > 0 {
+func (s *modelStore) last(k modelKey) modelWrite {
+	if all := s.writes[k]; len(all) > 0 {
 		return all[len(all)-1]
 	}
-	return modelWord{}
+	return modelWrite{}
 }
 
 func (s *modelStore) list() (all []Change) {
-	for _, k := range slices.SortedFunc(maps.Keys(s.words), compareKeys) {
+	for _, k := range slices.SortedFunc(maps.Keys(s.writes), compareKeys) {
 		if w := s.last(k); w.value != "" {
 			all = append(all, w.change)
 		}
@@ -56,22 +56,22 @@
 	return all
 }
 
-func (s *modelStore) since(r Revision, latest bool) (all []modelWord) {
-	for _, words := range s.words {
+func (s *modelStore) since(r Revision, latest bool) (all []modelWrite) {
+	for _, words := range s.writes {
 		for i, w := range words {
 			if w.revision > r && (!latest || i == len(words)-1) {
 				all = append(all, w)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b modelWord) int { return int(a.revision) - int(b.revision) })
+	slices.SortFunc(all, func(a, b modelWrite) int { return int(a.revision) - int(b.revision) })
 	return all
 }
 
-// allowed says whether a view that is complete up to a revision may hold a value: that in force there, or a later one.
-func (s *modelStore) allowed(k modelKey, r Revision, value string) bool {
+// mayHold says whether a view that is complete up to a revision may hold a value: that in force there, or a later one.
+func (s *modelStore) mayHold(k modelKey, r Revision, value string) bool {
 	now := ""
-	for _, w := range s.words[k] {
+	for _, w := range s.writes[k] {
 		if w.revision <= r {
 			now = w.value
 		} else if w.value == value {
@@ -81,8 +81,8 @@
 	return now == value
 }
 
-// held returns what a view holds of the modelled keys.
-func (v *View) held() map[modelKey]string {
+// contents returns what a view holds of the modelled keys.
+func (v *View) contents() map[modelKey]string {
 	all := map[modelKey]string{}
 	for id, m := range v.Targets {
 		if m.LapsedAt.IsZero() {
@@ -109,7 +109,7 @@
 }
 
 // call is a neighbour's answer that is on its way.
-type modelCall struct {
+type modelReply struct {
 	to, lifetime    int
 	since, revision Revision
 	delta           *Delta
@@ -120,7 +120,7 @@
 	store     modelStore
 	views     []*View
 	lifetimes []int
-	calls     []modelCall
+	replies   []modelReply
 	now       time.Time
 	born      int64
 }
@@ -160,7 +160,7 @@
 			s.write(modelKey{"limiter", ""}, "", func(r Revision) Change { return LimiterUpdated{Revision: r} })
 		}
 	case 8:
-		version := int64(len(s.words[modelKey{"config", ""}]) + 1)
+		version := int64(len(s.writes[modelKey{"config", ""}]) + 1)
 		s.write(modelKey{"config", ""}, fmt.Sprint(version), func(r Revision) Change {
 			return ConfigUpdated{Revision: r, Config: &paroute.Config{Version: version}}
 		})
@@ -171,7 +171,7 @@
 func (f *modelFleet) writeTarget(t *rapid.T, id string) {
 	k := modelKey{"target", id}
 	last := Target{Zone: "z"}
-	for _, w := range f.store.words[k] {
+	for _, w := range f.store.writes[k] {
 		if c, ok := w.change.(TargetUpdated); ok {
 			last = c.Target
 		}
@@ -204,7 +204,7 @@
 // read lets a view read the store as it does: a whole listing at its start and when the history is lost, or what changed,
 // where only the latest state of each key may be told.
 func (f *modelFleet) read(v *View, latest bool) {
-	if v.Revision == 0 || v.Revision < f.store.forgotten {
+	if v.Revision == 0 || v.Revision < f.store.compacted {
 		v.ApplyListing(f.store.list(), f.store.revision, f.now)
 		return
 	}
@@ -215,33 +215,33 @@
 	v.ApplyRange(all, v.Revision, f.store.revision, f.now)
 }
 
-// ask puts a neighbour's answer on its way; one that has no history answers with everything or not at all.
-func (f *modelFleet) ask(to, from int, refuses bool) {
+// query puts a neighbour's answer on its way; one that has no history answers with everything or not at all.
+func (f *modelFleet) query(to, from int, refuses bool) {
 	since, v := f.views[to].Revision, f.views[from]
 	if v.Revision <= since || refuses && !v.CoversSince(since) {
 		return
 	}
-	c := v.answer(since, f.now)
+	c := v.reply(since, f.now)
 	c.to, c.lifetime = to, f.lifetimes[to]
-	f.calls = append(f.calls, c)
+	f.replies = append(f.replies, c)
 }
 
-// hear delivers an answer, unless the process that asked is gone.
-func (f *modelFleet) hear(i int) {
-	c := f.calls[i]
-	f.calls = slices.Delete(f.calls, i, i+1)
+// deliver delivers an answer, unless the process that asked is gone.
+func (f *modelFleet) deliver(i int) {
+	c := f.replies[i]
+	f.replies = slices.Delete(f.replies, i, i+1)
 	if f.lifetimes[c.to] != c.lifetime {
 		return
 	}
-	f.views[c.to].hear(c, f.now)
+	f.views[c.to].applyReply(c, f.now)
 }
 
 func (f *modelFleet) check(t *rapid.T) {
 	for i, v := range f.views {
-		held := v.held()
-		for _, k := range slices.SortedFunc(maps.Keys(f.store.words), compareKeys) {
-			if v.Revision > 0 && !f.store.allowed(k, v.Revision, held[k]) {
-				t.Fatalf("view %d is complete up to %d and holds %q of %v; the store held %v", i, v.Revision, held[k], k, f.store.words[k])
+		held := v.contents()
+		for _, k := range slices.SortedFunc(maps.Keys(f.store.writes), compareKeys) {
+			if v.Revision > 0 && !f.store.mayHold(k, v.Revision, held[k]) {
+				t.Fatalf("view %d is complete up to %d and holds %q of %v; the store held %v", i, v.Revision, held[k], k, f.store.writes[k])
 			}
 		}
 	}
@@ -256,17 +256,17 @@
 	case 5, 6:
 		f.read(f.views[view()], rapid.Bool().Draw(t, "latest"))
 	case 7, 8, 9:
-		f.ask(view(), view(), rapid.Bool().Draw(t, "refuses"))
+		f.query(view(), view(), rapid.Bool().Draw(t, "refuses"))
 	case 10, 11:
-		if len(f.calls) > 0 {
-			f.hear(rapid.IntRange(0, len(f.calls)-1).Draw(t, "call"))
+		if len(f.replies) > 0 {
+			f.deliver(rapid.IntRange(0, len(f.replies)-1).Draw(t, "call"))
 		}
 	case 12:
 		i := view()
 		f.views[i] = &View{}
 		f.lifetimes[i]++
 	case 13:
-		f.store.forgotten = f.store.revision
+		f.store.compacted = f.store.revision
 	case 14:
 		f.views[view()].NoteOutage(f.now)
 	case 15:
@@ -280,7 +280,7 @@
 // A view that says it is complete up to a revision missed a change before it, and told others so.
 func TestAViewHoldsWhatTheStoreHeldAtItsRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &modelFleet{store: modelStore{words: map[modelKey][]modelWord{}}, lifetimes: make([]int, modelViews), now: begin}
+		f := &modelFleet{store: modelStore{writes: map[modelKey][]modelWrite{}}, lifetimes: make([]int, modelViews), now: start}
 		for range modelViews {
 			f.views = append(f.views, &View{})
 		}
@@ -291,12 +291,12 @@
 	})
 }
 
-// answer returns what a view tells one at a revision; hear lets that one take it.
-func (v *View) answer(since Revision, now time.Time) modelCall {
-	return modelCall{since: since, revision: v.Revision, delta: v.Delta(since, now)}
+// reply returns what a view tells one at a revision; hear lets that one take it.
+func (v *View) reply(since Revision, now time.Time) modelReply {
+	return modelReply{since: since, revision: v.Revision, delta: v.Delta(since, now)}
 }
 
-func (v *View) hear(c modelCall, now time.Time) {
+func (v *View) applyReply(c modelReply, now time.Time) {
 	if c.delta != nil {
 		v.Merge(c.delta, now)
 		return
@@ -304,5 +304,5 @@
 	v.ApplyRange(nil, c.since, c.revision, now)
 }
 
-// tell lets one view ask another what changed.
-func tell(from, to *View) { to.hear(from.answer(to.Revision, begin), begin) }
+// syncFrom lets one view ask another what changed.
+func syncFrom(from, to *View) { to.applyReply(from.reply(to.Revision, start), start) }
--- a/pafleet/view.go
+++ b/pafleet/view.go
@@ -6,44 +6,45 @@
 	"papayahead/paroute"
 )
 
-// LapseGrace is how long after the store's return an entry that lapsed meanwhile may take to
-// come back. Source: the platform's promise of about two seconds, and one reading.
+// LapseGrace is how long after the end of a store outage a target whose lease lapsed meanwhile may take to register again.
+// The platform promises about two seconds; the rest allows for one more read of the store.
 const LapseGrace = 2500 * time.Millisecond
 
-// TargetState is a target as an entry VM knows it.
+// TargetState is the state of a target as an entry VM knows it.
 type TargetState struct {
 	Target
-	// ColdUntil is when the target stops being cold.
+	// ColdUntil is the end of the target's warm-up.
 	ColdUntil time.Time
-	// LapsedAt is when the entry was found missing after an outage of the store; zero otherwise. A
-	// lapsed target is used until LapseGrace has passed.
+	// LapsedAt is when the target's key was found missing after a store outage, or zero. A lapsed target is used until
+	// LapseGrace has passed.
 	LapsedAt time.Time
-	// LapseRevision is the revision of the latest removal.
+	// LapseRevision is the store revision of that removal; of several, that of the latest.
 	LapseRevision Revision
-	// ChangeRevision is the revision of the latest word that said more than that the target lives.
+	// ChangeRevision is the revision of the latest update that was more than a heartbeat.
 	ChangeRevision Revision
 }
 
-// View is everything known. The zero value knows nothing and is ready.
+// View is an entry VM's view of the deployment. The zero value is empty and ready for use.
 type View struct {
-	// Revision is the store's revision that the view is complete up to.
+	// Revision is the store revision up to which the view is complete.
 	Revision       Revision
 	Config         *paroute.Config
 	ConfigRevision Revision
 	Targets        map[string]*TargetState
 	Entries        map[string]Entry
 	Evacuated      map[string]Revision
-	// RestoredAt says when the evacuation of a zone ended.
+	// RestoredAt holds the time at which the evacuation of a zone ended.
 	RestoredAt map[string]time.Time
-	// Limiter is the entry VM that keeps the pools of rate limits, as of LimiterAt; empty is none.
+	// Limiter is the entry VM that holds the token pools of the rate limits, as of LimiterRevision; empty if there is none.
 	Limiter         string
 	LimiterRevision Revision
 
-	// OutageUntil is the end of the time in which missing entries may be lapses rather than ends.
+	// OutageUntil is the time until which a missing key may mean that a lease lapsed during a store outage, not that the
+	// target is gone.
 	OutageUntil time.Time
 
-	zones   map[string]Revision
-	history history
+	zoneRevisions map[string]Revision
+	history       history
 }
 
 func (v *View) init() {
@@ -54,13 +55,13 @@
 	v.Entries = map[string]Entry{}
 	v.Evacuated = map[string]Revision{}
 	v.RestoredAt = map[string]time.Time{}
-	v.zones = map[string]Revision{}
-	v.history.gone = map[string]tombstone{}
-	v.history.left = map[string]tombstone{}
+	v.zoneRevisions = map[string]Revision{}
+	v.history.targets = map[string]tombstone{}
+	v.history.entries = map[string]tombstone{}
 }
 
-// Apply takes one change and says whether anything but a target's sequence is new. A change that was written at or before
-// the revision that the view is complete up to comes late, may have been undone since, and is not taken.
+// Apply applies one change and reports whether anything but a target's sequence changed. It ignores a change whose revision
+// is not after View.Revision: such a change arrives late and may have been reverted since.
 func (v *View) Apply(c Change, now time.Time) bool {
 	v.init()
 	if r := c.revision(); r > 0 && r <= v.Revision {
@@ -69,7 +70,7 @@
 	return v.apply(c, now)
 }
 
-// apply takes a change of whatever revision.
+// apply applies a change of any revision.
 func (v *View) apply(c Change, now time.Time) bool {
 	switch c := c.(type) {
 	case ConfigUpdated:
@@ -77,7 +78,7 @@
 	case TargetUpdated:
 		return v.applyTarget(c.Target, now)
 	case TargetRemoved:
-		return v.applyGone(c, now)
+		return v.applyTargetRemoved(c, now)
 	case ZoneEvacuated:
 		return v.applyZone(c.Zone, c.Revision, true, now)
 	case ZoneRestored:
@@ -85,7 +86,7 @@
 	case EntryUpdated:
 		return v.applyEntry(c.Entry)
 	case EntryRemoved:
-		return v.applyEntryGone(c, now)
+		return v.applyEntryRemoved(c, now)
 	case LimiterUpdated:
 		return v.applyLimiter(c)
 	}
@@ -101,8 +102,8 @@
 	return changed
 }
 
-// applyConfig takes a version only if it is higher than the one in force: a version that had an
-// effect once is never followed by an older one, however late that arrives.
+// applyConfig accepts a configuration only if its version is higher than that of the one in force, so that one that arrives
+// late never replaces a newer one.
 func (v *View) applyConfig(c ConfigUpdated) bool {
 	if v.Config != nil && c.Config.Version <= v.Config.Version {
 		return false
@@ -112,7 +113,7 @@
 }
 
 func (v *View) applyTarget(t Target, now time.Time) bool {
-	if g, ok := v.history.gone[t.ID]; ok && g.outlives(&t) {
+	if ts, ok := v.history.targets[t.ID]; ok && ts.covers(&t) {
 		return false
 	}
 	m := v.Targets[t.ID]
@@ -124,13 +125,13 @@
 	if !t.Newer(&m.Target) {
 		return false
 	}
-	fresh := t.Born != m.Born
-	// A target that said that it leaves stays leaving for this lifetime.
-	t.Draining = t.Draining || !fresh && m.Draining
-	changed := fresh || !m.LapsedAt.IsZero() || t.differs(&m.Target)
+	restarted := t.Born != m.Born
+	// Once a target reports that it is draining, it stays so for this lifetime.
+	t.Draining = t.Draining || !restarted && m.Draining
+	changed := restarted || !m.LapsedAt.IsZero() || t.differs(&m.Target)
 	m.Target = t
 	m.LapsedAt = time.Time{}
-	if until := now.Add(t.ColdLeft); t.ColdLeft > 0 || fresh {
+	if until := now.Add(t.ColdLeft); t.ColdLeft > 0 || restarted {
 		changed = changed || until.Sub(m.ColdUntil) > time.Second
 		m.ColdUntil = until
 	}
@@ -140,15 +141,15 @@
 	return changed
 }
 
-func (v *View) applyGone(c TargetRemoved, now time.Time) bool {
+func (v *View) applyTargetRemoved(c TargetRemoved, now time.Time) bool {
 	m := v.Targets[c.ID]
 	if m == nil {
-		// Those who ask may know it.
-		remember(v.history.gone, c.ID, tombstone{revision: c.Revision, at: now})
+		// A neighbour that syncs from this view may still hold the target.
+		addTombstone(v.history.targets, c.ID, tombstone{revision: c.Revision, at: now})
 		return false
 	}
 	if m.Revision >= c.Revision {
-		// It registered again, which those who gave it up must hear.
+		// The target registered again after this removal. Neighbours that removed it must get it again.
 		m.ChangeRevision = max(m.ChangeRevision, m.Revision)
 		return false
 	}
@@ -159,53 +160,54 @@
 		m.LapseRevision = c.Revision
 		return false
 	}
-	v.bury(m, c.Revision, now)
+	v.removeTarget(m, c.Revision, now)
 	return true
 }
 
-func (v *View) bury(m *TargetState, r Revision, now time.Time) {
-	remember(v.history.gone, m.ID, tombstone{born: m.Born, sequence: m.Sequence, revision: r, at: now})
+func (v *View) removeTarget(m *TargetState, r Revision, now time.Time) {
+	addTombstone(v.history.targets, m.ID, tombstone{born: m.Born, sequence: m.Sequence, revision: r, at: now})
 	delete(v.Targets, m.ID)
 }
 
 func (v *View) applyZone(zone string, r Revision, evacuated bool, now time.Time) bool {
-	if r <= v.zones[zone] {
+	if r <= v.zoneRevisions[zone] {
 		return false
 	}
-	v.zones[zone] = r
-	_, was := v.Evacuated[zone]
+	v.zoneRevisions[zone] = r
+	_, wasEvacuated := v.Evacuated[zone]
 	if evacuated {
 		v.Evacuated[zone] = r
-		return !was
+		return !wasEvacuated
 	}
-	if was {
+	if wasEvacuated {
 		delete(v.Evacuated, zone)
 		v.RestoredAt[zone] = now
 	}
-	return was
+	return wasEvacuated
 }
 
 func (v *View) applyEntry(e Entry) bool {
 	old, ok := v.Entries[e.Name]
-	if ok && old.Revision >= e.Revision || v.history.left[e.Name].revision >= e.Revision {
+	if ok && old.Revision >= e.Revision || v.history.entries[e.Name].revision >= e.Revision {
 		return false
 	}
 	v.Entries[e.Name] = e
 	return !ok || old.Born != e.Born || old.Front != e.Front
 }
 
-func (v *View) applyEntryGone(c EntryRemoved, now time.Time) bool {
+func (v *View) applyEntryRemoved(c EntryRemoved, now time.Time) bool {
 	e, ok := v.Entries[c.Name]
 	if ok && e.Revision >= c.Revision {
 		return false
 	}
-	remember(v.history.left, c.Name, tombstone{revision: c.Revision, at: now})
+	addTombstone(v.history.entries, c.Name, tombstone{revision: c.Revision, at: now})
 	delete(v.Entries, c.Name)
 	return ok
 }
 
-// ApplyRange takes all that changed in the store after a revision that the view is complete up to, and up to a later one.
-// Of what begins later the changes are taken, but the view is complete up to no later revision than before.
+// ApplyRange applies all changes of the store after revision since and up to revision to, and reports whether anything
+// but a target's sequence changed. If since is after View.Revision, there is a gap: the changes are applied, but
+// View.Revision stays.
 func (v *View) ApplyRange(all []Change, since, to Revision, now time.Time) bool {
 	changed := false
 	for _, c := range all {
@@ -217,7 +219,9 @@
 	return changed
 }
 
-// ApplyListing takes a complete listing of the store at a revision: what it does not name is gone.
+// ApplyListing applies a complete listing of the store at a revision and reports whether anything but a target's sequence
+// changed. Targets, entry VMs, evacuations and a limiter that the listing lacks were removed. A listing older than the view
+// is ignored.
 func (v *View) ApplyListing(all []Change, r Revision, now time.Time) bool {
 	v.init()
 	if r < v.Revision {
@@ -257,24 +261,24 @@
 	if !limiter && v.Limiter != "" {
 		changed = v.apply(LimiterUpdated{Revision: r}, now) || changed
 	}
-	v.history.skip(RevisionRange{After: v.Revision, To: r})
+	v.history.addSkipped(RevisionRange{After: v.Revision, To: r})
 	v.Revision = r
 	return changed
 }
 
-// NoteOutage notes that the store did not answer at this moment.
+// NoteOutage records that the store did not answer at this time.
 func (v *View) NoteOutage(now time.Time) { v.OutageUntil = now.Add(LapseGrace) }
 
-// ExpireLapsed takes lapsed targets that did not come back as gone, forgets old tombstones, and says
-// whether a target went.
+// ExpireLapsed removes lapsed targets that did not register again in time, and tombstones that are too old. It reports
+// whether a target was removed.
 func (v *View) ExpireLapsed(now time.Time) bool {
 	changed := false
 	for _, m := range v.Targets {
 		if !m.LapsedAt.IsZero() && now.After(v.OutageUntil) {
-			v.bury(m, m.LapseRevision, now)
+			v.removeTarget(m, m.LapseRevision, now)
 			changed = true
 		}
 	}
-	v.history.forget(now)
+	v.history.expire(now)
 	return changed
 }
--- a/pafleet/view_test.go
+++ b/pafleet/view_test.go
@@ -8,9 +8,9 @@
 	"papayahead/paroute"
 )
 
-var begin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func said(id string, born, sequence int64, r Revision) TargetUpdated {
+func targetUpdate(id string, born, sequence int64, r Revision) TargetUpdated {
 	return TargetUpdated{Target: Target{
 		ID: id, Service: "a", Zone: "z", Address: netip.MustParseAddrPort("10.0.0.1:80"), Slots: 3,
 		Born: born, Sequence: sequence, Revision: r,
@@ -23,20 +23,20 @@
 func TestLateBurialReachesNeighbours(t *testing.T) {
 	var reader, neighbour View
 	for _, v := range []*View{&reader, &neighbour} {
-		v.ApplyListing([]Change{said("t1", 1, 1, 5), said("t2", 1, 1, 6)}, 6, begin)
+		v.ApplyListing([]Change{targetUpdate("t1", 1, 1, 5), targetUpdate("t2", 1, 1, 6)}, 6, start)
 	}
-	reader.NoteOutage(begin)
-	reader.Apply(TargetRemoved{ID: "t1", Revision: 7}, begin.Add(time.Second))
-	reader.Apply(said("t2", 1, 9, 12), begin.Add(time.Second))
+	reader.NoteOutage(start)
+	reader.Apply(TargetRemoved{ID: "t1", Revision: 7}, start.Add(time.Second))
+	reader.Apply(targetUpdate("t2", 1, 9, 12), start.Add(time.Second))
 	reader.Revision = 12
-	if d := reader.Delta(neighbour.Revision, begin); d != nil {
-		neighbour.Merge(d, begin)
+	if d := reader.Delta(neighbour.Revision, start); d != nil {
+		neighbour.Merge(d, start)
 	}
 	neighbour.Revision = 12
-	reader.ExpireLapsed(begin.Add(LapseGrace + time.Millisecond))
+	reader.ExpireLapsed(start.Add(LapseGrace + time.Millisecond))
 	reader.Revision = 13
-	if d := reader.Delta(neighbour.Revision, begin.Add(3*time.Second)); d != nil {
-		neighbour.Merge(d, begin.Add(3*time.Second))
+	if d := reader.Delta(neighbour.Revision, start.Add(3*time.Second)); d != nil {
+		neighbour.Merge(d, start.Add(3*time.Second))
 	}
 	if neighbour.Targets["t1"] != nil {
 		t.Error("the neighbour still uses the target that is gone")
@@ -50,13 +50,13 @@
 // of life. A target that starts again under its ID is another lifetime.
 func TestLateHeartbeatDoesNotBringATargetBack(t *testing.T) {
 	var v View
-	v.ApplyListing([]Change{said("t", 10, 4, 5)}, 5, begin)
-	v.Apply(TargetRemoved{ID: "t", Revision: 6}, begin)
-	v.Apply(said("t", 10, 3, 7), begin)
+	v.ApplyListing([]Change{targetUpdate("t", 10, 4, 5)}, 5, start)
+	v.Apply(TargetRemoved{ID: "t", Revision: 6}, start)
+	v.Apply(targetUpdate("t", 10, 3, 7), start)
 	if v.Targets["t"] != nil {
 		t.Error("a late heartbeat brought the target back")
 	}
-	v.Apply(said("t", 11, 1, 8), begin)
+	v.Apply(targetUpdate("t", 11, 1, 8), start)
 	if v.Targets["t"] == nil {
 		t.Error("a new lifetime under the same ID is not used")
 	}
@@ -65,12 +65,12 @@
 // A target says that it drains, and an older heartbeat of its own is delivered after that.
 func TestDrainingIsNotTakenBack(t *testing.T) {
 	var v View
-	v.ApplyListing([]Change{said("t", 10, 4, 5)}, 5, begin)
-	leaving := said("t", 10, 6, 6)
+	v.ApplyListing([]Change{targetUpdate("t", 10, 4, 5)}, 5, start)
+	leaving := targetUpdate("t", 10, 6, 6)
 	leaving.Target.Draining = true
-	v.Apply(leaving, begin)
-	v.Apply(said("t", 10, 5, 7), begin)
-	v.Apply(said("t", 10, 7, 8), begin)
+	v.Apply(leaving, start)
+	v.Apply(targetUpdate("t", 10, 5, 7), start)
+	v.Apply(targetUpdate("t", 10, 7, 8), start)
 	if !v.Targets["t"].Draining {
 		t.Error("a target that drains counts as ready again")
 	}
@@ -80,14 +80,14 @@
 // its return; until then none of them may be given up, after that the missing ones are gone.
 func TestEntriesThatLapsedInAnOutageComeBack(t *testing.T) {
 	var v View
-	v.ApplyListing([]Change{said("lives", 1, 4, 5), said("died", 1, 4, 6)}, 6, begin)
-	v.NoteOutage(begin.Add(5 * time.Second))
-	back := begin.Add(5500 * time.Millisecond)
+	v.ApplyListing([]Change{targetUpdate("lives", 1, 4, 5), targetUpdate("died", 1, 4, 6)}, 6, start)
+	v.NoteOutage(start.Add(5 * time.Second))
+	back := start.Add(5500 * time.Millisecond)
 	v.ApplyListing(nil, 20, back)
 	if len(v.Targets) != 2 {
 		t.Fatalf("%d targets are left right after the outage, want 2", len(v.Targets))
 	}
-	v.Apply(said("lives", 1, 5, 21), back.Add(time.Second))
+	v.Apply(targetUpdate("lives", 1, 5, 21), back.Add(time.Second))
 	v.ExpireLapsed(back.Add(3 * time.Second))
 	if v.Targets["lives"] == nil || v.Targets["died"] != nil {
 		t.Errorf("targets after the grace: %v", v.Targets)
@@ -97,8 +97,8 @@
 // An older configuration arrives by way of a slow neighbour after a newer one had an effect.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	var v View
-	v.Apply(ConfigUpdated{Revision: 9, Config: &paroute.Config{Version: 7}}, begin)
-	v.Merge(&Delta{Revision: 3, Config: &paroute.Config{Version: 5}, ConfigAt: 3}, begin)
+	v.Apply(ConfigUpdated{Revision: 9, Config: &paroute.Config{Version: 7}}, start)
+	v.Merge(&Delta{Revision: 3, Config: &paroute.Config{Version: 5}, ConfigAt: 3}, start)
 	if v.Config.Version != 7 {
 		t.Errorf("version %d is in force, want 7", v.Config.Version)
 	}
@@ -107,8 +107,8 @@
 // An evacuation and its end are read by different entry VMs and told to a third in the wrong order.
 func TestEvacuationsAreOrderedByRevision(t *testing.T) {
 	var v View
-	v.Apply(ZoneRestored{Zone: "z", Revision: 9}, begin)
-	v.Apply(ZoneEvacuated{Zone: "z", Revision: 8}, begin)
+	v.Apply(ZoneRestored{Zone: "z", Revision: 9}, start)
+	v.Apply(ZoneEvacuated{Zone: "z", Revision: 8}, start)
 	if len(v.Evacuated) != 0 {
 		t.Error("the zone is evacuated by the older word")
 	}
@@ -117,8 +117,8 @@
 // A listing that was taken before the latest watch does not undo what the watch told.
 func TestOldListingIsIgnored(t *testing.T) {
 	var v View
-	v.ApplyListing([]Change{said("t", 1, 1, 5)}, 9, begin)
-	v.ApplyListing(nil, 8, begin)
+	v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 9, start)
+	v.ApplyListing(nil, 8, start)
 	if v.Targets["t"] == nil {
 		t.Error("an old listing removed a target")
 	}
@@ -127,18 +127,18 @@
 // A neighbour that was told an old word of the limiter would ask one that gave its place away.
 func TestTheLatestWordOfTheLimiterHolds(t *testing.T) {
 	var v, neighbour View
-	v.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 5}}, 6, begin)
-	v.Apply(LimiterUpdated{Revision: 7}, begin)
-	v.Apply(LimiterUpdated{Name: "b", Revision: 8}, begin)
-	v.Apply(LimiterUpdated{Name: "a", Revision: 5}, begin)
+	v.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 5}}, 6, start)
+	v.Apply(LimiterUpdated{Revision: 7}, start)
+	v.Apply(LimiterUpdated{Name: "b", Revision: 8}, start)
+	v.Apply(LimiterUpdated{Name: "a", Revision: 5}, start)
 	if v.Limiter != "b" {
 		t.Errorf("limiter %q", v.Limiter)
 	}
-	neighbour.Merge(v.Delta(0, begin), begin)
+	neighbour.Merge(v.Delta(0, start), start)
 	if neighbour.Limiter != "b" {
 		t.Errorf("the neighbour's limiter %q", neighbour.Limiter)
 	}
-	if v.ApplyListing(nil, 9, begin); v.Limiter != "" {
+	if v.ApplyListing(nil, 9, start); v.Limiter != "" {
 		t.Errorf("limiter %q after a listing without one", v.Limiter)
 	}
 }
