--- a/pafleet/delta.go
+++ b/pafleet/delta.go
@@ -86,7 +86,8 @@
 	if s := v.history.skipped; !d.Whole && s.To > since {
 		d.Skipped = &s
 	}
-	if !d.Whole && d.Skipped == nil && d.Config == nil && d.Limiter == nil && len(d.Targets)+len(d.Gone)+len(d.Zones)+len(d.Entries)+len(d.Left) == 0 {
+	if !d.Whole && d.Skipped == nil && d.Config == nil && d.Limiter == nil &&
+		len(d.Targets)+len(d.Gone)+len(d.Zones)+len(d.Entries)+len(d.Left) == 0 {
 		return nil
 	}
 	return d
--- a/pafleet/model_test.go
+++ b/pafleet/model_test.go
@@ -13,21 +13,22 @@
 	"papayahead/paroute"
 )
 
-// modelKey is a key of the modelled store; modelStore has what each was set to, by revision.
+// modelKey is a key of the modelled store.
 type modelKey struct{ kind, name string }
 
 func compareKeys(a, b modelKey) int {
 	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.name, b.name))
 }
 
+// modelStore holds the writes to each key, by revision.
 type modelStore struct {
 	revision Revision
-	// compacted is the latest revision whose changes a watch no longer tells.
+	// compacted is the latest revision whose changes a watch no longer delivers.
 	compacted Revision
 	writes    map[modelKey][]modelWrite
 }
 
-// modelWrite is what a key was set to; value is empty for a removal.
+// modelWrite is one write to a key; value is empty for a removal.
 type modelWrite struct {
 	revision Revision
 	value    string
@@ -39,7 +40,7 @@
 	s.writes[k] = append(s.writes[k], modelWrite{revision: s.revision, value: value, change: c(s.revision)})
 }
 
-// at returns a key's last word.
+// last returns the last write to a key.
 func (s *modelStore) last(k modelKey) modelWrite {
 	if all := s.writes[k]; len(all) > 0 {
 		return all[len(all)-1]
@@ -57,9 +58,9 @@
 }
 
 func (s *modelStore) since(r Revision, latest bool) (all []modelWrite) {
-	for _, words := range s.writes {
-		for i, w := range words {
-			if w.revision > r && (!latest || i == len(words)-1) {
+	for _, writes := range s.writes {
+		for i, w := range writes {
+			if w.revision > r && (!latest || i == len(writes)-1) {
 				all = append(all, w)
 			}
 		}
@@ -68,7 +69,7 @@
 	return all
 }
 
-// mayHold says whether a view that is complete up to a revision may hold a value: that in force there, or a later one.
+// mayHold reports whether a view that is complete up to a revision may hold a value: that at the revision, or a later one.
 func (s *modelStore) mayHold(k modelKey, r Revision, value string) bool {
 	now := ""
 	for _, w := range s.writes[k] {
@@ -81,7 +82,7 @@
 	return now == value
 }
 
-// contents returns what a view holds of the modelled keys.
+// contents returns the values that a view holds for the modelled keys.
 func (v *View) contents() map[modelKey]string {
 	all := map[modelKey]string{}
 	for id, m := range v.Targets {
@@ -108,14 +109,14 @@
 	return fmt.Sprint("born ", born, " draining ", draining, " zone ", zone)
 }
 
-// call is a neighbour's answer that is on its way.
+// modelReply is a neighbour's reply to a query, in flight.
 type modelReply struct {
 	to, lifetime    int
 	since, revision Revision
 	delta           *Delta
 }
 
-// modelFleet is some views of one store, which read it and ask each other.
+// modelFleet is a set of views that read one store and query each other.
 type modelFleet struct {
 	store     modelStore
 	views     []*View
@@ -134,7 +135,7 @@
 func (f *modelFleet) write(t *rapid.T) {
 	s := &f.store
 	name := fmt.Sprint("n", rapid.IntRange(0, modelNames-1).Draw(t, "name"))
-	switch rapid.IntRange(0, 8).Draw(t, "what") {
+	switch rapid.IntRange(0, 8).Draw(t, "kind") {
 	case 0, 1, 2, 3:
 		f.writeTarget(t, fmt.Sprint("t", rapid.IntRange(0, modelTargets-1).Draw(t, "target")))
 	case 4:
@@ -167,7 +168,7 @@
 	}
 }
 
-// writeTarget lets a target register, say that it leaves, say that it lives, move, go, or register again after it lapsed.
+// writeTarget makes a target register, drain, send a heartbeat, change its zone, be removed, or register again after it lapsed.
 func (f *modelFleet) writeTarget(t *rapid.T, id string) {
 	k := modelKey{"target", id}
 	last := Target{Zone: "z"}
@@ -179,15 +180,15 @@
 	next := last
 	next.ID, next.Sequence = id, last.Sequence+1
 	present := f.store.last(k).value != ""
-	switch what := rapid.IntRange(0, 4).Draw(t, "word"); {
-	case present && what == 0:
+	switch kind := rapid.IntRange(0, 4).Draw(t, "update"); {
+	case present && kind == 0:
 		f.store.write(k, "", func(r Revision) Change { return TargetRemoved{ID: id, Revision: r} })
 		return
-	case present && what == 1:
+	case present && kind == 1:
 		next.Draining = true
-	case present && what == 2:
+	case present && kind == 2:
 		next.Zone += "z"
-	case present || last.Born > 0 && what == 3:
+	case present || last.Born > 0 && kind == 3:
 	default:
 		f.born++
 		next = Target{ID: id, Zone: "z", Born: f.born, Sequence: 1}
@@ -201,8 +202,8 @@
 	})
 }
 
-// read lets a view read the store as it does: a whole listing at its start and when the history is lost, or what changed,
-// where only the latest state of each key may be told.
+// read makes a view read the store: a complete listing at its start and after a compaction, otherwise the changes since its
+// revision. With latest, only the last write to each key is delivered.
 func (f *modelFleet) read(v *View, latest bool) {
 	if v.Revision == 0 || v.Revision < f.store.compacted {
 		v.ApplyListing(f.store.list(), f.store.revision, f.now)
@@ -215,7 +216,8 @@
 	v.ApplyRange(all, v.Revision, f.store.revision, f.now)
 }
 
-// query puts a neighbour's answer on its way; one that has no history answers with everything or not at all.
+// query puts a reply to a neighbour's query in flight. A view that lacks the history replies with everything or, if it
+// refuses, not at all.
 func (f *modelFleet) query(to, from int, refuses bool) {
 	since, v := f.views[to].Revision, f.views[from]
 	if v.Revision <= since || refuses && !v.CoversSince(since) {
@@ -226,7 +228,7 @@
 	f.replies = append(f.replies, c)
 }
 
-// deliver delivers an answer, unless the process that asked is gone.
+// deliver applies a reply, unless the process that sent the query has restarted.
 func (f *modelFleet) deliver(i int) {
 	c := f.replies[i]
 	f.replies = slices.Delete(f.replies, i, i+1)
@@ -238,16 +240,17 @@
 
 func (f *modelFleet) check(t *rapid.T) {
 	for i, v := range f.views {
-		held := v.contents()
+		contents := v.contents()
 		for _, k := range slices.SortedFunc(maps.Keys(f.store.writes), compareKeys) {
-			if v.Revision > 0 && !f.store.mayHold(k, v.Revision, held[k]) {
-				t.Fatalf("view %d is complete up to %d and holds %q of %v; the store held %v", i, v.Revision, held[k], k, f.store.writes[k])
+			if v.Revision > 0 && !f.store.mayHold(k, v.Revision, contents[k]) {
+				t.Fatalf("view %d is complete up to %d and holds %q for %v; writes to the store: %v",
+					i, v.Revision, contents[k], k, f.store.writes[k])
 			}
 		}
 	}
 }
 
-// step lets one thing happen.
+// step makes one random event happen.
 func (f *modelFleet) step(t *rapid.T) {
 	view := func() int { return rapid.IntRange(0, modelViews-1).Draw(t, "view") }
 	switch rapid.IntRange(0, 15).Draw(t, "step") {
@@ -259,7 +262,7 @@
 		f.query(view(), view(), rapid.Bool().Draw(t, "refuses"))
 	case 10, 11:
 		if len(f.replies) > 0 {
-			f.deliver(rapid.IntRange(0, len(f.replies)-1).Draw(t, "call"))
+			f.deliver(rapid.IntRange(0, len(f.replies)-1).Draw(t, "reply"))
 		}
 	case 12:
 		i := view()
@@ -277,8 +280,8 @@
 	}
 }
 
-// A view that says it is complete up to a revision missed a change before it, and told others so.
-func TestAViewHoldsWhatTheStoreHeldAtItsRevision(t *testing.T) {
+// A view claimed to be complete up to a revision although it had missed a change before it, and passed that on to others.
+func TestViewHoldsTheStoreStateAtItsRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &modelFleet{store: modelStore{writes: map[modelKey][]modelWrite{}}, lifetimes: make([]int, modelViews), now: start}
 		for range modelViews {
@@ -291,11 +294,12 @@
 	})
 }
 
-// reply returns what a view tells one at a revision; hear lets that one take it.
+// reply returns the view's reply to a neighbour that is complete up to a revision.
 func (v *View) reply(since Revision, now time.Time) modelReply {
 	return modelReply{since: since, revision: v.Revision, delta: v.Delta(since, now)}
 }
 
+// applyReply applies a neighbour's reply.
 func (v *View) applyReply(c modelReply, now time.Time) {
 	if c.delta != nil {
 		v.Merge(c.delta, now)
@@ -304,5 +308,5 @@
 	v.ApplyRange(nil, c.since, c.revision, now)
 }
 
-// syncFrom lets one view ask another what changed.
+// syncFrom makes one view query another and apply the reply.
 func syncFrom(from, to *View) { to.applyReply(from.reply(to.Revision, start), start) }
--- a/pafleet/view_test.go
+++ b/pafleet/view_test.go
@@ -17,10 +17,9 @@
 	}}
 }
 
-// The store refuses one entry VM for a while. It reads again, misses a target that left meanwhile, and
-// keeps it for some seconds in case its entry had only lapsed. Neighbours that took the store's later
-// revisions from it never heard that the target is gone, and sent it requests.
-func TestLateBurialReachesNeighbours(t *testing.T) {
+// After a store outage an entry VM finds a target's key missing and keeps the target for some seconds, in case its lease only
+// lapsed. Neighbours that synced later revisions from it never learned of the removal and went on sending requests.
+func TestRemovalOfALapsedTargetReachesNeighbours(t *testing.T) {
 	var reader, neighbour View
 	for _, v := range []*View{&reader, &neighbour} {
 		v.ApplyListing([]Change{targetUpdate("t1", 1, 1, 5), targetUpdate("t2", 1, 1, 6)}, 6, start)
@@ -39,22 +38,22 @@
 		neighbour.Merge(d, start.Add(3*time.Second))
 	}
 	if neighbour.Targets["t1"] != nil {
-		t.Error("the neighbour still uses the target that is gone")
+		t.Error("the neighbour still uses the removed target")
 	}
 	if neighbour.Targets["t2"] == nil {
-		t.Error("the other target went too")
+		t.Error("the other target was removed too")
 	}
 }
 
-// A target's heartbeat is held up on its way and arrives after the target was removed: it is no sign
-// of life. A target that starts again under its ID is another lifetime.
-func TestLateHeartbeatDoesNotBringATargetBack(t *testing.T) {
+// Guards against a delayed heartbeat that restores a target after its removal. A target that starts again under the same ID
+// is a new lifetime and must be used.
+func TestLateHeartbeatDoesNotRestoreATarget(t *testing.T) {
 	var v View
 	v.ApplyListing([]Change{targetUpdate("t", 10, 4, 5)}, 5, start)
 	v.Apply(TargetRemoved{ID: "t", Revision: 6}, start)
 	v.Apply(targetUpdate("t", 10, 3, 7), start)
 	if v.Targets["t"] != nil {
-		t.Error("a late heartbeat brought the target back")
+		t.Error("a late heartbeat restored the target")
 	}
 	v.Apply(targetUpdate("t", 11, 1, 8), start)
 	if v.Targets["t"] == nil {
@@ -62,8 +61,8 @@
 	}
 }
 
-// A target says that it drains, and an older heartbeat of its own is delivered after that.
-func TestDrainingIsNotTakenBack(t *testing.T) {
+// Guards against an older heartbeat, delivered after that in which the target reported that it drains, that ends the draining.
+func TestLateHeartbeatDoesNotEndDraining(t *testing.T) {
 	var v View
 	v.ApplyListing([]Change{targetUpdate("t", 10, 4, 5)}, 5, start)
 	leaving := targetUpdate("t", 10, 6, 6)
@@ -72,30 +71,30 @@
 	v.Apply(targetUpdate("t", 10, 5, 7), start)
 	v.Apply(targetUpdate("t", 10, 7, 8), start)
 	if !v.Targets["t"].Draining {
-		t.Error("a target that drains counts as ready again")
+		t.Error("a draining target counts as ready again")
 	}
 }
 
-// The store is down, and entries lapse meanwhile. Targets that live write again within two seconds of
-// its return; until then none of them may be given up, after that the missing ones are gone.
-func TestEntriesThatLapsedInAnOutageComeBack(t *testing.T) {
+// Leases lapse during a store outage. Live targets register again within two seconds of its end; until then no target may be
+// removed, and after that those that are still missing must be.
+func TestTargetsThatLapsedInAnOutageAreKeptForTheGrace(t *testing.T) {
 	var v View
 	v.ApplyListing([]Change{targetUpdate("lives", 1, 4, 5), targetUpdate("died", 1, 4, 6)}, 6, start)
 	v.NoteOutage(start.Add(5 * time.Second))
 	back := start.Add(5500 * time.Millisecond)
 	v.ApplyListing(nil, 20, back)
 	if len(v.Targets) != 2 {
-		t.Fatalf("%d targets are left right after the outage, want 2", len(v.Targets))
+		t.Fatalf("%d targets right after the outage, want 2", len(v.Targets))
 	}
 	v.Apply(targetUpdate("lives", 1, 5, 21), back.Add(time.Second))
 	v.ExpireLapsed(back.Add(3 * time.Second))
 	if v.Targets["lives"] == nil || v.Targets["died"] != nil {
-		t.Errorf("targets after the grace: %v", v.Targets)
+		t.Errorf("targets after the grace period: %v, want only \"lives\"", v.Targets)
 	}
 }
 
-// An older configuration arrives by way of a slow neighbour after a newer one had an effect.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A slow neighbour delivers an older configuration after a newer one came into force.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	var v View
 	v.Apply(ConfigUpdated{Revision: 9, Config: &paroute.Config{Version: 7}}, start)
 	v.Merge(&Delta{Revision: 3, Config: &paroute.Config{Version: 5}, ConfigAt: 3}, start)
@@ -104,17 +103,17 @@
 	}
 }
 
-// An evacuation and its end are read by different entry VMs and told to a third in the wrong order.
+// A third entry VM learns of an evacuation and of its end from different neighbours, in the wrong order.
 func TestEvacuationsAreOrderedByRevision(t *testing.T) {
 	var v View
 	v.Apply(ZoneRestored{Zone: "z", Revision: 9}, start)
 	v.Apply(ZoneEvacuated{Zone: "z", Revision: 8}, start)
 	if len(v.Evacuated) != 0 {
-		t.Error("the zone is evacuated by the older word")
+		t.Error("an older evacuation overrode the end of it")
 	}
 }
 
-// A listing that was taken before the latest watch does not undo what the watch told.
+// A listing from before the latest watch event must not undo that event.
 func TestOldListingIsIgnored(t *testing.T) {
 	var v View
 	v.ApplyListing([]Change{targetUpdate("t", 1, 1, 5)}, 9, start)
@@ -124,41 +123,41 @@
 	}
 }
 
-// A neighbour that was told an old word of the limiter would ask one that gave its place away.
-func TestTheLatestWordOfTheLimiterHolds(t *testing.T) {
+// With an outdated limiter, a neighbour asks an entry VM that has given up the role.
+func TestLatestLimiterIsKept(t *testing.T) {
 	var v, neighbour View
 	v.ApplyListing([]Change{LimiterUpdated{Name: "a", Revision: 5}}, 6, start)
 	v.Apply(LimiterUpdated{Revision: 7}, start)
 	v.Apply(LimiterUpdated{Name: "b", Revision: 8}, start)
 	v.Apply(LimiterUpdated{Name: "a", Revision: 5}, start)
 	if v.Limiter != "b" {
-		t.Errorf("limiter %q", v.Limiter)
+		t.Errorf("limiter %q, want \"b\"", v.Limiter)
 	}
 	neighbour.Merge(v.Delta(0, start), start)
 	if neighbour.Limiter != "b" {
-		t.Errorf("the neighbour's limiter %q", neighbour.Limiter)
+		t.Errorf("the neighbour has limiter %q, want \"b\"", neighbour.Limiter)
 	}
 	if v.ApplyListing(nil, 9, start); v.Limiter != "" {
-		t.Errorf("limiter %q after a listing without one", v.Limiter)
+		t.Errorf("limiter %q after a listing without one, want none", v.Limiter)
 	}
 }
 
-// Guards against a process that started a second ago and takes itself for one that ran for long, since the time of day
-// jumped between its starts.
-func TestAJumpOfTheTimeOfDayLengthensNoLife(t *testing.T) {
-	former := Entry{Born: 1_000_000, BornUp: 50_000}
+// Guards against a jump of the wall clock between two starts of a process, which makes its former lifetime look longer than
+// it was.
+func TestWallClockJumpDoesNotLengthenTheStartInterval(t *testing.T) {
+	previous := Entry{Born: 1_000_000, BornUp: 50_000}
 	for _, c := range []struct {
-		what string
+		name string
 		now  Entry
 		want time.Duration
 	}{
-		{"it started anew after a second, and the time of day is an hour ahead", Entry{Born: 4_601_000, BornUp: 51_000}, time.Second},
-		{"it started anew after ten seconds, and the time of day is an hour behind", Entry{Born: -2_590_000, BornUp: 60_000}, 10 * time.Second},
-		{"its machine started anew", Entry{Born: 1_020_000, BornUp: 300}, 20 * time.Second},
-		{"its machine started anew and was up for longer than before", Entry{Born: 1_070_000, BornUp: 60_000}, 10 * time.Second},
+		{"restart after 1 s, wall clock 1 h ahead", Entry{Born: 4_601_000, BornUp: 51_000}, time.Second},
+		{"restart after 10 s, wall clock 1 h behind", Entry{Born: -2_590_000, BornUp: 60_000}, 10 * time.Second},
+		{"VM reboot", Entry{Born: 1_020_000, BornUp: 300}, 20 * time.Second},
+		{"VM reboot, with a higher uptime than at the previous start", Entry{Born: 1_070_000, BornUp: 60_000}, 10 * time.Second},
 	} {
-		if got := c.now.MinStartInterval(former); got != c.want {
-			t.Errorf("%s: ran for %v, want %v", c.what, got, c.want)
+		if got := c.now.MinStartInterval(previous); got != c.want {
+			t.Errorf("%s: interval %v, want %v", c.name, got, c.want)
 		}
 	}
 }
