--- a/paroute/check.go
+++ b/paroute/check.go
@@ -11,10 +11,10 @@
 	"papayahead/pakey"
 )
 
-// longestTimeout bounds the timeout of a route; a longer one is a slip of the unit.
-const longestTimeout = 10 * time.Minute
+// maxTimeout is the upper bound of a route's timeout; a longer one is most likely a wrong unit.
+const maxTimeout = 10 * time.Minute
 
-// Check returns every fault of a configuration, in words for operators.
+// Check validates a configuration and returns a message for operators for each fault, nil if there is none.
 func Check(c *Config) []string {
 	var faults []string
 	fault := func(format string, arguments ...any) { faults = append(faults, fmt.Sprintf(format, arguments...)) }
@@ -27,57 +27,57 @@
 		for _, f := range checkRoute(r, c.Services) {
 			fault("route %q: %s", r.Name, f)
 		}
-		where := strings.ToLower(r.Host) + r.Prefix
-		if other, ok := seen[where]; ok {
-			fault("routes %q and %q: both begin with %s", other, r.Name, where)
+		match := strings.ToLower(r.Host) + r.Prefix
+		if other, ok := seen[match]; ok {
+			fault("routes %q and %q have the same host and prefix %s", other, r.Name, match)
 		}
-		seen[where] = r.Name
+		seen[match] = r.Name
 	}
 	for name, s := range c.Services {
 		if s.WarmUp > 0 && s.ColdRate <= 0 {
-			fault("service %q: cold targets would get nothing", name)
+			fault("service %q: has a warm-up time but no cold rate, so cold targets would get no requests", name)
 		}
 	}
 	return append(faults, CheckWorkspaces(c.Workspaces)...)
 }
 
-// CheckWorkspaces returns every fault of the workspaces, in words for operators that hold no key.
+// CheckWorkspaces validates workspaces and returns a message for operators for each fault. The messages contain no keys.
 func CheckWorkspaces(all []Workspace) []string {
 	var faults []string
-	holder := map[string]string{}
+	holders := map[string]string{}
 	for _, w := range all {
 		fault := func(format string, arguments ...any) {
 			faults = append(faults, fmt.Sprintf("workspace %q: ", w.Name)+fmt.Sprintf(format, arguments...))
 		}
 		if w.Name == "" || strings.ContainsFunc(w.Name, func(r rune) bool { return r <= ' ' || r == 0x7f }) {
-			fault("a name has no blanks or control characters and is not empty")
+			fault("the name is empty or contains blanks or control characters")
 		}
 		for i, k := range w.Keys {
-			other, held := holder[k]
+			other, held := holders[k]
 			switch {
 			case !pakey.Valid(k):
-				fault("key %d is empty or has characters that no credential has", i+1)
+				fault("key %d is empty, too long or has characters that are invalid in a credential", i+1)
 			case held && other == w.Name:
-				fault("key %d stands there twice", i+1)
+				fault("key %d is listed twice", i+1)
 			case held:
-				fault("key %d is that of workspace %q too", i+1, other)
+				fault("key %d also belongs to workspace %q", i+1, other)
 			}
-			holder[k] = w.Name
+			holders[k] = w.Name
 		}
-		if !finite(w.Rate) || !finite(w.Burst) {
-			fault("rate %v and burst %v: want finite numbers of at least 0", w.Rate, w.Burst)
+		if !finiteNonNegative(w.Rate) || !finiteNonNegative(w.Burst) {
+			fault("rate %v and burst %v: want finite numbers, at least 0", w.Rate, w.Burst)
 		}
 		if slices.Contains(w.AllowedRegions, "") {
-			fault("an allowed region has no name")
+			fault("an allowed region has an empty name")
 		}
 	}
 	return faults
 }
 
-func finite(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+func finiteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// CheckRegions returns a fault for each region that a workspace names and the deployment, whose regions are given by
-// availability zone, does not have.
+// CheckRegions returns a message for each allowed region of a workspace that the deployment does not have. Parameter regions
+// maps each availability zone of the deployment to its region.
 func CheckRegions(all []Workspace, regions map[string]string) []string {
 	known := slices.Collect(maps.Values(regions))
 	var faults []string
@@ -99,11 +99,11 @@
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		faults = append(faults, fmt.Sprintf("prefix %q: want a slash at both ends", r.Prefix))
 	}
-	if r.Timeout <= 0 || r.Timeout > longestTimeout {
-		faults = append(faults, fmt.Sprintf("timeout %s: want more than 0 and at most %s", r.Timeout, longestTimeout))
+	if r.Timeout <= 0 || r.Timeout > maxTimeout {
+		faults = append(faults, fmt.Sprintf("timeout %s: want more than 0 and at most %s", r.Timeout, maxTimeout))
 	}
 	if r.TargetLatency > r.Timeout {
-		faults = append(faults, fmt.Sprintf("target latency %s is over the timeout %s", r.TargetLatency, r.Timeout))
+		faults = append(faults, fmt.Sprintf("target latency %s exceeds the timeout %s", r.TargetLatency, r.Timeout))
 	}
 	var weight float64
 	for _, p := range r.Parts {
@@ -113,7 +113,7 @@
 		weight += p.Weight
 	}
 	if weight <= 0 {
-		faults = append(faults, "no service with a weight")
+		faults = append(faults, "no service with a positive weight")
 	}
 	return faults
 }
--- a/paroute/config.go
+++ b/paroute/config.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// Config is one version of the configuration.
+// Config is one version of the routing configuration.
 type Config struct {
-	// Version rises with each accepted configuration, in uneven steps.
+	// Version rises with each accepted configuration, not necessarily by one.
 	Version  int64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Keyed says that requests must carry a workspace's key, unless their route is public.
+	// Keyed is set if requests must carry the key of a workspace, unless their route is public.
 	Keyed      bool
 	Workspaces []Workspace
 }
 
-// Route says where the requests of a host and path prefix go and what may be done with them.
+// Route defines how requests with a host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix; it begins and ends with a slash.
 	Prefix string
-	// Parts are the services that share the requests; most routes have one.
+	// Parts are the services among which the requests are divided; most routes have one.
 	Parts []WeightedService
-	// Idempotent says that a request may run more than once.
+	// Idempotent is set if a request may run more than once.
 	Idempotent bool
-	// MaxAttempts is the most targets that one request may be sent to.
+	// MaxAttempts is the maximum number of targets to which one request may be sent.
 	MaxAttempts int
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits for a response.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth most to the caller.
+	// TargetLatency is the response time that callers want; a later response is worth less to them.
 	TargetLatency time.Duration
 	// Priority is the urgency of the route's requests; 0 is the most urgent.
 	Priority int
-	// Affinity says that a target that handled an object lately serves it faster.
+	// Affinity is set if a target serves an object faster when it handled that object recently.
 	Affinity bool
-	// AllowedRegions are the only regions that may handle the requests; empty allows all.
+	// AllowedRegions are the regions that may handle the requests; empty allows all.
 	AllowedRegions []string
-	// Public says that requests need no key.
+	// Public is set if requests need no key.
 	Public bool
 }
 
-// WeightedService is a service that takes a share of a route's requests.
+// WeightedService is a service that gets a share of a route's requests in proportion to its weight.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Service is what all targets of a service have in common.
+// Service holds the settings that all targets of a service have in common.
 type Service struct {
 	// HealthPath is the path of the health check.
 	HealthPath string
-	// MaxConnections is the most connections that a target takes from all callers together.
+	// MaxConnections is the maximum number of connections that a target accepts from all callers together.
 	MaxConnections int
-	// WarmUp is how long a target stays cold after its start.
+	// WarmUp is the time after its start for which a target is cold.
 	WarmUp time.Duration
-	// ColdRate is the number of requests a second that a cold target bears, from all callers together.
+	// ColdRate is the number of requests per second that a cold target can serve, from all callers together.
 	ColdRate float64
 }
 
-// Limits bound what a caller may send and how long it may take or stay idle.
+// Limits bound the size of a request, in bytes, and the time that a caller may take to send its header or stay idle.
 type Limits struct {
 	MaxHeader     int
 	MaxBody       int64
@@ -69,7 +69,7 @@
 	IdleTimeout   time.Duration
 }
 
-// AllowsRegion says whether a list of regions has one; an empty list has all.
+// AllowsRegion reports whether a list of allowed regions contains a region. An empty list allows all.
 func AllowsRegion(regions []string, region string) bool {
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
--- a/paroute/route_test.go
+++ b/paroute/route_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A route gives a new service a tenth of its requests, to see whether it holds. Each entry VM sees a few
-// hundred requests; a share by lot would be off by a third now and then.
+// In a canary release a new service gets a tenth of a route's requests. Each entry VM handles a few hundred of them, so a
+// random choice would now and then miss the share by a third.
 func TestSharesAreExactToOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0.5, 100), 1, 5).Draw(t, "weights")
@@ -52,28 +52,28 @@
 		for n := 1; n <= 300; n++ {
 			count[s.Next(parts)]++
 			for _, p := range parts {
-				if off := math.Abs(float64(count[p.Service]) - p.Weight/sum*float64(n)); off > float64(len(parts)) {
-					t.Fatalf("after %d requests the part %s is off its share by %v", n, p.Service, off)
+				if diff := math.Abs(float64(count[p.Service]) - p.Weight/sum*float64(n)); diff > float64(len(parts)) {
+					t.Fatalf("after %d requests service %s is off its share by %v requests", n, p.Service, diff)
 				}
 			}
 		}
 	})
 }
 
-func TestNoWeightNoService(t *testing.T) {
+func TestNextIsEmptyWithoutWeights(t *testing.T) {
 	var s Splitter
 	if got := s.Next([]WeightedService{{Service: "a"}, {Service: "b"}}); got != "" {
-		t.Errorf("service %q without any weight", got)
+		t.Errorf("service %q, want none as no weight is positive", got)
 	}
 }
 
 func TestAllowedRegions(t *testing.T) {
 	if !AllowsRegion([]string{"north"}, "north") || AllowsRegion([]string{"north"}, "south") || !AllowsRegion(nil, "south") {
-		t.Error("allowed regions are not kept")
+		t.Error("AllowsRegion gives a wrong result")
 	}
 }
 
-// A configuration with a key of two workspaces would give one of them the other's requests.
+// A key listed in two workspaces would attribute the requests of one to the other.
 func TestCheckRefusesKeysAndLimitsThatCannotBe(t *testing.T) {
 	zero := Config{Version: 1}
 	for name, all := range map[string][]Workspace{
@@ -90,20 +90,20 @@
 		c.Workspaces = all
 		got := Check(&c)
 		if len(got) != 1 {
-			t.Errorf("%s: faults %q", name, got)
+			t.Errorf("%s: faults %q, want one", name, got)
 		}
 	}
 	c := zero
 	c.Workspaces = []Workspace{{Name: "a", Keys: []string{"k1", "k2"}, Rate: 3, AllowedRegions: []string{"n", "x"}}}
 	if got := Check(&c); len(got) != 0 {
-		t.Errorf("faults of a good configuration: %q", got)
+		t.Errorf("faults in a valid configuration: %q", got)
 	}
 	if got := CheckRegions(c.Workspaces, map[string]string{"z": "n"}); len(got) != 1 {
-		t.Errorf("faults of one unknown region: %q", got)
+		t.Errorf("faults for one unknown region: %q, want one", got)
 	}
 }
 
-// A key that moves to another workspace, or goes, must do so with the version that says it.
+// A key that moves to another workspace or is removed must do so exactly with the configuration version that changes it.
 func TestKeysBelongToTheirVersion(t *testing.T) {
 	before := NewTable(&Config{Workspaces: []Workspace{{Name: "a", Keys: []string{"k1", "k2"}}, {Name: "b", Keys: []string{"k3"}}}})
 	after := NewTable(&Config{Workspaces: []Workspace{{Name: "a", Keys: []string{"k1"}}, {Name: "b", Keys: []string{"k2"}}}})
@@ -114,12 +114,11 @@
 		return ""
 	}
 	if name(before, "k2") != "a" || name(after, "k2") != "b" || name(after, "k3") != "" || name(before, "") != "" {
-		t.Error("keys are not those of their version")
+		t.Error("a table finds keys of another configuration version")
 	}
 }
 
-// An operator checks a configuration with several slips and mends one after the other, since each run
-// names only the first.
+// If Check reported only the first fault, an operator would need a run for each fault in a configuration.
 func TestCheckNamesEveryFault(t *testing.T) {
 	c := &Config{
 		Routes: []Route{
@@ -130,10 +129,10 @@
 		Services: map[string]Service{"s": {WarmUp: time.Second}},
 	}
 	if got := Check(c); len(got) != 9 {
-		t.Errorf("%d faults: %q", len(got), got)
+		t.Errorf("%d faults, want 9: %q", len(got), got)
 	}
 	good := &Config{Version: 1, Routes: c.Routes[2:], Services: map[string]Service{"s": {}}}
 	if got := Check(good); len(got) != 0 {
-		t.Errorf("faults of a good configuration: %q", got)
+		t.Errorf("faults in a valid configuration: %q", got)
 	}
 }
--- a/paroute/table.go
+++ b/paroute/table.go
@@ -7,26 +7,26 @@
 	"papayahead/pakey"
 )
 
-// Table finds routes. It is immutable; make a new one for each Config.
+// Table finds the routes and workspaces of a configuration. It is immutable: build a new one for each Config.
 type Table struct {
 	Config *Config
-	hosts  map[string][]*Route
-	// keys has the workspaces by their keys, as their index in the configuration.
+	routes map[string][]*Route
+	// keys maps the key of a workspace to the workspace's index in the configuration.
 	keys *pakey.Keyring
-	// workspaces has them by their names.
-	workspaces map[string]*Workspace
-	limited    bool
+	// workspaces holds the workspaces by name.
+	workspaces   map[string]*Workspace
+	hasRateLimit bool
 }
 
 // NewTable returns the Table of a configuration.
 func NewTable(c *Config) *Table {
-	t := &Table{Config: c, hosts: map[string][]*Route{}}
+	t := &Table{Config: c, routes: map[string][]*Route{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		h := strings.ToLower(r.Host)
-		t.hosts[h] = append(t.hosts[h], r)
+		t.routes[h] = append(t.routes[h], r)
 	}
-	for _, all := range t.hosts {
+	for _, all := range t.routes {
 		sort.Slice(all, func(i, j int) bool { return len(all[i].Prefix) > len(all[j].Prefix) })
 	}
 	t.keys = pakey.NewKeyring()
@@ -34,7 +34,7 @@
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		t.workspaces[w.Name] = w
-		t.limited = t.limited || w.HasRateLimit()
+		t.hasRateLimit = t.hasRateLimit || w.HasRateLimit()
 		for _, k := range w.Keys {
 			t.keys.Add(k, i)
 		}
@@ -42,13 +42,13 @@
 	return t
 }
 
-// HasRateLimit says that a workspace has a rate limit.
-func (t *Table) HasRateLimit() bool { return t.limited }
+// HasRateLimit reports whether any workspace has a rate limit.
+func (t *Table) HasRateLimit() bool { return t.hasRateLimit }
 
-// Workspace returns the workspace of a name, or nil.
+// Workspace returns the workspace with a name, or nil if there is none.
 func (t *Table) Workspace(name string) *Workspace { return t.workspaces[name] }
 
-// WorkspaceByKey returns the workspace that holds the key, or nil.
+// WorkspaceByKey returns the workspace that a key belongs to, or nil if there is none.
 func (t *Table) WorkspaceByKey(key string) *Workspace {
 	i, ok := t.keys.Lookup(key)
 	if !ok {
@@ -57,12 +57,12 @@
 	return &t.Config.Workspaces[i]
 }
 
-// Match returns the route with the longest prefix of the path, or nil. The host may carry a port.
+// Match returns the route of a host with the longest prefix of the path, or nil if there is none. The host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
-	for _, r := range t.hosts[strings.ToLower(host)] {
+	for _, r := range t.routes[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
