--- a/pakey/key.go
+++ b/pakey/key.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// The faults of a request's credential.
+// Errors of Parse.
 var (
-	// ErrMissing says that the request carries no credential.
+	// ErrMissing is returned for a request without an Authorization field.
 	ErrMissing = errors.New("no credential")
-	// ErrMalformed says that its credential is not one key of the Bearer scheme.
+	// ErrMalformed is returned if the credential is not exactly one key of the Bearer scheme.
 	ErrMalformed = errors.New("malformed credential")
 )
 
 const (
-	// scheme is the only one that is taken, in any case.
-	scheme = "bearer"
-	// longest is the most bytes of a key.
-	longest = 4 << 10
+	// authScheme is the only accepted authentication scheme; its case doesn't matter.
+	authScheme = "bearer"
+	// maxKeyBytes is the maximum length of a key.
+	maxKeyBytes = 4 << 10
 )
 
-// Parse returns the key in the values of a request's Authorization field.
+// Parse returns the key in the values of a request's Authorization field, or ErrMissing or ErrMalformed.
 func Parse(fields []string) (string, error) {
 	if len(fields) == 0 {
 		return "", ErrMissing
@@ -30,15 +30,15 @@
 	}
 	name, key, ok := strings.Cut(fields[0], " ")
 	key = strings.TrimLeft(key, " ")
-	if !ok || !strings.EqualFold(name, scheme) || !Valid(key) {
+	if !ok || !strings.EqualFold(name, authScheme) || !Valid(key) {
 		return "", ErrMalformed
 	}
 	return key, nil
 }
 
-// Valid says whether a text can be a key: one word of visible ASCII characters.
+// Valid reports whether a string can be a key: visible ASCII characters without blanks, at most 4 KiB.
 func Valid(key string) bool {
-	if key == "" || len(key) > longest {
+	if key == "" || len(key) > maxKeyBytes {
 		return false
 	}
 	for i := range len(key) {
--- a/pakey/key_test.go
+++ b/pakey/key_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A credential that two programs read differently could run as another workspace's.
+// If two programs parsed a credential differently, a request could run as another workspace.
 func TestParseTakesOneKeyOfOneScheme(t *testing.T) {
 	for _, c := range []struct {
 		fields []string
@@ -41,24 +41,24 @@
 	f.Fuzz(func(t *testing.T, field string) {
 		key, err := Parse([]string{field})
 		if err == nil && !Valid(key) {
-			t.Errorf("%q gives the key %q", field, key)
+			t.Errorf("%q: Parse returned the invalid key %q", field, key)
 		}
 		if err != nil && len(field) > 3 && strings.Contains(err.Error(), field) {
-			t.Errorf("the error holds what was sent: %v", err)
+			t.Errorf("the error contains what the caller sent: %v", err)
 		}
 	})
 }
 
-func TestRingFindsHolders(t *testing.T) {
+func TestKeyringFindsHolders(t *testing.T) {
 	r := NewKeyring()
 	r.Add("one", 1)
 	r.Add("two", 2)
 	if h, ok := r.Lookup("two"); !ok || h != 2 {
-		t.Errorf("holder %d, %v", h, ok)
+		t.Errorf("holder %d, %v; want 2, true", h, ok)
 	}
 	for _, k := range []string{"", "three", "ONE", "one "} {
 		if _, ok := r.Lookup(k); ok {
-			t.Errorf("%q has a holder", k)
+			t.Errorf("%q has a holder, want none", k)
 		}
 	}
 }
--- a/pakey/ring.go
+++ b/pakey/ring.go
@@ -8,40 +8,40 @@
 	"sync"
 )
 
-// digest stands for a key.
-type digest [sha256.Size]byte
+// keyDigest is the HMAC-SHA-256 of a key.
+type keyDigest [sha256.Size]byte
 
-// Keyring finds the holders of keys. It is safe for concurrent use once all keys are added.
+// Keyring maps keys to their holders. It is safe for concurrent use once all keys are added.
 type Keyring struct {
-	holders map[digest]int
-	macs    sync.Pool
+	holders map[keyDigest]int
+	hashes  sync.Pool
 }
 
-// NewKeyring returns a Ring without keys.
+// NewKeyring returns an empty Keyring, whose digests use a random secret of its own.
 func NewKeyring() *Keyring {
 	secret := make([]byte, sha256.Size)
-	// It never fails, by its documentation.
+	// rand.Read is documented never to return an error.
 	_, _ = rand.Read(secret)
 	return &Keyring{
-		holders: map[digest]int{},
-		macs:    sync.Pool{New: func() any { return hmac.New(sha256.New, secret) }},
+		holders: map[keyDigest]int{},
+		hashes:  sync.Pool{New: func() any { return hmac.New(sha256.New, secret) }},
 	}
 }
 
-// Add gives a key to a holder, in the place of any before.
-func (r *Keyring) Add(key string, holder int) { r.holders[r.digest(key)] = holder }
+// Add assigns a key to a holder and replaces any previous holder of it.
+func (k *Keyring) Add(key string, holder int) { k.holders[k.digest(key)] = holder }
 
-// Lookup returns the holder of a key, and whether it has one.
-func (r *Keyring) Lookup(key string) (holder int, ok bool) {
-	holder, ok = r.holders[r.digest(key)]
+// Lookup returns the holder of a key and whether it has one.
+func (k *Keyring) Lookup(key string) (holder int, ok bool) {
+	holder, ok = k.holders[k.digest(key)]
 	return holder, ok
 }
 
-func (r *Keyring) digest(key string) (d digest) {
-	m := r.macs.Get().(hash.Hash)
-	defer r.macs.Put(m)
+func (k *Keyring) digest(key string) (d keyDigest) {
+	m := k.hashes.Get().(hash.Hash)
+	defer k.hashes.Put(m)
 	m.Reset()
-	// A hash never returns an error, by its documentation.
+	// hash.Hash is documented never to return an error from Write.
 	_, _ = m.Write([]byte(key))
 	m.Sum(d[:0])
 	return d
