--- a/paquota/bucket.go
+++ b/paquota/bucket.go
@@ -5,95 +5,102 @@
 	"time"
 )
 
-// Bucket holds tokens of two kinds: Depth of them flow in again at Rate a second, Window of them come back one by one, a
-// time after each was taken.
+// Bucket defines the size of a token bucket with two kinds of tokens. Up to Depth refill tokens arrive at Rate per second.
+// WindowTokens are a fixed number, each of which becomes available again a fixed time after its use.
 //
-// Tokens that flow are there soon after a start, when nobody knows what was taken before; those that come back let
-// the whole allowance run all the time.
+// Refill tokens are available soon after a start, when nobody knows how many were used before. Window tokens allow the whole
+// allowance to be used all the time.
 type Bucket struct{ Rate, Depth, WindowTokens float64 }
 
-// takenSlots is the number of parts of the time after which tokens come back.
-const takenSlots = 50
+// windowSlots is the number of slots by which the use of window tokens is counted.
+const windowSlots = 50
 
-// level is how full a bucket is; times are since a fixed moment.
-type level struct {
+// bucketState is the fill level of a bucket. Times are since a fixed moment.
+type bucketState struct {
 	bucket Bucket
-	// flowing is how many of the tokens that flow are there, as of at.
-	flowing float64
-	at      time.Duration
-	// life is the time after which the others come back; taken counts those that have not, by the slot in which they
-	// were taken, and away is their sum.
-	life  time.Duration
-	slot  int64
-	taken [takenSlots + 1]int32
-	away  int
+	// refillTokens is the number of available refill tokens, as of at.
+	refillTokens float64
+	at           time.Duration
+	// window is the time after which a used window token becomes available again. usedBySlot counts those in use by the slot
+	// in which they were taken; used is their sum.
+	window     time.Duration
+	slot       int64
+	usedBySlot [windowSlots + 1]int32
+	used       int
 }
 
-// newLevel returns a level at which all but a number of tokens was taken at a moment.
-func newLevel(b Bucket, tokens float64, life, from time.Duration) level {
-	l := level{bucket: b, flowing: tokens, life: life, at: from, slot: int64(from) / int64(life/takenSlots)}
-	l.away = int(b.WindowTokens)
-	l.taken[l.index()] = int32(l.away)
-	return l
+// newBucketState returns a bucket with some refill tokens, of which all window tokens were used at time from.
+func newBucketState(b Bucket, tokens float64, window, from time.Duration) bucketState {
+	s := bucketState{bucket: b, refillTokens: tokens, window: window, at: from, slot: int64(from) / int64(window/windowSlots)}
+	s.used = int(b.WindowTokens)
+	s.usedBySlot[s.slotIndex()] = int32(s.used)
+	return s
 }
 
-func (l *level) index() int64 { return (l.slot%(takenSlots+1) + takenSlots + 1) % (takenSlots + 1) }
+func (s *bucketState) slotIndex() int64 {
+	return (s.slot%(windowSlots+1) + windowSlots + 1) % (windowSlots + 1)
+}
 
-// fill adds what came since the last call.
-func (l *level) fill(now time.Duration) {
-	if now <= l.at {
+// advance adds the tokens that became available since the last call.
+func (s *bucketState) advance(now time.Duration) {
+	if now <= s.at {
 		return
 	}
-	l.flowing = math.Min(l.bucket.Depth, l.flowing+l.bucket.Rate*(now-l.at).Seconds())
-	l.at = now
-	slot := int64(now) / int64(l.life/takenSlots)
-	if slot > l.slot+takenSlots {
-		l.slot = slot - takenSlots - 1
+	s.refillTokens = math.Min(s.bucket.Depth, s.refillTokens+s.bucket.Rate*(now-s.at).Seconds())
+	s.at = now
+	slot := int64(now) / int64(s.window/windowSlots)
+	if slot > s.slot+windowSlots {
+		s.slot = slot - windowSlots - 1
 	}
-	for l.slot < slot {
-		l.slot++
-		l.away -= int(l.taken[l.index()])
-		l.taken[l.index()] = 0
+	for s.slot < slot {
+		s.slot++
+		s.used -= int(s.usedBySlot[s.slotIndex()])
+		s.usedBySlot[s.slotIndex()] = 0
 	}
 }
 
-// set changes the bucket; what is in it stays, as far as it fits.
-func (l *level) set(b Bucket, now time.Duration) {
-	l.fill(now)
-	l.bucket = b
-	l.flowing = math.Min(l.flowing, b.Depth)
+// setBucket changes the size of the bucket. It keeps the tokens in it as far as they fit.
+func (s *bucketState) setBucket(b Bucket, now time.Duration) {
+	s.advance(now)
+	s.bucket = b
+	s.refillTokens = math.Min(s.refillTokens, b.Depth)
 }
 
-// tokens returns how many whole tokens are there.
-func (l *level) tokens() int { return int(l.flowing) + l.back() }
+// available returns the number of whole tokens in the bucket.
+func (s *bucketState) available() int { return int(s.refillTokens) + s.windowAvailable() }
 
-// back returns how many of those that come back are there.
-func (l *level) back() int { return max(0, int(l.bucket.WindowTokens)-l.away) }
+// windowAvailable returns the number of window tokens in the bucket.
+func (s *bucketState) windowAvailable() int { return max(0, int(s.bucket.WindowTokens)-s.used) }
 
-// take takes up to a number of tokens and returns how many: first of those that flow, which would be lost in a full
-// bucket.
-func (l *level) take(n int) int {
-	flowing := min(n, int(l.flowing))
-	l.flowing -= float64(flowing)
-	back := min(n-flowing, l.back())
-	l.taken[l.index()] += int32(back)
-	l.away += back
-	return flowing + back
+// take removes up to n tokens and returns their number. It takes refill tokens first, since a full bucket discards those that
+// arrive.
+func (s *bucketState) take(n int) int {
+	refill := min(n, int(s.refillTokens))
+	s.refillTokens -= float64(refill)
+	window := min(n-refill, s.windowAvailable())
+	s.usedBySlot[s.slotIndex()] += int32(window)
+	s.used += window
+	return refill + window
 }
 
-// add puts tokens in, as far as they fit.
-func (l *level) add(n int) { l.flowing = math.Min(l.bucket.Depth, l.flowing+float64(n)) }
+// addTokens adds refill tokens as far as they fit.
+func (s *bucketState) addTokens(n int) {
+	s.refillTokens = math.Min(s.bucket.Depth, s.refillTokens+float64(n))
+}
 
-// inflow is how many tokens a second come at most, in the long run.
-func (l *level) inflow() float64 { return l.bucket.Rate + l.bucket.WindowTokens/l.life.Seconds() }
+// maxRate returns the maximum long-term rate of tokens, per second.
+func (s *bucketState) maxRate() float64 {
+	return s.bucket.Rate + s.bucket.WindowTokens/s.window.Seconds()
+}
 
-// until returns the time until the bucket holds a number of tokens, or longest where that is not known.
-func (l *level) until(n int, longest time.Duration) time.Duration {
-	missing := float64(n) - l.flowing - float64(l.back())
+// timeUntil returns the expected time until the bucket holds n tokens; at most longest, which is also the result if no tokens
+// arrive.
+func (s *bucketState) timeUntil(n int, longest time.Duration) time.Duration {
+	missing := float64(n) - s.refillTokens - float64(s.windowAvailable())
 	if missing <= 0 {
 		return 0
 	}
-	rate := l.inflow()
+	rate := s.maxRate()
 	if rate <= 0 {
 		return longest
 	}
--- a/paquota/pool.go
+++ b/paquota/pool.go
@@ -5,137 +5,138 @@
 	"time"
 )
 
-// Pool is what the shares of a limit leave; the limiter keeps it.
+// Pool holds the tokens of a limit that don't belong to shares. The limiter holds it.
 type Pool struct {
-	level level
-	// claims are those of the entry VMs whose last ask got less than its requests needed, in the order of the first.
-	claims []claim
+	state bucketState
+	// reservations holds one for each entry VM whose last call got fewer tokens than its waiting requests needed, in the
+	// order of their first such call.
+	reservations []reservation
 }
 
-// claim is what a pool keeps for an entry VM: its part of what comes in since a time, until it counts no more.
-type claim struct {
-	from         uint64
+// reservation reserves for an entry VM its part of the tokens that arrive after since. It expires after until.
+type reservation struct {
+	entryID      uint64
 	since, until time.Duration
-	// asks is how many asks in a row got too little.
-	asks int
+	// shortAsks is the number of consecutive calls that got too few tokens.
+	shortAsks int
 }
 
 const (
-	// claimAsks is how many asks in a row have to get too little before the pool keeps anything. Harm of less: tokens
-	// wait for an entry VM that had one request only, which was refused.
-	claimAsks = 3
-	// claimGrace is how long after the time to ask again an entry VM may ask for what the pool keeps for it. Harm of
-	// more: tokens wait for one whose callers have gone.
-	claimGrace = 500 * time.Millisecond
-	// refillLeast is the least time that entry VMs are told to wait for an empty pool to fill.
-	refillLeast = 250 * time.Millisecond
+	// minShortAsks is the number of consecutive calls with too few tokens before the pool reserves any. With a lower number,
+	// tokens would be reserved for an entry VM that had only one request, which was refused.
+	minShortAsks = 3
+	// reservationGrace is how long a reservation lasts after the time at which the entry VM was told to call again. With a
+	// longer one, tokens would be reserved for an entry VM whose callers have gone.
+	reservationGrace = 500 * time.Millisecond
+	// minRefillTime is a lower bound of the refill time that entry VMs are told to wait for.
+	minRefillTime = 250 * time.Millisecond
 )
 
-// NewPool returns a Pool of which all was taken at a moment.
+// NewPool returns a Pool of which all tokens were used at time from.
 func NewPool(b Bucket, t Tolerance, from time.Duration) *Pool {
-	return &Pool{level: newLevel(b, 0, t.Window+MaxCallTime, from)}
+	return &Pool{state: newBucketState(b, 0, t.Window+MaxCallTime, from)}
 }
 
-// Drain empties the pool and returns what one that takes its place may Put. Tokens that come back a time after they were
-// taken are not among them: in the other pool all of them are taken at its start.
+// Drain removes all refill tokens and returns their number, for a pool that replaces this one to Add. Window tokens aren't
+// included: the other pool starts with all of them used.
 func (p *Pool) Drain(now time.Duration) int {
-	p.level.fill(now)
-	left := int(p.level.flowing)
-	p.level.flowing = 0
+	p.state.advance(now)
+	left := int(p.state.refillTokens)
+	p.state.refillTokens = 0
 	return left
 }
 
-// Add adds what a pool left that this one takes the place of, as far as it fits.
-func (p *Pool) Add(left int) { p.level.add(left) }
+// Add adds the tokens that Drain returned for the replaced pool, as far as they fit.
+func (p *Pool) Add(n int) { p.state.addTokens(n) }
 
-// SetBucket sets the bucket; what is in it stays, as far as it fits.
-func (p *Pool) SetBucket(b Bucket, now time.Duration) { p.level.set(b, now) }
+// SetBucket changes the size of the bucket. It keeps the tokens in it as far as they fit.
+func (p *Pool) SetBucket(b Bucket, now time.Duration) { p.state.setBucket(b, now) }
 
-// Take returns how many tokens an entry VM gets, and when there are more where it wanted more for requests that wait,
-// which is 0 where it did not.
+// Take grants tokens to an entry VM. If they are fewer than its waiting requests need, next is the time after which to call
+// again; otherwise it is 0.
 //
-// Load: a workspace close to its limit. Harm prevented: entry VMs that fill their own buckets leave nothing for requests
-// that wait elsewhere, so that only the upper half of the pool serves to fill them.
-func (p *Pool) Take(w Demand, now time.Duration) (granted int, next time.Duration) {
-	p.level.fill(now)
-	due, kept := p.due(w.EntryID, now)
-	granted = p.level.take(max(0, min(w.Waiting, due)))
-	if short := w.Waiting - granted; short > 0 {
-		next = max(time.Millisecond, min(p.level.until(short, comeBackMost), p.refill()))
-		p.claim(w.EntryID, granted, next, now)
+// Only the upper half of the pool is used to fill the buckets of entry VMs. Otherwise, close to the limit, this would leave
+// no tokens for requests that wait at other entry VMs.
+func (p *Pool) Take(d Demand, now time.Duration) (granted int, next time.Duration) {
+	p.state.advance(now)
+	entitled, reserved := p.entitlement(d.EntryID, now)
+	granted = p.state.take(max(0, min(d.Waiting, entitled)))
+	if short := d.Waiting - granted; short > 0 {
+		next = max(time.Millisecond, min(p.state.timeUntil(short, maxRetryAfter), p.refillTime()))
+		p.reserve(d.EntryID, granted, next, now)
 		return granted, next
 	}
-	p.claims = slices.DeleteFunc(p.claims, func(c claim) bool { return c.from == w.EntryID })
-	half := int(p.level.bucket.Depth+p.level.bucket.WindowTokens) / 2
-	granted += p.level.take(max(0, min(w.Spare, p.level.tokens()-max(half, kept))))
+	p.reservations = slices.DeleteFunc(p.reservations, func(r reservation) bool { return r.entryID == d.EntryID })
+	half := int(p.state.bucket.Depth+p.state.bucket.WindowTokens) / 2
+	granted += p.state.take(max(0, min(d.Spare, p.state.available()-max(half, reserved))))
 	return granted, 0
 }
 
-// due returns how many tokens an entry VM may get for requests that wait, and how many are kept for others.
+// entitlement returns how many tokens an entry VM may get for waiting requests, and how many are reserved for others.
 //
-// Load: a workspace beyond its limit at many entry VMs, each of which asks again when it was told to. Harm prevented:
-// the tokens go to whoever asks first after they came, in the same order each time, and the callers of the others are
-// refused for as long as the load lasts.
-func (p *Pool) due(from uint64, now time.Duration) (due, kept int) {
-	p.claims = slices.DeleteFunc(p.claims, func(c claim) bool { return now > c.until })
+// When a workspace exceeds its limit at many entry VMs, each calls again at the time it was told. Without reservations the
+// tokens would go to whichever calls first after they arrive, in the same order each time, and the callers of the others
+// would be refused for as long as the load lasts.
+func (p *Pool) entitlement(entryID uint64, now time.Duration) (entitled, reserved int) {
+	p.reservations = slices.DeleteFunc(p.reservations, func(r reservation) bool { return now > r.until })
 	var own, others, largest float64
-	part := p.part()
-	for _, c := range p.claims {
-		n := part * min(comeBackMost, now-c.since).Seconds()
+	rate := p.reservedRate()
+	for _, r := range p.reservations {
+		n := rate * min(maxRetryAfter, now-r.since).Seconds()
 		switch {
-		case c.asks < claimAsks:
-		case c.from == from:
+		case r.shortAsks < minShortAsks:
+		case r.entryID == entryID:
 			own = n
 		default:
 			others += n
 			largest = max(largest, n)
 		}
 	}
-	tokens := p.level.tokens()
+	tokens := p.state.available()
 	if own > 0 {
-		due = int(float64(tokens) * own / (own + others))
+		entitled = int(float64(tokens) * own / (own + others))
 	}
 	if own >= largest {
-		due = max(due, min(1, tokens))
+		entitled = max(entitled, min(1, tokens))
 	}
-	return max(due, tokens-int(others)), int(others)
+	return max(entitled, tokens-int(others)), int(others)
 }
 
-// claim notes what an entry VM was granted that wanted more, and when it asks again.
-func (p *Pool) claim(from uint64, granted int, next, now time.Duration) {
-	if from == 0 {
+// reserve adds or updates the reservation of an entry VM that got fewer tokens than it needs and calls again after next.
+func (p *Pool) reserve(entryID uint64, granted int, next, now time.Duration) {
+	if entryID == 0 {
 		return
 	}
-	i := slices.IndexFunc(p.claims, func(c claim) bool { return c.from == from })
+	i := slices.IndexFunc(p.reservations, func(r reservation) bool { return r.entryID == entryID })
 	if i < 0 {
-		i = len(p.claims)
-		p.claims = append(p.claims, claim{from: from, since: now})
+		i = len(p.reservations)
+		p.reservations = append(p.reservations, reservation{entryID: entryID, since: now})
 	}
-	c := &p.claims[i]
-	if part := p.part(); part > 0 {
-		used := time.Duration(float64(granted) / part * float64(time.Second))
-		c.since = min(now, max(c.since, now-comeBackMost)+used)
+	r := &p.reservations[i]
+	if rate := p.reservedRate(); rate > 0 {
+		used := time.Duration(float64(granted) / rate * float64(time.Second))
+		r.since = min(now, max(r.since, now-maxRetryAfter)+used)
 	}
-	c.until = now + next + claimGrace
-	c.asks++
+	r.until = now + next + reservationGrace
+	r.shortAsks++
 }
 
-// part is how many tokens a second come in for each claim.
-func (p *Pool) part() float64 {
+// reservedRate returns the rate of tokens for each active reservation, per second.
+func (p *Pool) reservedRate() float64 {
 	n := 0
-	for _, c := range p.claims {
-		if c.asks >= claimAsks {
+	for _, r := range p.reservations {
+		if r.shortAsks >= minShortAsks {
 			n++
 		}
 	}
-	return p.level.inflow() / float64(max(1, n))
+	return p.state.maxRate() / float64(max(1, n))
 }
 
-// refill is the time in which the empty pool fills: what comes in later would be lost.
-func (p *Pool) refill() time.Duration {
-	b := p.level.bucket
+// refillTime returns the time in which the empty pool fills. Tokens that arrive later would be lost.
+func (p *Pool) refillTime() time.Duration {
+	b := p.state.bucket
 	if b.Rate <= 0 {
-		return comeBackMost
+		return maxRetryAfter
 	}
-	return max(refillLeast, min(comeBackMost, time.Duration(b.Depth/b.Rate*float64(time.Second))))
+	return max(minRefillTime, min(maxRetryAfter, time.Duration(b.Depth/b.Rate*float64(time.Second))))
 }
--- a/paquota/quota_test.go
+++ b/paquota/quota_test.go
@@ -303,7 +303,7 @@
 			d := Divide(l, terms, n)
 			sum := float64(max(1, n))*(d.RestartTokens+d.Share.Depth+d.Share.WindowTokens+d.Share.Rate*terms.Window.Seconds()) +
 				d.Pool.Depth + d.Pool.WindowTokens + d.Pool.Rate*(terms.Window+MaxCallTime).Seconds()
-			if allowed := terms.Allowance(l); sum > allowed || sum < 0.9*used*allowed || d.Pool.Depth < 0 || d.Pool.Rate < 0 {
+			if allowed := terms.Allowance(l); sum > allowed || sum < 0.9*allocatedFraction*allowed || d.Pool.Depth < 0 || d.Pool.Rate < 0 {
 				t.Errorf("%v over %d entry VMs: %+v sums to %.1f of %.1f", l, n, d, sum, allowed)
 			}
 		}
--- a/paquota/share.go
+++ b/paquota/share.go
@@ -6,136 +6,137 @@
 )
 
 const (
-	// comeBackLeast and comeBackMost bound the time after which a request that was refused for a limit may come back.
-	comeBackLeast = 100 * time.Millisecond
-	comeBackMost  = 2 * time.Second
-	// dryLeast is the least time between two calls for a workspace whose pool had too little.
-	dryLeast = 30 * time.Millisecond
-	// spareAgain is the time between two calls for requests to come where the first brought nothing; it doubles with
-	// each, at the most vainMost times.
-	spareAgain = 250 * time.Millisecond
-	vainMost   = 4
-	// wantedMost bounds what one entry VM asks the limiter for at once.
-	wantedMost = 4096
+	// minRetryAfter and maxRetryAfter bound the time after which a caller may retry a rate-limited request.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// minEmptyTime is the minimum time between two calls for a workspace whose pool had too few tokens.
+	minEmptyTime = 30 * time.Millisecond
+	// spareBackoff is the time until the next call for spare tokens after one that got none. It doubles with each such call,
+	// at most maxSpareDoublings times.
+	spareBackoff      = 250 * time.Millisecond
+	maxSpareDoublings = 4
+	// maxDemand is the maximum number of tokens for waiting requests in one call to the limiter.
+	maxDemand = 4096
 )
 
-// Share is the part of a workspace's limit that an entry VM has.
+// Share is an entry VM's part of the rate limit of a workspace.
 //
-// Times are since any fixed moment, on a clock that counts the time of a suspended machine too: what would
-// have come in meanwhile was not used by anyone else.
+// Times are since any fixed moment, on a clock that goes on while the VM is suspended: no other entry VM uses the tokens that
+// arrive in that time.
 type Share struct {
-	level level
-	// waiting is how many requests wait for the limiter's answer.
+	state bucketState
+	// waiting is the number of requests that wait for a reply from the limiter.
 	waiting int
-	// spareAt is when to ask for requests to come again, and vain how often that brought nothing in a row.
-	spareAt time.Duration
-	vain    int
-	// dryUntil is until when the limiter has nothing to give.
-	dryUntil time.Duration
+	// nextSpareAt is the time of the next call for spare tokens. emptyAnswers counts consecutive calls that got none.
+	nextSpareAt  time.Duration
+	emptyAnswers int
+	// poolEmptyUntil is the time until which the limiter has no tokens to grant.
+	poolEmptyUntil time.Duration
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Admit lets the request run.
+	// Admit lets the request through.
 	Admit Verdict = iota
-	// AskLimiter lets it wait for the limiter's answer.
+	// AskLimiter lets the request wait for a reply from the limiter.
 	AskLimiter
-	// Refuse refuses it.
+	// Refuse rejects the request as over the limit.
 	Refuse
 )
 
-// NewShare returns a Share of which all but a number of tokens was taken at a moment.
+// NewShare returns a Share with some refill tokens, of which all window tokens were used at time from.
 func NewShare(b Bucket, tokens float64, t Tolerance, from time.Duration) *Share {
-	return &Share{level: newLevel(b, min(tokens, b.Depth), t.Window, from)}
+	return &Share{state: newBucketState(b, min(tokens, b.Depth), t.Window, from)}
 }
 
-// SetBucket sets the bucket; what is in it stays, as far as it fits.
-func (s *Share) SetBucket(b Bucket, now time.Duration) { s.level.set(b, now) }
+// SetBucket changes the size of the bucket. It keeps the tokens in it as far as they fit.
+func (s *Share) SetBucket(b Bucket, now time.Duration) { s.state.setBucket(b, now) }
 
-// Decide decides on a request. A request that waits counts until Granted or Leave.
+// Decide decides on a request. reachable tells whether the limiter can be called. A request that waits counts as waiting until
+// ApplyGrant or CancelWait.
 //
-// Load: a workspace that sends many times its limit. Harm prevented: its excess waits and asks the limiter, and costs
-// others their time; once the limiter said that it has nothing, all that is over the share is refused at once.
+// Once the limiter replied that the pool is empty, all requests over the share are refused at once. Otherwise the excess of a
+// workspace that sends many times its limit would wait and call the limiter, and delay the requests of others.
 func (s *Share) Decide(now time.Duration, reachable bool) Verdict {
-	s.level.fill(now)
+	s.state.advance(now)
 	switch {
-	case s.waiting == 0 && s.level.take(1) == 1:
+	case s.waiting == 0 && s.state.take(1) == 1:
 		return Admit
-	case reachable && now >= s.dryUntil:
+	case reachable && now >= s.poolEmptyUntil:
 		s.waiting++
 		return AskLimiter
 	}
 	return Refuse
 }
 
-// CancelWait takes back the wait of a request that waits no more.
+// CancelWait records that a request stopped waiting.
 func (s *Share) CancelWait() { s.waiting = max(0, s.waiting-1) }
 
-// Refund takes back a token whose request did not run.
+// Refund returns the token of a request that did not run.
 func (s *Share) Refund(now time.Duration) {
-	s.level.fill(now)
-	s.level.add(1)
+	s.state.advance(now)
+	s.state.addTokens(1)
 }
 
-// Demand is what an entry VM asks of the pool.
+// Demand is the number of tokens that an entry VM requests from the pool.
 type Demand struct {
-	// Waiting is for requests that wait, Spare for those to come.
+	// Waiting is for waiting requests, Spare for future ones.
 	Waiting, Spare int
-	// EntryID tells entry VMs apart; 0 is one that takes no turns with others.
+	// EntryID identifies the entry VM. With 0, no tokens are reserved for it.
 	EntryID uint64
 }
 
-// Demand returns what to ask the limiter for; nothing while it is known to have none.
+// Demand returns the tokens to request from the limiter; none while its pool is known to be empty.
 //
-// Load: hundreds of entry VMs, and a workspace whose pool is below its half. Harm prevented: each asks for requests to come
-// several times a second and gets nothing, over links that callers need.
+// Calls for spare tokens that get none become rarer. Otherwise, while the pool of a workspace is less than half full, each of
+// hundreds of entry VMs would make several such calls per second, over links that callers need.
 func (s *Share) Demand(now time.Duration) Demand {
-	if now < s.dryUntil {
+	if now < s.poolEmptyUntil {
 		return Demand{}
 	}
-	s.level.fill(now)
-	w := Demand{Waiting: min(s.waiting, wantedMost)}
-	if b := s.level.bucket; now >= s.spareAt && float64(s.level.tokens()) < (b.Depth+b.WindowTokens+1)/2 {
-		w.Spare = int(math.Ceil(b.Depth - s.level.flowing))
+	s.state.advance(now)
+	d := Demand{Waiting: min(s.waiting, maxDemand)}
+	if b := s.state.bucket; now >= s.nextSpareAt && float64(s.state.available()) < (b.Depth+b.WindowTokens+1)/2 {
+		d.Spare = int(math.Ceil(b.Depth - s.state.refillTokens))
 	}
-	if w.Spare > 0 {
-		s.spareAt = now + spareAgain<<min(s.vain, vainMost)
-		s.vain++
+	if d.Spare > 0 {
+		s.nextSpareAt = now + spareBackoff<<min(s.emptyAnswers, maxSpareDoublings)
+		s.emptyAnswers++
 	}
-	return w
+	return d
 }
 
-// ApplyGrant takes the limiter's answer, whose next is 0 where it had all that was asked for, and returns how many of the
-// requests that wait may run, and how many of those behind them must be refused, since the limiter has nothing more for
-// longer than they may wait.
+// ApplyGrant applies a reply of the limiter: n tokens and the time after which to call again, 0 if the reply covers the whole
+// demand. It returns the number of waiting requests that may run, and the number of further ones to refuse because the
+// limiter has no tokens for longer than patience, the time for which they may wait.
 func (s *Share) ApplyGrant(n int, next, patience, now time.Duration) (run, refused int) {
-	s.level.fill(now)
+	s.state.advance(now)
 	run = min(n, s.waiting)
 	if n > run {
-		s.level.add(n - run)
-		s.spareAt, s.vain = now, 0
+		s.state.addTokens(n - run)
+		s.nextSpareAt, s.emptyAnswers = now, 0
 	}
-	run += s.level.take(s.waiting - run)
+	run += s.state.take(s.waiting - run)
 	s.waiting -= run
 	if s.waiting == 0 || next <= 0 {
 		return run, 0
 	}
-	s.dryUntil = now + max(dryLeast, min(next, comeBackMost))
+	s.poolEmptyUntil = now + max(minEmptyTime, min(next, maxRetryAfter))
 	if next > patience {
 		refused, s.waiting = s.waiting, 0
 	}
 	return run, refused
 }
 
-// RetryAfter returns when a refused request fits: when the limiter has more, or the share does by itself.
+// RetryAfter returns the time after which a refused request may succeed, by a token of the pool or of the share itself.
 func (s *Share) RetryAfter(now time.Duration) time.Duration {
-	own := s.level.until(s.waiting+1, comeBackMost)
-	pool := comeBackMost
-	if s.dryUntil > now {
-		pool = s.dryUntil - now
+	own := s.state.timeUntil(s.waiting+1, maxRetryAfter)
+	pool := maxRetryAfter
+	if s.poolEmptyUntil > now {
+		pool = s.poolEmptyUntil - now
 	}
-	return max(comeBackLeast, min(own, pool))
+	return max(minRetryAfter, min(own, pool))
 }
