--- a/pafleet/delta.go
+++ b/pafleet/delta.go
@@ -37,12 +37,13 @@
 	Revision  Revision
 }
 
-// CoversSince reports whether the view knows every removal after a revision, so that Delta can list all changes since. It
-// is true for revision 0, since a neighbour that knows nothing gets the whole view.
+// CoversSince reports whether the view knows the removal of every key that a neighbour complete up to a revision may still
+// hold, so that Delta can list all changes since. It is true for revision 0: a neighbour that knows nothing gets the whole
+// view.
 func (v *View) CoversSince(since Revision) bool { return since == 0 || v.history.completeSince(since) }
 
-// Delta returns what changed after a revision, or nil if nothing did. It returns the whole view if the view does not know
-// every removal since then.
+// Delta returns what changed after a revision, or nil if nothing did. It returns the whole view for revision 0 and where
+// CoversSince is false.
 func (v *View) Delta(since Revision, now time.Time) *Delta {
 	d := &Delta{Revision: v.Revision, Since: since, Whole: since == 0 || !v.CoversSince(since)}
 	if d.Whole {
--- a/pafleet/history.go
+++ b/pafleet/history.go
@@ -60,7 +60,7 @@
 	h.skipped = s
 }
 
-// completeSince reports whether all removals since a revision can be listed for a neighbour that is complete up to it.
+// completeSince reports whether the removals are known of all keys that a neighbour complete up to a revision may still hold.
 func (h *history) completeSince(since Revision) bool {
 	return since >= h.floor && !h.skipped.contains(since)
 }
--- a/pafleet/view.go
+++ b/pafleet/view.go
@@ -32,8 +32,9 @@
 	ConfigRevision Revision
 	Targets        map[string]*TargetState
 	Entries        map[string]Entry
-	Evacuated      map[string]Revision
-	// RestoredAt holds the time at which the evacuation of a zone ended.
+	// Evacuated holds the revisions at which the evacuated zones were evacuated, by zone.
+	Evacuated map[string]Revision
+	// RestoredAt holds the times at which evacuations ended, by zone.
 	RestoredAt map[string]time.Time
 	// Limiter is the entry VM that holds the token pools of the rate limits, as of LimiterRevision; empty if there is none.
 	Limiter         string
--- a/paroute/split_test.go
+++ b/paroute/split_test.go
@@ -12,7 +12,7 @@
 		all[i].Seed = uint64(i) * 0x9e3779b97f4a7c15 >> 32
 	}
 	for _, weight := range []float64{0.1, 0.5, 0.2} {
-		parts := []WeightedService{{Service: "former", Weight: 1 - weight}, {Service: "new", Weight: weight}}
+		parts := []WeightedService{{Service: "old", Weight: 1 - weight}, {Service: "new", Weight: weight}}
 		got := 0
 		for i := range all {
 			for range requests {
