--- a/paquota/quota_test.go
+++ b/paquota/quota_test.go
@@ -285,8 +285,8 @@
 	t.Logf("busiest windows admit %.2f of the allowance on average", ratio)
 }
 
-// Guards against admitting more than the new limit for longer than a window after a fully used limit is lowered: for a while
-// some entry VMs know the new limit and others don't yet.
+// Guards against entry VMs that together admit more than a lowered limit allows, because some know the new limit and others
+// don't yet. The limit must hold once the propagation time and one window have passed.
 func TestALoweredLimitBindsOneWindowLater(t *testing.T) {
 	for seed := range uint64(200) {
 		f := newFleet(seed, 20, Limit{Rate: 100, Burst: 100})
@@ -317,8 +317,8 @@
 	}
 }
 
-// Each caller of a workspace, a dozen in all, uses one of 34 entry VMs for a while. Equal parts of the limit refused them
-// below it.
+// Each of a workspace's dozen callers uses one of 34 entry VMs at a time. With equal parts of the limit, they were refused
+// although the workspace stayed below it.
 func TestAWorkspaceBelowItsLimitIsServed(t *testing.T) {
 	const n, callers = 34, 12
 	refusedFraction := func(equalParts bool, rate float64) float64 {
