--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -25,8 +25,8 @@
 	// Deadline is when its answer is of no more use.
 	Deadline time.Time
 
-	// hash is the key once it is known.
-	hash uint64
+	// cachedKey is the key once it is known.
+	cachedKey uint64
 }
 
 // Choice is a target for a request, or a refusal.
@@ -66,48 +66,48 @@
 // The times to come back where nothing better is known: a new target is known within a heartbeat, and a cold one
 // bears another request within half a second.
 const (
-	comeBackNoTarget = 700 * time.Millisecond
-	comeBackCold     = 400 * time.Millisecond
-	comeBackFull     = 300 * time.Millisecond
+	retryAfterNoTarget = 700 * time.Millisecond
+	retryAfterCold     = 400 * time.Millisecond
+	retryAfterFull     = 300 * time.Millisecond
 )
 
 // PickService counts a request of the route and returns the service that it goes to.
-func (s *Balancer) PickService(r *paroute.Route, now time.Time) string {
-	p := s.splits[r.Name]
+func (b *Balancer) PickService(r *paroute.Route, now time.Time) string {
+	p := b.splits[r.Name]
 	if p == nil {
-		p = &paroute.Splitter{Seed: hashOf(s.Config.Name, r.Name)}
-		s.splits[r.Name] = p
+		p = &paroute.Splitter{Seed: hashPair(b.Config.Name, r.Name)}
+		b.splits[r.Name] = p
 	}
 	name := p.Next(r.Parts)
-	if g := s.services[name]; g != nil {
-		s.countFirst(g, now)
+	if g := b.services[name]; g != nil {
+		b.countRequest(g, now)
 	}
 	return name
 }
 
 // Choose returns where the request goes. Follow it with Start if it is sent.
-func (s *Balancer) Choose(q Request, now time.Time) Choice {
-	g := s.services[q.Service]
+func (b *Balancer) Choose(q Request, now time.Time) Choice {
+	g := b.services[q.Service]
 	if g == nil {
-		return Choice{Reason: ReasonNoTarget, RetryAfter: comeBackNoTarget}
+		return Choice{Reason: ReasonNoTarget, RetryAfter: retryAfterNoTarget}
 	}
-	q.hash = q.key()
-	l := s.shortlistOf(g, q, now)
+	q.cachedKey = q.key()
+	l := b.buildShortlist(g, q, now)
 	switch {
-	case l.usable == 0 && l.cold:
-		return Choice{Reason: ReasonCold, RetryAfter: comeBackCold}
+	case l.usable == 0 && l.coldLimited:
+		return Choice{Reason: ReasonCold, RetryAfter: retryAfterCold}
 	case l.usable == 0:
-		return Choice{Reason: ReasonNoTarget, RetryAfter: comeBackNoTarget}
+		return Choice{Reason: ReasonNoTarget, RetryAfter: retryAfterNoTarget}
 	}
-	return s.pick(g, l.all, q, now)
+	return b.pick(g, l.all, q, now)
 }
 
 // key is the hash of the request's object within its service.
 func (q Request) key() uint64 {
-	if q.hash != 0 {
-		return q.hash
+	if q.cachedKey != 0 {
+		return q.cachedKey
 	}
-	return hashOf(q.Service, q.Object)
+	return hashPair(q.Service, q.Object)
 }
 
 // allows says whether the request may be handled in a region.
@@ -115,24 +115,24 @@
 	return paroute.Allows(q.Route.AllowedRegions, region) && paroute.Allows(q.Regions, region)
 }
 
-// bound says that the request's object has homes.
-func (q Request) bound() bool { return q.Route.Affinity && q.Object != "" }
+// hasAffinity says that the request's object has homes.
+func (q Request) hasAffinity() bool { return q.Route.Affinity && q.Object != "" }
 
-// reachable says that the target is not left alone after failures or silence.
-func (s *Balancer) reachable(t *target, now time.Time) bool {
-	return !now.Before(t.downUntil) && (s.Config.Off.SilentTargets || !t.silent(now) || !now.Before(t.tryAt))
+// available says that the target is not left alone after failures or silence.
+func (b *Balancer) available(t *target, now time.Time) bool {
+	return !now.Before(t.backoffUntil) && (b.Config.Off.SilentTargets || !t.unresponsive(now) || !now.Before(t.nextTryAt))
 }
 
-// hashOf is the hash of two names.
-func hashOf(one, other string) uint64 {
+// hashPair is the hash of two names.
+func hashPair(first, second string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(one)
+	_, _ = d.WriteString(first)
 	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(other)
+	_, _ = d.WriteString(second)
 	return d.Sum64()
 }
 
-func sortTargets(all []*target) {
+func sortByID(all []*target) {
 	slices.SortFunc(all, func(a, b *target) int { return cmp.Compare(a.member.ID, b.member.ID) })
 }
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -62,7 +62,7 @@
 	if !s.targets[id].isCold(begin.Add(time.Second)) {
 		t.Error("it counts as warm")
 	}
-	if !begin.Before(s.targets[id].downUntil) {
+	if !begin.Before(s.targets[id].backoffUntil) {
 		t.Error("it is tried again at once")
 	}
 }
@@ -78,7 +78,7 @@
 		now = now.Add(took)
 		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: took, Warm: c.Warm}, now)
 	}
-	if cold, warm := s.expected(q, false), s.expected(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
+	if cold, warm := s.expectedRun(q, false), s.expectedRun(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
 		t.Errorf("a cold run is expected to take %s and a warm one %s", cold, warm)
 	}
 }
--- a/pasteer/shift_test.go
+++ b/pasteer/shift_test.go
@@ -17,8 +17,8 @@
 	s.Config.MaxShift = 0.15
 	now := begin.Add(time.Second)
 	for range 100 {
-		s.shifts.first[s.shifts.slot(now, shiftWindow)]++
-		s.shifts.further[s.shifts.slot(now, shiftWindow)]++
+		s.shifts.requests[s.shifts.bucketAt(now, shiftWindow)]++
+		s.shifts.events[s.shifts.bucketAt(now, shiftWindow)]++
 	}
 	if s.mayShift(now) {
 		t.Fatal("the entry VM may still let requests leave its region")
@@ -47,14 +47,14 @@
 	notes, _ := s.WarmObjects(2*moved, begin.Add(time.Second))
 	found := 0
 	for _, n := range notes {
-		if s.moved(s.targets[n.Target], hashOf("s", n.Object)) == 1 {
+		if s.displaced(s.targets[n.Target], hashPair("s", n.Object)) == 1 {
 			found++
 		}
 	}
 	all, _ := s.WarmObjects(100, begin.Add(time.Second))
 	want := 0
 	for _, n := range all {
-		want += s.moved(s.targets[n.Target], hashOf("s", n.Object))
+		want += s.displaced(s.targets[n.Target], hashPair("s", n.Object))
 	}
 	if found != min(want, 2*moved) || found < moved {
 		t.Errorf("%d of %d objects that moved are kept", found, want)
--- a/pasteer/shortlist.go
+++ b/pasteer/shortlist.go
@@ -19,65 +19,67 @@
 	// all are those that may handle the request, best first.
 	all []candidate
 	// usable is how many of them may get it now; cold says that there are cold ones that may not take more now.
-	usable int
-	cold   bool
+	usable      int
+	coldLimited bool
 }
 
-// sampleMost is how many targets of one distance are weighed for a request without homes.
-const sampleMost = 16
+// maxPerDistance is how many targets of one distance are weighed for a request without homes.
+const maxPerDistance = 16
 
-// shortlistOf returns the targets that the request may go to: for an object the first of its ranking and those
+// buildShortlist returns the targets that the request may go to: for an object the first of its ranking and those
 // where it is warm, for a request without homes some of each distance. Where too few of them may get it, all
 // targets of the service are taken.
-func (s *Balancer) shortlistOf(g *service, q Request, now time.Time) shortlist {
-	l := shortlist{all: s.scratch[:0]}
-	if q.bound() {
-		for _, r := range g.ranks.of(q.key(), g.targets) {
-			s.consider(&l, r, q, now)
+func (b *Balancer) buildShortlist(g *service, q Request, now time.Time) shortlist {
+	l := shortlist{all: b.scratch[:0]}
+	if q.hasAffinity() {
+		for _, r := range g.rankings.get(q.key(), g.targets) {
+			b.addCandidate(&l, r, q, now)
 		}
-		for _, t := range s.warmAt[q.key()] {
+		for _, t := range b.warmTargets[q.key()] {
 			if !l.has(t) {
-				s.consider(&l, ranked{t, rendezvous(q.key(), t.hash)}, q, now)
+				b.addCandidate(&l, ranked{t, rendezvousWeight(q.key(), t.hash)}, q, now)
 			}
 		}
 	} else {
-		g.turn++
-		for _, all := range g.near {
-			for i := range min(sampleMost, len(all)) {
-				s.consider(&l, ranked{target: all[g.place(i, len(all))]}, q, now)
+		g.rotation++
+		for _, all := range g.byDistance {
+			for i := range min(maxPerDistance, len(all)) {
+				b.addCandidate(&l, ranked{target: all[g.rotatedIndex(i, len(all))]}, q, now)
 			}
 		}
 	}
-	if l.usable < min(homesMost, len(g.targets)) {
-		return s.wholeList(g, q, now)
+	if l.usable < min(maxHomes, len(g.targets)) {
+		return b.fullList(g, q, now)
 	}
-	return s.sorted(l, q)
+	return b.sorted(l, q)
 }
 
-// wholeList returns all targets that the request may go to.
-func (s *Balancer) wholeList(g *service, q Request, now time.Time) shortlist {
-	l := shortlist{all: s.scratch[:0]}
+// fullList returns all targets that the request may go to.
+func (b *Balancer) fullList(g *service, q Request, now time.Time) shortlist {
+	l := shortlist{all: b.scratch[:0]}
 	for i := range g.targets {
-		t := g.targets[g.place(i, len(g.targets))]
-		s.consider(&l, ranked{t, rendezvous(q.key(), t.hash)}, q, now)
+		t := g.targets[g.rotatedIndex(i, len(g.targets))]
+		b.addCandidate(&l, ranked{t, rendezvousWeight(q.key(), t.hash)}, q, now)
 	}
-	return s.sorted(l, q)
+	return b.sorted(l, q)
 }
 
-// place returns where the i-th of a number of targets stands in their list. The list begins one later with each
+// rotatedIndex returns where the i-th of a number of targets stands in their list. The list begins one later with each
 // request without an object, and elsewhere at each entry VM.
 //
 // Load: less work than slots. Harm prevented: of targets that are alike the first in the list gets all requests of all
 // entry VMs, and the others are cold when they are needed.
-func (g *service) place(i, targets int) int { return int((g.turn + uint64(i)) % uint64(targets)) }
+func (g *service) rotatedIndex(i, targets int) int {
+	return int((g.rotation + uint64(i)) % uint64(targets))
+}
 
 // sorted puts the best targets first: those of an object by its ranking, others by their distance.
-func (s *Balancer) sorted(l shortlist, q Request) shortlist {
-	s.scratch = l.all
-	if q.bound() {
+func (b *Balancer) sorted(l shortlist, q Request) shortlist {
+	b.scratch = l.all
+	if q.hasAffinity() {
 		slices.SortFunc(l.all, byRank)
 	} else {
-		slices.SortStableFunc(l.all, func(a, b candidate) int { return cmp.Compare(a.target.near, b.target.near) })
+		slices.SortStableFunc(l.all, func(a, b candidate) int { return cmp.Compare(a.target.distance, b.target.distance) })
 	}
 	return l
 }
@@ -88,15 +90,15 @@
 
 func byRank(a, b candidate) int { return cmp.Compare(b.hash, a.hash) }
 
-// consider adds a target to the list if it may handle the request.
-func (s *Balancer) consider(l *shortlist, r ranked, q Request, now time.Time) {
+// addCandidate adds a target to the list if it may handle the request.
+func (b *Balancer) addCandidate(l *shortlist, r ranked, q Request, now time.Time) {
 	t := r.target
-	if !mayHandle(t, q) {
+	if !eligible(t, q) {
 		return
 	}
-	c := candidate{ranked: r, usable: s.reachable(t, now)}
-	if c.usable && t.isCold(now) && !s.takesCold(t, now) {
-		c.usable, l.cold = false, true
+	c := candidate{ranked: r, usable: b.available(t, now)}
+	if c.usable && t.isCold(now) && !b.mayTakeCold(t, now) {
+		c.usable, l.coldLimited = false, true
 	}
 	if c.usable {
 		l.usable++
@@ -104,29 +106,29 @@
 	l.all = append(l.all, c)
 }
 
-// mayHandle says whether the target may get the request at all.
-func mayHandle(t *target, q Request) bool {
-	return !t.closed && q.allows(t.region) && !slices.Contains(q.Tried, t.member.ID)
+// eligible says whether the target may get the request at all.
+func eligible(t *target, q Request) bool {
+	return !t.excluded && q.allows(t.region) && !slices.Contains(q.Tried, t.member.ID)
 }
 
-// takesCold says whether this entry VM may send a request to the cold target now.
-func (s *Balancer) takesCold(t *target, now time.Time) bool {
-	return s.Config.Off.ColdShares || !now.Before(t.cold.full) && s.coldRate(t, now) > 0
+// mayTakeCold says whether this entry VM may send a request to the cold target now.
+func (b *Balancer) mayTakeCold(t *target, now time.Time) bool {
+	return b.Config.Off.ColdShares || !now.Before(t.coldBucket.refilledAt) && b.coldRate(t, now) > 0
 }
 
-// mayTake says whether the target may get the request now.
-func (s *Balancer) mayTake(t *target, q Request, now time.Time) bool {
-	return mayHandle(t, q) && s.reachable(t, now) && (!t.isCold(now) || s.takesCold(t, now))
+// usableNow says whether the target may get the request now.
+func (b *Balancer) usableNow(t *target, q Request, now time.Time) bool {
+	return eligible(t, q) && b.available(t, now) && (!t.isCold(now) || b.mayTakeCold(t, now))
 }
 
-// firstIn returns the first target of the ranking in a region that may get the request now, or nil.
-func (s *Balancer) firstIn(g *service, region string, q Request, now time.Time) *target {
-	var first *target
-	var most uint64
-	for _, t := range g.regions[region] {
-		if h := rendezvous(q.key(), t.hash); (first == nil || h > most) && s.mayTake(t, q, now) {
-			first, most = t, h
+// bestInRegion returns the first target of the ranking in a region that may get the request now, or nil.
+func (b *Balancer) bestInRegion(g *service, region string, q Request, now time.Time) *target {
+	var best *target
+	var bestWeight uint64
+	for _, t := range g.byRegion[region] {
+		if h := rendezvousWeight(q.key(), t.hash); (best == nil || h > bestWeight) && b.usableNow(t, q, now) {
+			best, bestWeight = t, h
 		}
 	}
-	return first
+	return best
 }
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -23,7 +23,7 @@
 			q := request(fmt.Sprint("o", rapid.IntRange(0, 20).Draw(t, "object")), now)
 			g := s.services["s"]
 			var whole Choice
-			if l := s.wholeList(g, q, now); l.usable > 0 {
+			if l := s.fullList(g, q, now); l.usable > 0 {
 				whole = s.pick(g, l.all, q, now)
 			}
 			got := s.Choose(q, now)
@@ -75,7 +75,7 @@
 	for _, n := range []int{12, 96, 576, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, objects := large(n)
-			objects = objects[:min(len(objects), ranksMost)]
+			objects = objects[:min(len(objects), maxRankings)]
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
--- a/pasteer/steer.go
+++ b/pasteer/steer.go
@@ -35,43 +35,43 @@
 	targets  map[string]*target
 	services map[string]*service
 	splits   map[string]*paroute.Splitter
-	work     map[string]*workTime
-	// places and shifts are the regions of objects, and how many requests changed theirs.
-	places places
-	shifts window
+	runTimes map[string]*runTimes
+	// lastTargets and shifts are the regions of objects, and how many requests changed theirs.
+	lastTargets lastTargets
+	shifts      rollingCounter
 	// used are the services that this entry VM has sent requests to.
 	used map[string]bool
-	// warmAt has the targets where an object is taken to be warm, by its key.
-	warmAt map[uint64][]*target
+	// warmTargets has the targets where an object is taken to be warm, by its key.
+	warmTargets map[uint64][]*target
 	// scratch and scratchUsable are kept between decisions, which then allocate nothing.
 	scratch, scratchUsable []candidate
 	// notes is what neighbours are told of warm objects.
 	notes noteLog
 	// startedAt is when the first view came.
 	startedAt time.Time
-	// entries is how many entry VMs share the retry budget, mostPerZone the most in one availability zone.
-	entries, mostPerZone int
+	// entryCount is how many entry VMs share the retry budget, maxEntriesPerZone the most in one availability zone.
+	entryCount, maxEntriesPerZone int
 	// hash is that of the own name, mates are the other entry VMs of the region.
-	hash  uint64
-	mates []mate
-	// feeders has the zones whose cold targets this entry VM sends to.
-	feeders map[string]feeder
+	hash        uint64
+	regionPeers []regionPeer
+	// coldShares has the zones whose cold targets this entry VM sends to.
+	coldShares map[string]coldShare
 }
 
 // service is the targets of one service, in the order of their IDs.
 type service struct {
 	settings paroute.Service
 	targets  []*target
-	budget   window
-	// near and regions are the targets by their distance and region, newcomers those that may never have got a request.
-	near      [nearNone + 1][]*target
-	regions   map[string][]*target
-	newcomers []newcomer
-	ranks     ranks
-	// press is how far targets are behind, by region.
-	press map[string]*press
-	// turn counts the requests without an object, from a number of this entry VM's own.
-	turn uint64
+	budget   rollingCounter
+	// byDistance and regions are the targets by their distance and region, newcomers those that may never have got a request.
+	byDistance [otherRegion + 1][]*target
+	byRegion   map[string][]*target
+	newTargets []newTarget
+	rankings   rankingCache
+	// excess is how far targets are behind, by region.
+	excess map[string]*excessTime
+	// rotation counts the requests without an object, from a number of this entry VM's own.
+	rotation uint64
 }
 
 // target is what is known of one lifetime of a target.
@@ -80,165 +80,165 @@
 	// hash is the ID's.
 	hash   uint64
 	region string
-	// near is 0 in the own availability zone, 1 in the own region, 2 elsewhere.
-	near int
-	// closed says that nothing more may be sent: it drains, or its availability zone is evacuated.
-	closed bool
+	// distance is 0 in the own availability zone, 1 in the own region, 2 elsewhere.
+	distance int
+	// excluded says that nothing more may be sent: it drains, or its availability zone is evacuated.
+	excluded bool
 
 	// joinedAt is when the target joined a service that was in use; zero for one that was there before.
 	joinedAt time.Time
 	// used says that this entry VM or a neighbour sent it a request.
 	used     bool
 	inFlight int
-	// others is the load that requests of other entry VMs put on the target, as of othersAt.
-	others   float64
-	othersAt time.Time
+	// otherLoad is the load that requests of other entry VMs put on the target, as of othersAt.
+	otherLoad   float64
+	otherLoadAt time.Time
 	// fullSince is since when no slot was free, as far as was seen; zero if one is.
 	fullSince time.Time
 	// failures counts failed requests in a row; downUntil is when the next one may be tried.
-	failures  int
-	downUntil time.Time
-	// silentAt is when the target counts as silent unless it answers; zero while nothing waits.
-	silentAt time.Time
-	// tryAt is when a silent target may get the next request.
-	tryAt time.Time
-	// errors is the smoothed share of own requests that the target failed.
-	errors float64
-	// coldUntil is the end of a cold time that this entry VM suspects.
-	coldUntil time.Time
-	cold      bucket
-	warm      warmSet
+	failures     int
+	backoffUntil time.Time
+	// unresponsiveAt is when the target counts as silent unless it answers; zero while nothing waits.
+	unresponsiveAt time.Time
+	// nextTryAt is when a silent target may get the next request.
+	nextTryAt time.Time
+	// errorRate is the smoothed share of own requests that the target failed.
+	errorRate float64
+	// suspectColdUntil is the end of a cold time that this entry VM suspects.
+	suspectColdUntil time.Time
+	coldBucket       bucket
+	warm             warmSet
 }
 
 // New returns a Balancer without targets.
 func New(c Config) *Balancer {
 	return &Balancer{
 		Config: c, hash: xxhash.Sum64String(c.Name), targets: map[string]*target{}, services: map[string]*service{},
-		splits: map[string]*paroute.Splitter{}, work: map[string]*workTime{}, used: map[string]bool{}, warmAt: map[uint64][]*target{}, entries: 1, feeders: map[string]feeder{},
+		splits: map[string]*paroute.Splitter{}, runTimes: map[string]*runTimes{}, used: map[string]bool{}, warmTargets: map[uint64][]*target{}, entryCount: 1, coldShares: map[string]coldShare{},
 	}
 }
 
 // Update takes the view after a change. What is known of a target is kept as long as its lifetime lasts.
-func (s *Balancer) Update(v *pafleet.View, now time.Time) {
+func (b *Balancer) Update(v *pafleet.View, now time.Time) {
 	if v.Config == nil {
 		return
 	}
-	if s.startedAt.IsZero() {
-		s.startedAt = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	s.feed(v)
-	s.entries = max(1, len(v.Entries))
-	s.updateServices(v.Config)
-	for id, t := range s.targets {
+	b.updateColdShares(v)
+	b.entryCount = max(1, len(v.Entries))
+	b.updateServices(v.Config)
+	for id, t := range b.targets {
 		if v.Targets[id] == nil {
-			s.remove(t)
+			b.removeTarget(t)
 		}
 	}
 	for id, m := range v.Targets {
-		s.updateTarget(id, m, v, now)
+		b.updateTarget(id, m, v, now)
 	}
-	for _, g := range s.services {
-		sortTargets(g.targets)
-		s.sortOut(g)
+	for _, g := range b.services {
+		sortByID(g.targets)
+		b.groupTargets(g)
 	}
 }
 
 // updateServices takes the services of the configuration, without their targets.
-func (s *Balancer) updateServices(c *paroute.Config) {
-	for name := range s.services {
+func (b *Balancer) updateServices(c *paroute.Config) {
+	for name := range b.services {
 		if _, ok := c.Services[name]; !ok {
-			delete(s.services, name)
+			delete(b.services, name)
 		}
 	}
 	for name, settings := range c.Services {
-		g := s.services[name]
+		g := b.services[name]
 		if g == nil {
-			g = &service{press: map[string]*press{}, turn: s.hash % math.MaxUint32}
-			s.services[name] = g
+			g = &service{excess: map[string]*excessTime{}, rotation: b.hash % math.MaxUint32}
+			b.services[name] = g
 		}
 		g.settings, g.targets = settings, g.targets[:0]
 	}
 }
 
-// sortOut sorts the targets by distance and region.
-func (s *Balancer) sortOut(g *service) {
-	g.near, g.regions, g.newcomers = [nearNone + 1][]*target{}, map[string][]*target{}, nil
+// groupTargets sorts the targets by distance and region.
+func (b *Balancer) groupTargets(g *service) {
+	g.byDistance, g.byRegion, g.newTargets = [otherRegion + 1][]*target{}, map[string][]*target{}, nil
 	for _, t := range g.targets {
-		g.near[t.near] = append(g.near[t.near], t)
-		g.regions[t.region] = append(g.regions[t.region], t)
-		if !t.joinedAt.IsZero() && !t.used && t.near < nearNone {
-			g.newcomers = append(g.newcomers, s.newcomerOf(t))
+		g.byDistance[t.distance] = append(g.byDistance[t.distance], t)
+		g.byRegion[t.region] = append(g.byRegion[t.region], t)
+		if !t.joinedAt.IsZero() && !t.used && t.distance < otherRegion {
+			g.newTargets = append(g.newTargets, b.newTargetOf(t))
 		}
 	}
 }
 
-// remove drops a lifetime of a target.
-func (s *Balancer) remove(t *target) {
-	s.forget(t)
-	if g := s.services[t.member.Service]; g != nil {
-		g.ranks.leave(t)
+// removeTarget drops a lifetime of a target.
+func (b *Balancer) removeTarget(t *target) {
+	b.clearWarm(t)
+	if g := b.services[t.member.Service]; g != nil {
+		g.rankings.remove(t)
 	}
-	delete(s.targets, t.member.ID)
+	delete(b.targets, t.member.ID)
 }
 
-func (s *Balancer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
-	t := s.targets[id]
+func (b *Balancer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
+	t := b.targets[id]
 	if t == nil || t.member.Born != m.Born || t.member.Address != m.Address || t.member.Service != m.Service || t.member.Zone != m.Zone {
 		if t != nil {
-			s.remove(t)
+			b.removeTarget(t)
 		}
-		t = s.add(id, m, now)
+		t = b.addTarget(id, m, now)
 	}
 	wasCold := t.isCold(now)
 	t.member = *m
-	t.near = s.distance(m.Zone, t.region)
+	t.distance = b.distance(m.Zone, t.region)
 	_, evacuated := v.Evacuated[m.Zone]
-	t.closed = m.Draining || evacuated
-	if at, ok := v.Restored[m.Zone]; ok && now.Sub(at) < evacuationCold {
+	t.excluded = m.Draining || evacuated
+	if at, ok := v.Restored[m.Zone]; ok && now.Sub(at) < coldAfterEvacuation {
 		// Targets may have turned cold while their availability zone was evacuated. Their own word
 		// of it takes a heartbeat and a reading to arrive; a rush before that crashes them.
-		t.coldUntil = later(t.coldUntil, at.Add(evacuationCold))
+		t.suspectColdUntil = later(t.suspectColdUntil, at.Add(coldAfterEvacuation))
 	}
-	if g := s.services[m.Service]; g != nil {
+	if g := b.services[m.Service]; g != nil {
 		g.targets = append(g.targets, t)
 		if !wasCold && t.isCold(now) {
-			s.beginCold(t, now)
+			b.delayFirstCold(t, now)
 		}
 	}
 }
 
-// add begins with a lifetime of a target.
-func (s *Balancer) add(id string, m *pafleet.Member, now time.Time) *target {
-	t := &target{hash: xxhash.Sum64String(id), region: s.Config.Regions[m.Zone]}
-	s.targets[id] = t
-	if s.used[m.Service] {
+// addTarget begins with a lifetime of a target.
+func (b *Balancer) addTarget(id string, m *pafleet.Member, now time.Time) *target {
+	t := &target{hash: xxhash.Sum64String(id), region: b.Config.Regions[m.Zone]}
+	b.targets[id] = t
+	if b.used[m.Service] {
 		t.joinedAt = now
 	}
-	if g := s.services[m.Service]; g != nil {
-		g.ranks.join(t)
+	if g := b.services[m.Service]; g != nil {
+		g.rankings.add(t)
 	}
 	return t
 }
 
-// evacuationCold is how long targets count as cold after their evacuation ended: a heartbeat of
+// coldAfterEvacuation is how long targets count as cold after their evacuation ended: a heartbeat of
 // 1.5 s and a reading of the store of 1 s.
-const evacuationCold = 2500 * time.Millisecond
+const coldAfterEvacuation = 2500 * time.Millisecond
 
-func (s *Balancer) distance(zone, region string) int {
+func (b *Balancer) distance(zone, region string) int {
 	switch {
-	case zone == s.Config.Zone:
-		return nearZone
-	case region == s.Config.Region:
-		return nearRegion
+	case zone == b.Config.Zone:
+		return sameZone
+	case region == b.Config.Region:
+		return sameRegion
 	}
-	return nearNone
+	return otherRegion
 }
 
 // The distances of a target.
 const (
-	nearZone = iota
-	nearRegion
-	nearNone
+	sameZone = iota
+	sameRegion
+	otherRegion
 )
 
 func later(a, b time.Time) time.Time {
--- a/pasteer/steer_test.go
+++ b/pasteer/steer_test.go
@@ -81,27 +81,27 @@
 		warm = "c2-0"
 	}
 	other.Start(Choice{Target: warm}, request("x", begin), begin)
-	notes, last := other.WarmNotes(0, warmNotes, begin)
+	notes, last := other.WarmNotes(0, maxNotes, begin)
 	one.ApplyNotes(notes, begin)
 	q.Tried = []string{home}
 	if c := one.Choose(q, begin); c.Target != warm || !c.Warm {
 		t.Errorf("target %s, want the warm %s", c.Target, warm)
 	}
-	if again, _ := other.WarmNotes(last, warmNotes, begin); len(again) != 0 {
+	if again, _ := other.WarmNotes(last, maxNotes, begin); len(again) != 0 {
 		t.Errorf("%d notes are told twice", len(again))
 	}
 }
 
 func TestNotesThatWereOverwrittenAreNotAskedFor(t *testing.T) {
 	s := newBalancer("a1", fleet(2))
-	for i := range warmNotes + 10 {
-		s.notes.add(datedNote{"t", fmt.Sprint(i), begin})
+	for i := range maxNotes + 10 {
+		s.notes.add(loggedNote{"t", fmt.Sprint(i), begin})
 	}
-	all, last := s.WarmNotes(3, 2*warmNotes, begin)
-	if len(all) != warmNotes || all[len(all)-1].Object != fmt.Sprint(warmNotes+9) || last != warmNotes+10 {
+	all, last := s.WarmNotes(3, 2*maxNotes, begin)
+	if len(all) != maxNotes || all[len(all)-1].Object != fmt.Sprint(maxNotes+9) || last != maxNotes+10 {
 		t.Errorf("%d notes up to %d", len(all), last)
 	}
-	if all, _ := s.WarmNotes(last+500, 2*warmNotes, begin); len(all) != warmNotes {
+	if all, _ := s.WarmNotes(last+500, 2*maxNotes, begin); len(all) != maxNotes {
 		t.Errorf("a neighbour that knew a former lifetime of the process gets %d notes, want all", len(all))
 	}
 }
@@ -198,7 +198,7 @@
 					continue
 				}
 				m := v.Targets[c.Target]
-				if m == nil || m.Draining || s.targets[c.Target].closed || now.Before(s.targets[c.Target].downUntil) {
+				if m == nil || m.Draining || s.targets[c.Target].excluded || now.Before(s.targets[c.Target].backoffUntil) {
 					t.Fatalf("%s may not be used", c.Target)
 				}
 				s.Start(c, request("x", now), now)
