--- a/pasteer/budget.go
+++ b/pasteer/budget.go
@@ -37,8 +37,8 @@
 }
 
 // countRequest counts a request for the service.
-func (b *Balancer) countRequest(g *service, now time.Time) {
-	g.budget.requests[g.budget.bucketAt(now, b.Config.RetryWindow)]++
+func (b *Balancer) countRequest(svc *service, now time.Time) {
+	svc.budget.requests[svc.budget.bucketAt(now, b.Config.RetryWindow)]++
 }
 
 // TakeRetry spends one further attempt of the service's budget and says whether there was one.
@@ -47,15 +47,15 @@
 // ones when there are none to spare. The floor is shared evenly among entry VMs, so that no message
 // is needed to keep their sum within it.
 func (b *Balancer) TakeRetry(service string, now time.Time) bool {
-	g := b.services[service]
-	if g == nil {
+	svc := b.services[service]
+	if svc == nil {
 		return false
 	}
-	requests, retries := g.budget.totals(now, b.Config.RetryWindow)
+	requests, retries := svc.budget.totals(now, b.Config.RetryWindow)
 	limit := budgetShare * (b.Config.RetryRatio*float64(requests) + b.Config.RetryFloor/float64(b.entryCount))
 	if b.Config.Off.SecondSends || float64(retries+1) > limit && !b.Config.Off.RetryBudget {
 		return false
 	}
-	g.budget.events[g.budget.bucketAt(now, b.Config.RetryWindow)]++
+	svc.budget.events[svc.budget.bucketAt(now, b.Config.RetryWindow)]++
 	return true
 }
--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -79,27 +79,27 @@
 		b.splits[r.Name] = p
 	}
 	name := p.Next(r.Parts)
-	if g := b.services[name]; g != nil {
-		b.countRequest(g, now)
+	if svc := b.services[name]; svc != nil {
+		b.countRequest(svc, now)
 	}
 	return name
 }
 
 // Choose returns where the request goes. Follow it with Start if it is sent.
 func (b *Balancer) Choose(q Request, now time.Time) Choice {
-	g := b.services[q.Service]
-	if g == nil {
+	svc := b.services[q.Service]
+	if svc == nil {
 		return Choice{Reason: ReasonNoTarget, RetryAfter: retryAfterNoTarget}
 	}
 	q.cachedKey = q.key()
-	l := b.buildShortlist(g, q, now)
+	l := b.buildShortlist(svc, q, now)
 	switch {
 	case l.usable == 0 && l.coldLimited:
 		return Choice{Reason: ReasonCold, RetryAfter: retryAfterCold}
 	case l.usable == 0:
 		return Choice{Reason: ReasonNoTarget, RetryAfter: retryAfterNoTarget}
 	}
-	return b.pick(g, l.all, q, now)
+	return b.pick(svc, l.all, q, now)
 }
 
 // key is the hash of the request's object within its service.
--- a/pasteer/cold.go
+++ b/pasteer/cold.go
@@ -114,11 +114,11 @@
 // they are, the more each may send, and none needs to ask the others.
 func (b *Balancer) coldRate(t *target, now time.Time) float64 {
 	f, ok := b.coldShareOf(t, now)
-	g := b.services[t.member.Service]
-	if !ok || g == nil {
+	svc := b.services[t.member.Service]
+	if !ok || svc == nil {
 		return 0
 	}
-	return g.settings.ColdRate / float64(f.senders)
+	return svc.settings.ColdRate / float64(f.senders)
 }
 
 // delayFirstCold makes the first request to a target that has just turned cold wait for this entry VM's turn.
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -24,13 +24,13 @@
 	sent := map[string][]time.Time{}
 	for tick := range 500 {
 		now := begin.Add(time.Duration(tick) * 10 * time.Millisecond)
-		for i, s := range all {
-			c := s.Choose(request(fmt.Sprint(tick*7+i), now), now)
+		for i, b := range all {
+			c := b.Choose(request(fmt.Sprint(tick*7+i), now), now)
 			if c.Target == "" {
 				continue
 			}
-			s.Start(c, request("", now), now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
+			b.Start(c, request("", now), now)
+			b.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
 			sent[c.Target] = append(sent[c.Target], now)
 		}
 	}
@@ -55,14 +55,14 @@
 // A target refuses connections because it starts anew under its ID, cold. It must not get its full share
 // at once: a cold target crashes under that.
 func TestATargetThatBrokeCountsAsCold(t *testing.T) {
-	s := newBalancer("a1", fleet(1))
+	b := newBalancer("a1", fleet(1))
 	id := "a1-0"
-	s.Start(Choice{Target: id}, request("", begin), begin)
-	s.Finish(Report{Target: id, Route: "r", Outcome: Refused}, begin)
-	if !s.targets[id].isCold(begin.Add(time.Second)) {
+	b.Start(Choice{Target: id}, request("", begin), begin)
+	b.Finish(Report{Target: id, Route: "r", Outcome: Refused}, begin)
+	if !b.targets[id].isCold(begin.Add(time.Second)) {
 		t.Error("it counts as warm")
 	}
-	if !begin.Before(s.targets[id].backoffUntil) {
+	if !begin.Before(b.targets[id].backoffUntil) {
 		t.Error("it is tried again at once")
 	}
 }
@@ -70,15 +70,15 @@
 // The first run of an object takes three times as long as the next ones. Taken for a warm run, it makes all
 // waits look three times as long, and requests that could be answered in time are refused or run cold elsewhere.
 func TestAFirstRunIsNotLearntAsAWarmOne(t *testing.T) {
-	s := newBalancer("a1", fleet(2))
+	b := newBalancer("a1", fleet(2))
 	q, now := request("x", begin), begin
 	for _, took := range []time.Duration{900 * time.Millisecond, 270 * time.Millisecond} {
-		c := s.Choose(q, now)
-		s.Start(c, q, now)
+		c := b.Choose(q, now)
+		b.Start(c, q, now)
 		now = now.Add(took)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: took, Warm: c.Warm}, now)
+		b.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: took, Warm: c.Warm}, now)
 	}
-	if cold, warm := s.expectedRun(q, false), s.expectedRun(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
+	if cold, warm := b.expectedRun(q, false), b.expectedRun(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
 		t.Errorf("a cold run is expected to take %s and a warm one %s", cold, warm)
 	}
 }
@@ -120,23 +120,23 @@
 	var all []*Balancer
 	for zone, region := range regions {
 		for i := range 4 {
-			s := New(Config{Name: fmt.Sprintf("entry-%s-%d", zone, i), Zone: zone, Region: region, Regions: regions})
+			b := New(Config{Name: fmt.Sprintf("entry-%s-%d", zone, i), Zone: zone, Region: region, Regions: regions})
 			if region != "c" {
-				s.Update(v, begin.Add(-time.Minute))
+				b.Update(v, begin.Add(-time.Minute))
 			}
-			s.Update(v, begin)
-			all = append(all, s)
+			b.Update(v, begin)
+			all = append(all, b)
 		}
 	}
 	sent := map[string]int{}
 	for tick := range 100 {
 		now := begin.Add(time.Duration(tick) * 10 * time.Millisecond)
-		for i, s := range all {
+		for i, b := range all {
 			q := request(fmt.Sprint(tick*31+i), now)
 			q.Route = r
-			c := s.Choose(q, now)
-			s.Start(c, request("", now), now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
+			c := b.Choose(q, now)
+			b.Start(c, request("", now), now)
+			b.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: time.Millisecond}, now)
 			sent[c.Target]++
 		}
 	}
--- a/pasteer/congestion.go
+++ b/pasteer/congestion.go
@@ -36,14 +36,14 @@
 
 // observeExcess takes a run at a target.
 func (b *Balancer) observeExcess(t *target, r Report, now time.Time) {
-	g, usual := b.services[t.member.Service], b.runTimesOf(r.Route).of(r.Warm)
-	if g == nil || usual == 0 {
+	svc, usual := b.services[t.member.Service], b.runTimesOf(r.Route).of(r.Warm)
+	if svc == nil || usual == 0 {
 		return
 	}
-	p := g.excess[t.region]
+	p := svc.excess[t.region]
 	if p == nil {
 		p = &excessTime{}
-		g.excess[t.region] = p
+		svc.excess[t.region] = p
 	}
 	excess := r.Duration - roundTripTime[t.distance] - usual
 	if r.LoadKnown && r.Waiting == 0 {
@@ -58,16 +58,16 @@
 // Load: a region with few targets and many callers, some of whose requests may run nowhere else. Harm prevented: what
 // may run elsewhere fills its queues, since each entry VM sees few of the requests there and takes its targets for
 // free; all wait there longer than their target latency while targets of other regions have nothing to do.
-func (b *Balancer) congestion(g *service, region string, q Request, now time.Time) time.Duration {
+func (b *Balancer) congestion(svc *service, region string, q Request, now time.Time) time.Duration {
 	if b.Config.Off.PressedRegions || len(q.Regions) > 0 {
 		return 0
 	}
-	excess, threshold := g.excess[region].decayed(now), time.Duration(congestedRatio*float64(q.Route.TargetLatency))
+	excess, threshold := svc.excess[region].decayed(now), time.Duration(congestedRatio*float64(q.Route.TargetLatency))
 	if excess < threshold {
 		return 0
 	}
-	for other := range g.byRegion {
-		if other != region && q.allows(other) && g.excess[other].decayed(now) < threshold/2 {
+	for other := range svc.byRegion {
+		if other != region && q.allows(other) && svc.excess[other].decayed(now) < threshold/2 {
 			return excess
 		}
 	}
--- a/pasteer/home.go
+++ b/pasteer/home.go
@@ -28,15 +28,15 @@
 }
 
 // firstUncongested returns the index of the first candidate whose region is not pressed, or of the first of all.
-func (b *Balancer) firstUncongested(g *service, all []candidate, q Request, now time.Time) int {
-	i := slices.IndexFunc(all, func(c candidate) bool { return b.congestion(g, c.target.region, q, now) == 0 })
+func (b *Balancer) firstUncongested(svc *service, all []candidate, q Request, now time.Time) int {
+	i := slices.IndexFunc(all, func(c candidate) bool { return b.congestion(svc, c.target.region, q, now) == 0 })
 	return max(0, i)
 }
 
 // mayRunCold says whether an object may run cold at the candidate i: at the first home, or at one of the next few
 // that is in the own region where the first is not.
-func (b *Balancer) mayRunCold(g *service, all []candidate, first, i int, q Request, now time.Time) bool {
-	return i == first || b.isAlternateHome(all, first, i, q.Route) && b.congestion(g, all[i].target.region, q, now) == 0
+func (b *Balancer) mayRunCold(svc *service, all []candidate, first, i int, q Request, now time.Time) bool {
+	return i == first || b.isAlternateHome(all, first, i, q.Route) && b.congestion(svc, all[i].target.region, q, now) == 0
 }
 
 // isAlternateHome says whether the candidate i is a home beside the first.
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -13,10 +13,10 @@
 // replay plays load against a model of targets: three slots, a queue, 25 warm objects, and cold work that
 // takes more than three times as long as warm work.
 type replay struct {
-	steers []*Balancer
-	model  map[string]*modelTarget
-	events eventHeap
-	random *rand.Rand
+	balancers []*Balancer
+	model     map[string]*modelTarget
+	events    eventHeap
+	random    *rand.Rand
 	// asked and inTime count requests by the second of their arrival.
 	asked, inTime []int
 	// last is the region of the latest request for each object by each entry VM; sent and moved count
@@ -46,12 +46,12 @@
 }
 
 type job struct {
-	steer   *Balancer
-	target  string
-	object  string
-	choice  Choice
-	arrived time.Time
-	started time.Time
+	balancer *Balancer
+	target   string
+	object   string
+	choice   Choice
+	arrived  time.Time
+	started  time.Time
 }
 
 type simEvent struct {
@@ -79,7 +79,7 @@
 		view: v, last: map[string]string{}, sent: make([]int, seconds+30), moved: make([]int, seconds+30), slow: 1,
 	}
 	for _, zone := range []string{"a1", "a2", "b1", "b2", "c1", "c2"} {
-		r.steers = append(r.steers, newBalancer(zone, v))
+		r.balancers = append(r.balancers, newBalancer(zone, v))
 	}
 	for id := range v.Targets {
 		r.model[id] = &modelTarget{warm: map[string]time.Time{}}
@@ -106,28 +106,28 @@
 
 // arrive sends a request for an object, which callers of one region ask for.
 func (r *replay) arrive(n int, now time.Time) {
-	s := r.steers[n%3*2+r.random.IntN(2)]
+	b := r.balancers[n%3*2+r.random.IntN(2)]
 	object := fmt.Sprintf("o%d", n)
 	second := int(now.Sub(begin) / time.Second)
 	r.asked[second]++
-	s.PickService(route, now)
+	b.PickService(route, now)
 	q := request(object, now)
 	if r.random.Float64() < r.bound {
 		q.Regions = []string{"c"}
 	}
-	c := s.Choose(q, now)
+	c := b.Choose(q, now)
 	if r.pickLeast {
-		c.Target = r.least(s, now)
+		c.Target = r.least(b, now)
 	}
 	if c.Target == "" {
 		return
 	}
-	s.Start(c, q, now)
-	r.note(s, object, c.Target, second)
-	j := job{steer: s, target: c.Target, object: object, choice: c, arrived: now}
+	b.Start(c, q, now)
+	r.note(b, object, c.Target, second)
+	j := job{balancer: b, target: c.Target, object: object, choice: c, arrived: now}
 	m := r.model[c.Target]
 	if len(m.waiting) >= 9 {
-		s.Finish(Report{Target: c.Target, Route: "r", Object: object, Outcome: Shed, LoadKnown: true, Running: 3, Waiting: 9}, now)
+		b.Finish(Report{Target: c.Target, Route: "r", Object: object, Outcome: Shed, LoadKnown: true, Running: 3, Waiting: 9}, now)
 		return
 	}
 	m.waiting = append(m.waiting, j)
@@ -136,13 +136,13 @@
 
 // note counts a request of a caller of the region c, and whether it goes to another region than the one before
 // it for the same object, or than the first one would if no target had anything to do.
-func (r *replay) note(s *Balancer, object, target string, second int) {
-	if s.Config.Region != "c" {
+func (r *replay) note(b *Balancer, object, target string, second int) {
+	if b.Config.Region != "c" {
 		return
 	}
-	key, to := s.Config.Name+object, regions[target[:2]]
+	key, to := b.Config.Name+object, regions[target[:2]]
 	if r.last[key] == "" {
-		idle := newBalancer(s.Config.Zone, r.view)
+		idle := newBalancer(b.Config.Zone, r.view)
 		r.last[key] = regions[idle.Choose(request(object, begin), begin).Target[:2]]
 	}
 	if r.last[key] != to {
@@ -161,9 +161,9 @@
 	return most
 }
 
-func (r *replay) least(s *Balancer, now time.Time) string {
+func (r *replay) least(b *Balancer, now time.Time) string {
 	best, least := "", 0.0
-	for _, t := range s.services["s"].targets {
+	for _, t := range b.services["s"].targets {
 		if l := t.load(now); best == "" || l < least {
 			best, least = t.member.ID, l
 		}
@@ -203,7 +203,7 @@
 
 func (r *replay) end(m *modelTarget, j job, now time.Time) {
 	m.running--
-	j.steer.Finish(Report{
+	j.balancer.Finish(Report{
 		Target: j.target, Route: "r", Object: j.object, Outcome: Answered, Duration: now.Sub(r.begin(j)),
 		Warm:      j.choice.Warm,
 		LoadKnown: true, Running: m.running + 1, Waiting: len(m.waiting),
@@ -282,8 +282,8 @@
 		}
 		r := newReplay(v, 12)
 		r.slow, r.waits = 2, waits
-		for _, s := range r.steers {
-			s.Config.MaxShift = most
+		for _, b := range r.balancers {
+			b.Config.MaxShift = most
 		}
 		r.run(func(int) int { return 45 }, 12)
 		return r.moves(12)
@@ -309,8 +309,8 @@
 		v.Apply(pafleet.TargetGone{ID: "c2-1", Revision: 1001}, begin)
 		r := newReplay(v, 40)
 		r.bound, r.waits = 1.0/6, true
-		for _, s := range r.steers {
-			s.Config.Off.PressedRegions = off
+		for _, b := range r.balancers {
+			b.Config.Off.PressedRegions = off
 		}
 		r.run(func(int) int { return 45 }, 40)
 		return r.share(15, 40)
--- a/pasteer/newtarget.go
+++ b/pasteer/newtarget.go
@@ -25,11 +25,11 @@
 // object stays where it is warm, and the new targets stand idle for as long as the others bear the load.
 // One cold run begins their use; the objects whose first home they are then stay there. The entry VMs take turns:
 // where each of a hundred began the use of each of a hundred targets, all that they sent for seconds ran cold.
-func (b *Balancer) pickNewTarget(g *service, all []candidate, q Request, now time.Time) *target {
+func (b *Balancer) pickNewTarget(svc *service, all []candidate, q Request, now time.Time) *target {
 	if b.Config.Off.Newcomers {
 		return nil
 	}
-	for _, n := range g.newTargets {
+	for _, n := range svc.newTargets {
 		t, age := n.target, now.Sub(n.target.joinedAt)-n.delay
 		if t.used || age <= newTargetHomeDelay || !b.usableNow(t, q, now) {
 			continue
--- a/pasteer/newtarget_test.go
+++ b/pasteer/newtarget_test.go
@@ -22,15 +22,15 @@
 		if e.Region != "a" {
 			continue
 		}
-		s := New(Config{Name: name, Zone: e.Zone, Region: e.Region, Regions: regions, RetryWindow: 10 * time.Second})
-		s.Update(v, begin)
+		b := New(Config{Name: name, Zone: e.Zone, Region: e.Region, Regions: regions, RetryWindow: 10 * time.Second})
+		b.Update(v, begin)
 		for i := range 100 {
 			q := request(fmt.Sprint("object-", i), begin)
-			c := s.Choose(q, begin)
-			s.Start(c, q, begin)
-			s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: time.Second}, begin)
+			c := b.Choose(q, begin)
+			b.Start(c, q, begin)
+			b.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: time.Second}, begin)
 		}
-		all = append(all, s)
+		all = append(all, b)
 	}
 	joined := begin.Add(5 * time.Second)
 	for i := range 10 {
@@ -40,16 +40,16 @@
 		}}, joined)
 	}
 	sent := map[string]int{}
-	for _, s := range all {
-		s.Update(v, joined)
+	for _, b := range all {
+		b.Update(v, joined)
 	}
 	for tick := range 60 {
 		now := joined.Add(time.Duration(tick) * 50 * time.Millisecond)
-		for k, s := range all {
+		for k, b := range all {
 			q := request(fmt.Sprint("object-", (tick*7+k)%100), now)
-			if c := s.Choose(q, now); c.Target != "" {
-				s.Start(c, q, now)
-				s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm}, now)
+			if c := b.Choose(q, now); c.Target != "" {
+				b.Start(c, q, now)
+				b.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm}, now)
 				if !c.Warm && len(c.Target) > 3 && c.Target[:3] == "new" {
 					sent[c.Target]++
 				}
--- a/pasteer/pick.go
+++ b/pasteer/pick.go
@@ -24,19 +24,19 @@
 // times the slot time of warm work and pushes another object out; soon all work everywhere is cold
 // and the service has a third of its capacity, long after the burst. So waiting at a warm target is
 // preferred until it costs more than the cold run and what that takes from others.
-func (b *Balancer) pick(g *service, all []candidate, q Request, now time.Time) Choice {
+func (b *Balancer) pick(svc *service, all []candidate, q Request, now time.Time) Choice {
 	var best Choice
 	var least time.Duration
-	if t := b.pickNewTarget(g, all, q, now); t != nil {
+	if t := b.pickNewTarget(svc, all, q, now); t != nil {
 		return Choice{Target: t.member.ID, Address: t.member.Address, Born: t.member.Born, finish: b.expectedRun(q, false)}
 	}
 	usable := b.filterUsable(all)
-	region := b.currentRegion(g, all, usable, q, now)
+	region := b.currentRegion(svc, all, usable, q, now)
 	held := region != "" && !b.mayShift(now)
 	if held {
-		usable = b.withRegionHome(g, region, usable, q, now)
+		usable = b.withRegionHome(svc, region, usable, q, now)
 	}
-	first := b.firstUncongested(g, usable, q, now)
+	first := b.firstUncongested(svc, usable, q, now)
 	for i, c := range usable {
 		shifts := region != "" && c.target.region != region
 		if held && shifts {
@@ -44,12 +44,12 @@
 		}
 		warm := c.target.warm.has(q.key(), now)
 		// Where the request is held in its region, the first target there may run the object cold.
-		if q.hasAffinity() && !warm && !b.Config.Off.WarmWait && !b.mayRunCold(g, usable, first, i, q, now) && !(held && best.Target == "") {
+		if q.hasAffinity() && !warm && !b.Config.Off.WarmWait && !b.mayRunCold(svc, usable, first, i, q, now) && !(held && best.Target == "") {
 			continue
 		}
 		e := b.estimate(c.target, q, warm, now)
 		// What waits there waits longer for each request that could have gone elsewhere.
-		e.cost += 2 * b.congestion(g, c.target.region, q, now)
+		e.cost += 2 * b.congestion(svc, c.target.region, q, now)
 		if best.Target == "" || e.cost < least {
 			least = e.cost
 			best = Choice{
@@ -66,13 +66,13 @@
 
 // withRegionHome adds the first target of a region where none of the ranking's first is in it: a request that is held
 // there may run cold at it.
-func (b *Balancer) withRegionHome(g *service, region string, usable []candidate, q Request, now time.Time) []candidate {
+func (b *Balancer) withRegionHome(svc *service, region string, usable []candidate, q Request, now time.Time) []candidate {
 	for _, c := range usable {
 		if c.target.region == region && !c.target.warm.has(q.key(), now) {
 			return usable
 		}
 	}
-	t := b.bestInRegion(g, region, q, now)
+	t := b.bestInRegion(svc, region, q, now)
 	if t == nil || t.warm.has(q.key(), now) {
 		return usable
 	}
--- a/pasteer/rotation_test.go
+++ b/pasteer/rotation_test.go
@@ -17,14 +17,14 @@
 // Guards against targets of the own availability zone that get nothing while one before them in the list has room.
 func TestRequestsWithoutObjectUseAllTargetsOfTheZone(t *testing.T) {
 	for _, perZone := range []int{2, 4, 8, 12, 40} {
-		s := newBalancer("a1", fleet(perZone))
+		b := newBalancer("a1", fleet(perZone))
 		got := map[string]int{}
 		for i := range 20 * perZone {
 			now := begin.Add(time.Duration(i) * time.Second)
 			q := Request{Route: anywhere, Service: "s", Deadline: now.Add(3 * time.Second)}
-			c := s.Choose(q, now)
-			s.Start(c, q, now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
+			c := b.Choose(q, now)
+			b.Start(c, q, now)
+			b.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
 			got[c.Target]++
 		}
 		for i := range perZone {
@@ -40,9 +40,9 @@
 	v := fleet(8)
 	got := map[string]int{}
 	for i := range 80 {
-		s := New(Config{Name: fmt.Sprint("entry-", i), Zone: "a1", Region: "a", Regions: regions, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60})
-		s.Update(v, begin)
-		got[s.Choose(Request{Route: anywhere, Service: "s", Deadline: begin.Add(3 * time.Second)}, begin).Target]++
+		b := New(Config{Name: fmt.Sprint("entry-", i), Zone: "a1", Region: "a", Regions: regions, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60})
+		b.Update(v, begin)
+		got[b.Choose(Request{Route: anywhere, Service: "s", Deadline: begin.Add(3 * time.Second)}, begin).Target]++
 	}
 	for i := range 8 {
 		if n := got[fmt.Sprintf("a1-%d", i)]; n < 2 || n > 25 {
--- a/pasteer/shift.go
+++ b/pasteer/shift.go
@@ -50,7 +50,7 @@
 //
 // Load: the entry VMs of a region are stopped, and their callers come here. Harm prevented: taken for requests of
 // this region, they were kept in it, and each object ran cold though it was warm where it had always run.
-func (b *Balancer) currentRegion(g *service, all, usable []candidate, q Request, now time.Time) string {
+func (b *Balancer) currentRegion(svc *service, all, usable []candidate, q Request, now time.Time) string {
 	if !q.hasAffinity() || len(q.Tried) > 0 {
 		return ""
 	}
@@ -63,7 +63,7 @@
 	if home == nil || !eligible(home, q) {
 		return ""
 	}
-	if slices.ContainsFunc(usable, func(c candidate) bool { return c.target.region == home.region }) || b.bestInRegion(g, home.region, q, now) != nil {
+	if slices.ContainsFunc(usable, func(c candidate) bool { return c.target.region == home.region }) || b.bestInRegion(svc, home.region, q, now) != nil {
 		return home.region
 	}
 	return ""
--- a/pasteer/shift_test.go
+++ b/pasteer/shift_test.go
@@ -13,18 +13,18 @@
 // the new entry VM's region they all run cold, and none of them had changed its region.
 func TestAnObjectThatIsWarmElsewhereStaysThere(t *testing.T) {
 	v := fleet(2)
-	s := newBalancer("a1", v)
-	s.Config.MaxShift = 0.15
+	b := newBalancer("a1", v)
+	b.Config.MaxShift = 0.15
 	now := begin.Add(time.Second)
 	for range 100 {
-		s.shifts.requests[s.shifts.bucketAt(now, shiftWindow)]++
-		s.shifts.events[s.shifts.bucketAt(now, shiftWindow)]++
+		b.shifts.requests[b.shifts.bucketAt(now, shiftWindow)]++
+		b.shifts.events[b.shifts.bucketAt(now, shiftWindow)]++
 	}
-	if s.mayShift(now) {
+	if b.mayShift(now) {
 		t.Fatal("the entry VM may still let requests leave its region")
 	}
-	s.ApplyNotes([]pafleet.WarmNote{{Target: "c1-1", Object: "x"}}, now)
-	if c := s.Choose(request("x", now), now); c.Target != "c1-1" || !c.Warm || c.Shifted {
+	b.ApplyNotes([]pafleet.WarmNote{{Target: "c1-1", Object: "x"}}, now)
+	if c := b.Choose(request("x", now), now); c.Target != "c1-1" || !c.Warm || c.Shifted {
 		t.Errorf("choice %+v, want the target where the object is warm", c)
 	}
 }
@@ -32,29 +32,29 @@
 // All entry VMs lose power, and more is warm than the store keeps: an object that had moved runs cold again, while
 // others that had not are kept for nothing.
 func TestObjectsThatMovedAreKeptFirst(t *testing.T) {
-	s := newBalancer("a1", fleet(2))
+	b := newBalancer("a1", fleet(2))
 	moved := 0
 	for i := range 40 {
 		q := request(fmt.Sprint(i), begin)
-		home := s.Choose(q, begin).Target
+		home := b.Choose(q, begin).Target
 		if i < 5 {
 			q.Tried = []string{home}
-			home = s.Choose(q, begin).Target
+			home = b.Choose(q, begin).Target
 			moved++
 		}
-		s.Start(Choice{Target: home}, q, begin.Add(time.Duration(i)*time.Millisecond))
+		b.Start(Choice{Target: home}, q, begin.Add(time.Duration(i)*time.Millisecond))
 	}
-	notes, _ := s.WarmObjects(2*moved, begin.Add(time.Second))
+	notes, _ := b.WarmObjects(2*moved, begin.Add(time.Second))
 	found := 0
 	for _, n := range notes {
-		if s.displaced(s.targets[n.Target], hashPair("s", n.Object)) == 1 {
+		if b.displaced(b.targets[n.Target], hashPair("s", n.Object)) == 1 {
 			found++
 		}
 	}
-	all, _ := s.WarmObjects(100, begin.Add(time.Second))
+	all, _ := b.WarmObjects(100, begin.Add(time.Second))
 	want := 0
 	for _, n := range all {
-		want += s.displaced(s.targets[n.Target], hashPair("s", n.Object))
+		want += b.displaced(b.targets[n.Target], hashPair("s", n.Object))
 	}
 	if found != min(want, 2*moved) || found < moved {
 		t.Errorf("%d of %d objects that moved are kept", found, want)
--- a/pasteer/shortlist.go
+++ b/pasteer/shortlist.go
@@ -29,10 +29,10 @@
 // buildShortlist returns the targets that the request may go to: for an object the first of its ranking and those
 // where it is warm, for a request without homes some of each distance. Where too few of them may get it, all
 // targets of the service are taken.
-func (b *Balancer) buildShortlist(g *service, q Request, now time.Time) shortlist {
+func (b *Balancer) buildShortlist(svc *service, q Request, now time.Time) shortlist {
 	l := shortlist{all: b.scratch[:0]}
 	if q.hasAffinity() {
-		for _, r := range g.rankings.get(q.key(), g.targets) {
+		for _, r := range svc.rankings.get(q.key(), svc.targets) {
 			b.addCandidate(&l, r, q, now)
 		}
 		for _, t := range b.warmTargets[q.key()] {
@@ -41,24 +41,24 @@
 			}
 		}
 	} else {
-		g.rotation++
-		for _, all := range g.byDistance {
+		svc.rotation++
+		for _, all := range svc.byDistance {
 			for i := range min(maxPerDistance, len(all)) {
-				b.addCandidate(&l, ranked{target: all[g.rotatedIndex(i, len(all))]}, q, now)
+				b.addCandidate(&l, ranked{target: all[svc.rotatedIndex(i, len(all))]}, q, now)
 			}
 		}
 	}
-	if l.usable < min(maxHomes, len(g.targets)) {
-		return b.fullList(g, q, now)
+	if l.usable < min(maxHomes, len(svc.targets)) {
+		return b.fullList(svc, q, now)
 	}
 	return b.sorted(l, q)
 }
 
 // fullList returns all targets that the request may go to.
-func (b *Balancer) fullList(g *service, q Request, now time.Time) shortlist {
+func (b *Balancer) fullList(svc *service, q Request, now time.Time) shortlist {
 	l := shortlist{all: b.scratch[:0]}
-	for i := range g.targets {
-		t := g.targets[g.rotatedIndex(i, len(g.targets))]
+	for i := range svc.targets {
+		t := svc.targets[svc.rotatedIndex(i, len(svc.targets))]
 		b.addCandidate(&l, ranked{t, rendezvousWeight(q.key(), t.hash)}, q, now)
 	}
 	return b.sorted(l, q)
@@ -69,8 +69,8 @@
 //
 // Load: less work than slots. Harm prevented: of targets that are alike the first in the list gets all requests of all
 // entry VMs, and the others are cold when they are needed.
-func (g *service) rotatedIndex(i, targets int) int {
-	return int((g.rotation + uint64(i)) % uint64(targets))
+func (svc *service) rotatedIndex(i, targets int) int {
+	return int((svc.rotation + uint64(i)) % uint64(targets))
 }
 
 // sorted puts the best targets first: those of an object by its ranking, others by their distance.
@@ -122,10 +122,10 @@
 }
 
 // bestInRegion returns the first target of the ranking in a region that may get the request now, or nil.
-func (b *Balancer) bestInRegion(g *service, region string, q Request, now time.Time) *target {
+func (b *Balancer) bestInRegion(svc *service, region string, q Request, now time.Time) *target {
 	var best *target
 	var bestWeight uint64
-	for _, t := range g.byRegion[region] {
+	for _, t := range svc.byRegion[region] {
 		if h := rendezvousWeight(q.key(), t.hash); (best == nil || h > bestWeight) && b.usableNow(t, q, now) {
 			best, bestWeight = t, h
 		}
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -15,30 +15,30 @@
 func TestAShortlistLeadsToTheSameTargetAsTheWholeRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(rapid.IntRange(1, 12).Draw(t, "targets in a zone"))
-		s := newBalancer("a1", v)
-		s.Config.MaxShift = 0.15
+		b := newBalancer("a1", v)
+		b.Config.MaxShift = 0.15
 		now := begin
 		for range rapid.IntRange(1, 60).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			q := request(fmt.Sprint("o", rapid.IntRange(0, 20).Draw(t, "object")), now)
-			g := s.services["s"]
+			svc := b.services["s"]
 			var whole Choice
-			if l := s.fullList(g, q, now); l.usable > 0 {
-				whole = s.pick(g, l.all, q, now)
+			if l := b.fullList(svc, q, now); l.usable > 0 {
+				whole = b.pick(svc, l.all, q, now)
 			}
-			got := s.Choose(q, now)
+			got := b.Choose(q, now)
 			if got.Target != whole.Target || got.Shifted != whole.Shifted || got.Held != whole.Held {
 				t.Fatalf("chose %+v, by the whole ranking %+v", got, whole)
 			}
 			if got.Target == "" {
 				continue
 			}
-			s.Start(got, q, now)
+			b.Start(got, q, now)
 			o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, Lost, Refused, Shed}).Draw(t, "outcome")
-			s.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Duration: 300 * time.Millisecond, Warm: got.Warm}, now)
+			b.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Duration: 300 * time.Millisecond, Warm: got.Warm}, now)
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
 				v.Apply(pafleet.TargetGone{ID: got.Target, Revision: v.Revision + 1}, now)
-				s.Update(v, now)
+				b.Update(v, now)
 			}
 		}
 	})
@@ -46,24 +46,24 @@
 
 // large returns the Balancer of an entry VM of a service with a number of targets, each warm for two objects.
 func large(targets int) (*Balancer, []string) {
-	s := newBalancer("a1", fleet(targets/len(regions)))
+	b := newBalancer("a1", fleet(targets/len(regions)))
 	var objects []string
 	for i := range 2 * targets {
 		o := fmt.Sprint("object-", i)
 		objects = append(objects, o)
-		c := s.Choose(request(o, begin), begin)
-		s.Start(c, request(o, begin), begin)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: o, Outcome: Answered, Duration: time.Second}, begin)
+		c := b.Choose(request(o, begin), begin)
+		b.Start(c, request(o, begin), begin)
+		b.Finish(Report{Target: c.Target, Route: "r", Object: o, Outcome: Answered, Duration: time.Second}, begin)
 	}
-	return s, objects
+	return b, objects
 }
 
 // A decision that allocates, or that grows with the targets, holds up all requests behind the lock.
 func TestADecisionAllocatesNothing(t *testing.T) {
-	s, objects := large(600)
+	b, objects := large(600)
 	i := 0
 	got := testing.AllocsPerRun(1000, func() {
-		s.Choose(request(objects[i%len(objects)], begin), begin)
+		b.Choose(request(objects[i%len(objects)], begin), begin)
 		i++
 	})
 	if got > 0 {
@@ -74,12 +74,12 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 96, 576, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, objects := large(n)
+			balancer, objects := large(n)
 			objects = objects[:min(len(objects), maxRankings)]
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				s.Choose(request(objects[i%len(objects)], begin), begin)
+				balancer.Choose(request(objects[i%len(objects)], begin), begin)
 				i++
 			}
 		})
--- a/pasteer/steer.go
+++ b/pasteer/steer.go
@@ -137,9 +137,9 @@
 	for id, m := range v.Targets {
 		b.updateTarget(id, m, v, now)
 	}
-	for _, g := range b.services {
-		sortByID(g.targets)
-		b.groupTargets(g)
+	for _, svc := range b.services {
+		sortByID(svc.targets)
+		b.groupTargets(svc)
 	}
 }
 
@@ -151,23 +151,23 @@
 		}
 	}
 	for name, settings := range c.Services {
-		g := b.services[name]
-		if g == nil {
-			g = &service{excess: map[string]*excessTime{}, rotation: b.hash % math.MaxUint32}
-			b.services[name] = g
+		svc := b.services[name]
+		if svc == nil {
+			svc = &service{excess: map[string]*excessTime{}, rotation: b.hash % math.MaxUint32}
+			b.services[name] = svc
 		}
-		g.settings, g.targets = settings, g.targets[:0]
+		svc.settings, svc.targets = settings, svc.targets[:0]
 	}
 }
 
 // groupTargets sorts the targets by distance and region.
-func (b *Balancer) groupTargets(g *service) {
-	g.byDistance, g.byRegion, g.newTargets = [otherRegion + 1][]*target{}, map[string][]*target{}, nil
-	for _, t := range g.targets {
-		g.byDistance[t.distance] = append(g.byDistance[t.distance], t)
-		g.byRegion[t.region] = append(g.byRegion[t.region], t)
+func (b *Balancer) groupTargets(svc *service) {
+	svc.byDistance, svc.byRegion, svc.newTargets = [otherRegion + 1][]*target{}, map[string][]*target{}, nil
+	for _, t := range svc.targets {
+		svc.byDistance[t.distance] = append(svc.byDistance[t.distance], t)
+		svc.byRegion[t.region] = append(svc.byRegion[t.region], t)
 		if !t.joinedAt.IsZero() && !t.used && t.distance < otherRegion {
-			g.newTargets = append(g.newTargets, b.newTargetOf(t))
+			svc.newTargets = append(svc.newTargets, b.newTargetOf(t))
 		}
 	}
 }
@@ -175,8 +175,8 @@
 // removeTarget drops a lifetime of a target.
 func (b *Balancer) removeTarget(t *target) {
 	b.clearWarm(t)
-	if g := b.services[t.member.Service]; g != nil {
-		g.rankings.remove(t)
+	if svc := b.services[t.member.Service]; svc != nil {
+		svc.rankings.remove(t)
 	}
 	delete(b.targets, t.member.ID)
 }
@@ -199,8 +199,8 @@
 		// of it takes a heartbeat and a reading to arrive; a rush before that crashes them.
 		t.suspectColdUntil = later(t.suspectColdUntil, at.Add(coldAfterEvacuation))
 	}
-	if g := b.services[m.Service]; g != nil {
-		g.targets = append(g.targets, t)
+	if svc := b.services[m.Service]; svc != nil {
+		svc.targets = append(svc.targets, t)
 		if !wasCold && t.isCold(now) {
 			b.delayFirstCold(t, now)
 		}
@@ -214,8 +214,8 @@
 	if b.used[m.Service] {
 		t.joinedAt = now
 	}
-	if g := b.services[m.Service]; g != nil {
-		g.rankings.add(t)
+	if svc := b.services[m.Service]; svc != nil {
+		svc.rankings.add(t)
 	}
 	return t
 }
--- a/pasteer/steer_test.go
+++ b/pasteer/steer_test.go
@@ -39,12 +39,12 @@
 }
 
 func newBalancer(zone string, v *pafleet.View) *Balancer {
-	s := New(Config{
+	b := New(Config{
 		Name: "entry-" + zone, Zone: zone, Region: regions[zone], Regions: regions,
 		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60,
 	})
-	s.Update(v, begin)
-	return s
+	b.Update(v, begin)
+	return b
 }
 
 var route = &paroute.Route{
@@ -93,15 +93,15 @@
 }
 
 func TestNotesThatWereOverwrittenAreNotAskedFor(t *testing.T) {
-	s := newBalancer("a1", fleet(2))
+	b := newBalancer("a1", fleet(2))
 	for i := range maxNotes + 10 {
-		s.notes.add(loggedNote{"t", fmt.Sprint(i), begin})
+		b.notes.add(loggedNote{"t", fmt.Sprint(i), begin})
 	}
-	all, last := s.WarmNotes(3, 2*maxNotes, begin)
+	all, last := b.WarmNotes(3, 2*maxNotes, begin)
 	if len(all) != maxNotes || all[len(all)-1].Object != fmt.Sprint(maxNotes+9) || last != maxNotes+10 {
 		t.Errorf("%d notes up to %d", len(all), last)
 	}
-	if all, _ := s.WarmNotes(last+500, 2*maxNotes, begin); len(all) != maxNotes {
+	if all, _ := b.WarmNotes(last+500, 2*maxNotes, begin); len(all) != maxNotes {
 		t.Errorf("a neighbour that knew a former lifetime of the process gets %d notes, want all", len(all))
 	}
 }
@@ -116,11 +116,11 @@
 	first, further := 0, 0
 	for tick := range 1000 {
 		now := begin.Add(time.Duration(tick) * 10 * time.Millisecond)
-		for _, s := range all {
-			s.PickService(route, now)
+		for _, b := range all {
+			b.PickService(route, now)
 			first++
 			for range 3 {
-				if s.TakeRetry("s", now) {
+				if b.TakeRetry("s", now) {
 					further++
 				}
 			}
@@ -137,28 +137,28 @@
 	v.Apply(pafleet.ZoneEvacuated{Zone: "a1", Revision: 900}, begin)
 	m := v.Targets["b1-0"]
 	m.Draining = true
-	s := newBalancer("a1", v)
+	b := newBalancer("a1", v)
 	for i := range 200 {
 		q := request(fmt.Sprint(i), begin)
-		if c := s.Choose(q, begin); c.Target == "b1-0" || c.Target == "a1-0" || c.Target == "a1-1" {
+		if c := b.Choose(q, begin); c.Target == "b1-0" || c.Target == "a1-0" || c.Target == "a1-1" {
 			t.Fatalf("%s was chosen", c.Target)
 		}
 	}
 }
 
 func TestAllowedRegionsBind(t *testing.T) {
-	s := newBalancer("a1", fleet(1))
+	b := newBalancer("a1", fleet(1))
 	r := *route
 	r.AllowedRegions = []string{"c"}
 	for i := range 50 {
 		q := request(fmt.Sprint(i), begin)
 		q.Route = &r
-		if c := s.Choose(q, begin); c.Target != "c1-0" && c.Target != "c2-0" {
+		if c := b.Choose(q, begin); c.Target != "c1-0" && c.Target != "c2-0" {
 			t.Fatalf("%s was chosen", c.Target)
 		}
 	}
 	r.AllowedRegions = []string{"nowhere"}
-	if c := s.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin); c.Reason != ReasonNoTarget || c.RetryAfter <= 0 {
+	if c := b.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin); c.Reason != ReasonNoTarget || c.RetryAfter <= 0 {
 		t.Errorf("choice %+v, want a refusal for want of a target", c)
 	}
 }
@@ -166,15 +166,15 @@
 // A target turns requests away though it has free slots. The next one may be taken; the target is no
 // fuller than before.
 func TestSheddingWithRoomIsNoLoad(t *testing.T) {
-	s := newBalancer("a1", fleet(1))
+	b := newBalancer("a1", fleet(1))
 	r := Report{Target: "a1-0", Route: "r", Outcome: Shed, LoadKnown: true, Running: 1}
-	s.Start(Choice{Target: "a1-0"}, request("", begin), begin)
-	s.Finish(r, begin)
-	if !s.ShedWithFreeSlot(r) || s.targets["a1-0"].load(begin) > 1 {
-		t.Errorf("load %v", s.targets["a1-0"].load(begin))
+	b.Start(Choice{Target: "a1-0"}, request("", begin), begin)
+	b.Finish(r, begin)
+	if !b.ShedWithFreeSlot(r) || b.targets["a1-0"].load(begin) > 1 {
+		t.Errorf("load %v", b.targets["a1-0"].load(begin))
 	}
 	r.Running, r.Waiting = 3, 9
-	if s.ShedWithFreeSlot(r) {
+	if b.ShedWithFreeSlot(r) {
 		t.Error("a full target counts as having room")
 	}
 }
@@ -183,14 +183,14 @@
 func TestAnyOrderOfEventsKeepsTheCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(1)
-		s := newBalancer("a1", v)
+		b := newBalancer("a1", v)
 		now := begin
 		running := map[string]int{}
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1, 2:
-				c := s.Choose(request(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "object")), now), now)
+				c := b.Choose(request(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "object")), now), now)
 				if c.Target == "" {
 					if c.Reason == "" || c.RetryAfter <= 0 {
 						t.Fatalf("a refusal without reason or time: %+v", c)
@@ -198,10 +198,10 @@
 					continue
 				}
 				m := v.Targets[c.Target]
-				if m == nil || m.Draining || s.targets[c.Target].excluded || now.Before(s.targets[c.Target].backoffUntil) {
+				if m == nil || m.Draining || b.targets[c.Target].excluded || now.Before(b.targets[c.Target].backoffUntil) {
 					t.Fatalf("%s may not be used", c.Target)
 				}
-				s.Start(c, request("x", now), now)
+				b.Start(c, request("x", now), now)
 				running[c.Target]++
 			case 3:
 				for id, n := range running {
@@ -209,22 +209,22 @@
 						continue
 					}
 					o := Outcome(rapid.IntRange(0, int(Abandoned)).Draw(t, "outcome"))
-					s.Finish(Report{Target: id, Route: "r", Object: "x", Outcome: o, Duration: time.Second}, now)
+					b.Finish(Report{Target: id, Route: "r", Object: "x", Outcome: o, Duration: time.Second}, now)
 					running[id]--
 					break
 				}
 			case 4:
 				zone := rapid.SampledFrom([]string{"a1", "b2", "c1"}).Draw(t, "zone")
 				v.Apply(pafleet.ZoneEvacuated{Zone: zone, Revision: pafleet.Revision(1000 + now.Sub(begin)/time.Millisecond)}, now)
-				s.Update(v, now)
+				b.Update(v, now)
 			case 5:
 				id := rapid.SampledFrom([]string{"a2-0", "b1-0"}).Draw(t, "target")
 				v.Apply(pafleet.TargetGone{ID: id, Revision: 5000}, now)
 				delete(running, id)
-				s.Update(v, now)
+				b.Update(v, now)
 			}
 			for id, n := range running {
-				if t2 := s.targets[id]; t2 != nil && t2.inFlight != n {
+				if t2 := b.targets[id]; t2 != nil && t2.inFlight != n {
 					t.Fatalf("%s has %d in flight, counted %d", id, n, t2.inFlight)
 				}
 			}
@@ -235,22 +235,22 @@
 // A target loses power. Nothing refuses a connection; its callers leave one after the other, and for
 // seconds all requests for its objects are sent there all the same.
 func TestASilentTargetIsLeftAloneBeforeItsEntryGoes(t *testing.T) {
-	s := newBalancer("a1", fleet(2))
-	home := s.Choose(request("x", begin), begin).Target
+	b := newBalancer("a1", fleet(2))
+	home := b.Choose(request("x", begin), begin).Target
 	sent := 0
 	for tick := range 40 {
 		now := begin.Add(time.Duration(tick) * 100 * time.Millisecond)
-		c := s.Choose(request("x", now), now)
+		c := b.Choose(request("x", now), now)
 		if c.Target == "" {
 			t.Fatalf("refused after %s: %s", now.Sub(begin), c.Reason)
 		}
-		s.Start(c, request("x", now), now)
+		b.Start(c, request("x", now), now)
 		if c.Target == home {
 			sent++
-			s.Finish(Report{Target: home, Route: "r", Object: "x", Outcome: Abandoned}, now)
+			b.Finish(Report{Target: home, Route: "r", Object: "x", Outcome: Abandoned}, now)
 			continue
 		}
-		s.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: 300 * time.Millisecond}, now)
+		b.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: 300 * time.Millisecond}, now)
 	}
 	if sent > 17 {
 		t.Errorf("%d of 40 requests in 4 s were sent to the silent target", sent)
@@ -261,13 +261,13 @@
 // nothing for the rest of the day.
 func TestATargetThatJoinsGetsWorkWithinSeconds(t *testing.T) {
 	v := fleet(1)
-	s := newBalancer("a1", v)
+	b := newBalancer("a1", v)
 	ask := func(tick int) string {
 		now := begin.Add(time.Duration(tick) * 100 * time.Millisecond)
 		q := request(fmt.Sprint(tick%20), now)
-		c := s.Choose(q, now)
-		s.Start(c, q, now)
-		s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond}, now)
+		c := b.Choose(q, now)
+		b.Start(c, q, now)
+		b.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond}, now)
 		return c.Target
 	}
 	for tick := range 40 {
@@ -276,7 +276,7 @@
 	v.Apply(pafleet.TargetSaid{Target: pafleet.Target{
 		ID: "new", Service: "s", Zone: "a2", Slots: 3, Born: 1, Sequence: 1, Revision: 900, Address: netip.MustParseAddrPort("10.0.0.9:80"),
 	}}, begin.Add(4*time.Second))
-	s.Update(v, begin.Add(4*time.Second))
+	b.Update(v, begin.Add(4*time.Second))
 	for tick := 40; tick < 70; tick++ {
 		if ask(tick) == "new" {
 			return
--- a/pasteer/warm.go
+++ b/pasteer/warm.go
@@ -134,11 +134,11 @@
 
 // displaced is 1 where the target is not the first of the object's ranking, and 0 where it is.
 func (b *Balancer) displaced(t *target, key uint64) int {
-	g := b.services[t.member.Service]
-	if g == nil {
+	svc := b.services[t.member.Service]
+	if svc == nil {
 		return 0
 	}
-	top := g.rankings.get(key, g.targets)
+	top := svc.rankings.get(key, svc.targets)
 	if len(top) > 0 && top[0].target == t {
 		return 0
 	}
