--- a/pasteer/balancer_test.go
+++ b/pasteer/balancer_test.go
@@ -58,7 +58,7 @@
 
 // Two entry VMs of a region in different availability zones each send an object to a target of their own
 // zone: it runs cold twice, and its second home spares nothing, as both are in the region.
-func TestEntryVMsOfARegionAgreeOnAnObjectsHome(t *testing.T) {
+func TestEntryVMsOfRegionAgreeOnHome(t *testing.T) {
 	v := fleet(2)
 	one, other := newBalancer("a1", v), newBalancer("a2", v)
 	for i := range 50 {
@@ -71,7 +71,7 @@
 
 // A target of an object's home is gone, and a neighbour has warmed the object at another target
 // meanwhile. Without its word the object runs cold once more.
-func TestANeighboursNoteLeadsToTheWarmTarget(t *testing.T) {
+func TestNeighbourNoteLeadsToWarmTarget(t *testing.T) {
 	v := fleet(2)
 	one, other := newBalancer("a1", v), newBalancer("a2", v)
 	q := request("x", begin)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestNotesThatWereOverwrittenAreNotAskedFor(t *testing.T) {
+func TestNoteLogReturnsOldestWhenOverwritten(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	for i := range maxNotes + 10 {
 		b.notes.add(loggedNote{"t", fmt.Sprint(i), begin})
@@ -107,32 +107,32 @@
 }
 
 // Every target fails. Further attempts of all entry VMs together stay within the budget that they share.
-func TestFurtherAttemptsStayWithinTheSharedBudget(t *testing.T) {
+func TestRetriesStayWithinSharedBudget(t *testing.T) {
 	v := fleet(1)
 	var all []*Balancer
 	for zone := range regions {
 		all = append(all, newBalancer(zone, v))
 	}
-	first, further := 0, 0
+	requests, retries := 0, 0
 	for tick := range 1000 {
 		now := begin.Add(time.Duration(tick) * 10 * time.Millisecond)
 		for _, b := range all {
 			b.PickService(route, now)
-			first++
+			requests++
 			for range 3 {
 				if b.TakeRetry("s", now) {
-					further++
+					retries++
 				}
 			}
 		}
 	}
-	most := int(0.2*float64(first)) + 60
-	if further > most || further < most/2 {
-		t.Errorf("%d further attempts for %d requests, want at most %d and at least half of that", further, first, most)
+	limit := int(0.2*float64(requests)) + 60
+	if retries > limit || retries < limit/2 {
+		t.Errorf("%d further attempts for %d requests, want at most %d and at least half of that", retries, requests, limit)
 	}
 }
 
-func TestClosedTargetsGetNothing(t *testing.T) {
+func TestExcludedTargetsGetNoRequests(t *testing.T) {
 	v := fleet(2)
 	v.Apply(pafleet.ZoneEvacuated{Zone: "a1", Revision: 900}, begin)
 	m := v.Targets["b1-0"]
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestAllowedRegionsBind(t *testing.T) {
+func TestAllowedRegions(t *testing.T) {
 	b := newBalancer("a1", fleet(1))
 	r := *route
 	r.AllowedRegions = []string{"c"}
@@ -165,7 +165,7 @@
 
 // A target turns requests away though it has free slots. The next one may be taken; the target is no
 // fuller than before.
-func TestSheddingWithRoomIsNoLoad(t *testing.T) {
+func TestShedWithFreeSlotAddsNoLoad(t *testing.T) {
 	b := newBalancer("a1", fleet(1))
 	r := Report{Target: "a1-0", Route: "r", Outcome: Shed, LoadKnown: true, Running: 1}
 	b.Start(Choice{Target: "a1-0"}, request("", begin), begin)
@@ -180,7 +180,7 @@
 }
 
 // Whatever happens in whatever order, a choice names a target that may be used, and counts stay sound.
-func TestAnyOrderOfEventsKeepsTheCounts(t *testing.T) {
+func TestRandomEventsKeepCountsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(1)
 		b := newBalancer("a1", v)
@@ -234,7 +234,7 @@
 
 // A target loses power. Nothing refuses a connection; its callers leave one after the other, and for
 // seconds all requests for its objects are sent there all the same.
-func TestASilentTargetIsLeftAloneBeforeItsEntryGoes(t *testing.T) {
+func TestUnresponsiveTargetIsAvoided(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	home := b.Choose(request("x", begin), begin).Target
 	sent := 0
@@ -259,7 +259,7 @@
 
 // An operator adds a target to a service in use. All objects are warm elsewhere, and the new target got
 // nothing for the rest of the day.
-func TestATargetThatJoinsGetsWorkWithinSeconds(t *testing.T) {
+func TestNewTargetGetsRequestsWithinSeconds(t *testing.T) {
 	v := fleet(1)
 	b := newBalancer("a1", v)
 	ask := func(tick int) string {
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -11,7 +11,7 @@
 
 // A zone comes back cold under full load. In no second may all entry VMs together send a cold target
 // more than it bears: its rate with half of it above, and five.
-func TestColdTargetsGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdTargetRateLimit(t *testing.T) {
 	v := fleet(2)
 	for id, m := range v.Targets {
 		m.ColdUntil = begin.Add(time.Minute)
@@ -54,7 +54,7 @@
 
 // A target refuses connections because it starts anew under its ID, cold. It must not get its full share
 // at once: a cold target crashes under that.
-func TestATargetThatBrokeCountsAsCold(t *testing.T) {
+func TestRefusedConnectionMarksTargetCold(t *testing.T) {
 	b := newBalancer("a1", fleet(1))
 	id := "a1-0"
 	b.Start(Choice{Target: id}, request("", begin), begin)
@@ -69,7 +69,7 @@
 
 // The first run of an object takes three times as long as the next ones. Taken for a warm run, it makes all
 // waits look three times as long, and requests that could be answered in time are refused or run cold elsewhere.
-func TestAFirstRunIsNotLearntAsAWarmOne(t *testing.T) {
+func TestColdRunDoesNotCountAsWarm(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	q, now := request("x", begin), begin
 	for _, took := range []time.Duration{900 * time.Millisecond, 270 * time.Millisecond} {
@@ -86,19 +86,19 @@
 // A region comes back from a loss of power with its entry VMs and its targets, which are cold. Its entry VMs
 // know of those elsewhere and not yet of each other; those elsewhere do not know that they are back. All of
 // them together sent a cold target several times what it bears, and it crashed.
-func TestARegionThatComesBackColdGetsNoMoreThanItBears(t *testing.T) {
-	coldRegionReturns(t, route)
+func TestColdRateAfterRegionRestart(t *testing.T) {
+	testRegionRestart(t, route)
 }
 
 // The same, and only the targets of that region may be used, so that every request wants them. The entry VMs of
 // its one availability zone took the other for one without any, and sent to its targets too.
-func TestARegionThatMustServeGetsNoMoreThanItBears(t *testing.T) {
+func TestColdRateAfterRestartOfOnlyAllowedRegion(t *testing.T) {
 	r := *route
 	r.AllowedRegions = []string{"c"}
-	coldRegionReturns(t, &r)
+	testRegionRestart(t, &r)
 }
 
-func coldRegionReturns(t *testing.T, r *paroute.Route) {
+func testRegionRestart(t *testing.T, r *paroute.Route) {
 	t.Helper()
 	v := fleet(1)
 	for _, m := range v.Targets {
--- a/pasteer/newtarget_test.go
+++ b/pasteer/newtarget_test.go
@@ -11,7 +11,7 @@
 
 // Targets join under load, and word that one of them is in use takes seconds to all entry VMs. Each entry VM began the
 // use of each target by itself, and all that they sent ran cold.
-func TestFewEntryVMsBeginTheUseOfATarget(t *testing.T) {
+func TestFewFirstRequestsPerNewTarget(t *testing.T) {
 	v := fleet(2)
 	for i := range 12 {
 		e := pafleet.Entry{Name: fmt.Sprint("more-", i), Zone: "a1", Region: "a", Revision: pafleet.Revision(1000 + i)}
--- a/pasteer/off_test.go
+++ b/pasteer/off_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A misspelt mechanism that is passed over would be measured as worth nothing.
-func TestUnknownMechanismsAreRefused(t *testing.T) {
+func TestParseOffRejectsUnknownNames(t *testing.T) {
 	o, err := ParseOff("Notes, ShiftBound")
 	if err != nil || o != (Off{Notes: true, ShiftBound: true}) {
 		t.Errorf("read %+v, %v", o, err)
--- a/pasteer/rotation_test.go
+++ b/pasteer/rotation_test.go
@@ -8,20 +8,20 @@
 	"papayahead/paroute"
 )
 
-// anywhere is a route whose requests have no object.
-var anywhere = &paroute.Route{
+// noAffinityRoute is a route whose requests have no object.
+var noAffinityRoute = &paroute.Route{
 	Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Idempotent: true,
 	TargetLatency: 600 * time.Millisecond, Timeout: 3 * time.Second, MaxAttempts: 2,
 }
 
 // Guards against targets of the own availability zone that get nothing while one before them in the list has room.
-func TestRequestsWithoutObjectUseAllTargetsOfTheZone(t *testing.T) {
+func TestRequestsWithoutObjectUseAllTargetsOfZone(t *testing.T) {
 	for _, perZone := range []int{2, 4, 8, 12, 40} {
 		b := newBalancer("a1", fleet(perZone))
 		got := map[string]int{}
 		for i := range 20 * perZone {
 			now := begin.Add(time.Duration(i) * time.Second)
-			q := Request{Route: anywhere, Service: "s", Deadline: now.Add(3 * time.Second)}
+			q := Request{Route: noAffinityRoute, Service: "s", Deadline: now.Add(3 * time.Second)}
 			c := b.Choose(q, now)
 			b.Start(c, q, now)
 			b.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
@@ -36,13 +36,13 @@
 }
 
 // Guards against a target that gets the first request of every entry VM.
-func TestEntryVMsBeginAtDifferentTargets(t *testing.T) {
+func TestEntryVMsStartRotationAtDifferentTargets(t *testing.T) {
 	v := fleet(8)
 	got := map[string]int{}
 	for i := range 80 {
 		b := New(Config{Name: fmt.Sprint("entry-", i), Zone: "a1", Region: "a", Regions: regions, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60})
 		b.Update(v, begin)
-		got[b.Choose(Request{Route: anywhere, Service: "s", Deadline: begin.Add(3 * time.Second)}, begin).Target]++
+		got[b.Choose(Request{Route: noAffinityRoute, Service: "s", Deadline: begin.Add(3 * time.Second)}, begin).Target]++
 	}
 	for i := range 8 {
 		if n := got[fmt.Sprintf("a1-%d", i)]; n < 2 || n > 25 {
--- a/pasteer/shift_test.go
+++ b/pasteer/shift_test.go
@@ -11,7 +11,7 @@
 // The entry VMs of a region are stopped, and its callers come to an entry VM of another region that has just let
 // enough requests leave its own. Their objects are warm where they always ran, as a neighbour tells; kept in
 // the new entry VM's region they all run cold, and none of them had changed its region.
-func TestAnObjectThatIsWarmElsewhereStaysThere(t *testing.T) {
+func TestObjectStaysInRegionWhereItIsWarm(t *testing.T) {
 	v := fleet(2)
 	b := newBalancer("a1", v)
 	b.Config.MaxShift = 0.15
@@ -31,20 +31,20 @@
 
 // All entry VMs lose power, and more is warm than the store keeps: an object that had moved runs cold again, while
 // others that had not are kept for nothing.
-func TestObjectsThatMovedAreKeptFirst(t *testing.T) {
+func TestWarmObjectsListsDisplacedFirst(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
-	moved := 0
+	displaced := 0
 	for i := range 40 {
 		q := request(fmt.Sprint(i), begin)
 		home := b.Choose(q, begin).Target
 		if i < 5 {
 			q.Tried = []string{home}
 			home = b.Choose(q, begin).Target
-			moved++
+			displaced++
 		}
 		b.Start(Choice{Target: home}, q, begin.Add(time.Duration(i)*time.Millisecond))
 	}
-	notes, _ := b.WarmObjects(2*moved, begin.Add(time.Second))
+	notes, _ := b.WarmObjects(2*displaced, begin.Add(time.Second))
 	found := 0
 	for _, n := range notes {
 		if b.displaced(b.targets[n.Target], hashPair("s", n.Object)) == 1 {
@@ -56,7 +56,7 @@
 	for _, n := range all {
 		want += b.displaced(b.targets[n.Target], hashPair("s", n.Object))
 	}
-	if found != min(want, 2*moved) || found < moved {
+	if found != min(want, 2*displaced) || found < displaced {
 		t.Errorf("%d of %d objects that moved are kept", found, want)
 	}
 }
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -12,7 +12,7 @@
 
 // A shortlist that misses a target would send an object elsewhere than the whole ranking says, and each entry VM to
 // another place.
-func TestAShortlistLeadsToTheSameTargetAsTheWholeRanking(t *testing.T) {
+func TestShortlistChoosesSameTargetAsFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(rapid.IntRange(1, 12).Draw(t, "targets in a zone"))
 		b := newBalancer("a1", v)
@@ -44,8 +44,8 @@
 	})
 }
 
-// large returns the Balancer of an entry VM of a service with a number of targets, each warm for two objects.
-func large(targets int) (*Balancer, []string) {
+// newLargeBalancer returns the Balancer of an entry VM of a service with a number of targets, each warm for two objects.
+func newLargeBalancer(targets int) (*Balancer, []string) {
 	b := newBalancer("a1", fleet(targets/len(regions)))
 	var objects []string
 	for i := range 2 * targets {
@@ -59,8 +59,8 @@
 }
 
 // A decision that allocates, or that grows with the targets, holds up all requests behind the lock.
-func TestADecisionAllocatesNothing(t *testing.T) {
-	b, objects := large(600)
+func TestChooseDoesNotAllocate(t *testing.T) {
+	b, objects := newLargeBalancer(600)
 	i := 0
 	got := testing.AllocsPerRun(1000, func() {
 		b.Choose(request(objects[i%len(objects)], begin), begin)
@@ -74,7 +74,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{12, 96, 576, 6000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			balancer, objects := large(n)
+			balancer, objects := newLargeBalancer(n)
 			objects = objects[:min(len(objects), maxRankings)]
 			b.ReportAllocs()
 			i := 0
