--- a/pasteer/balancer_test.go
+++ b/pasteer/balancer_test.go
@@ -16,7 +16,7 @@
 
 var regions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 
-// fleet returns a view of a service with a number of targets in each zone, and of one entry VM a zone.
+// fleet returns a view with one service, perZone targets in each zone and one entry VM per zone.
 func fleet(perZone int) *pafleet.View {
 	v := &pafleet.View{}
 	all := []pafleet.Change{pafleet.ConfigWritten{Revision: 1, Config: &paroute.Config{
@@ -56,21 +56,21 @@
 	return Request{Route: route, Service: "s", Object: object, Deadline: now.Add(3 * time.Second)}
 }
 
-// Two entry VMs of a region in different availability zones each send an object to a target of their own
-// zone: it runs cold twice, and its second home spares nothing, as both are in the region.
+// Guards against an object that runs cold twice in a region because entry VMs in different availability zones each prefer a
+// home in their own zone.
 func TestEntryVMsOfRegionAgreeOnHome(t *testing.T) {
 	v := fleet(2)
 	one, other := newBalancer("a1", v), newBalancer("a2", v)
 	for i := range 50 {
 		q := request(fmt.Sprintf("object-%d", i), begin)
 		if a, b := one.Choose(q, begin), other.Choose(q, begin); a.Target != b.Target {
-			t.Errorf("%s: homes %s and %s", q.Object, a.Target, b.Target)
+			t.Errorf("object %s: entry VMs of one region chose the homes %s and %s", q.Object, a.Target, b.Target)
 		}
 	}
 }
 
-// A target of an object's home is gone, and a neighbour has warmed the object at another target
-// meanwhile. Without its word the object runs cold once more.
+// Guards against another cold run of an object when its home is not usable and a neighbour has already warmed another
+// target for it.
 func TestNeighbourNoteLeadsToWarmTarget(t *testing.T) {
 	v := fleet(2)
 	one, other := newBalancer("a1", v), newBalancer("a2", v)
@@ -85,10 +85,10 @@
 	one.ApplyNotes(notes, begin)
 	q.Tried = []string{home}
 	if c := one.Choose(q, begin); c.Target != warm || !c.Warm {
-		t.Errorf("target %s, want the warm %s", c.Target, warm)
+		t.Errorf("chose %s, want the warm target %s", c.Target, warm)
 	}
 	if again, _ := other.WarmNotes(last, maxNotes, begin); len(again) != 0 {
-		t.Errorf("%d notes are told twice", len(again))
+		t.Errorf("%d notes were returned a second time", len(again))
 	}
 }
 
@@ -99,14 +99,14 @@
 	}
 	all, last := b.WarmNotes(3, 2*maxNotes, begin)
 	if len(all) != maxNotes || all[len(all)-1].Object != fmt.Sprint(maxNotes+9) || last != maxNotes+10 {
-		t.Errorf("%d notes up to %d", len(all), last)
+		t.Errorf("got %d notes, the last numbered %d", len(all), last)
 	}
 	if all, _ := b.WarmNotes(last+500, 2*maxNotes, begin); len(all) != maxNotes {
-		t.Errorf("a neighbour that knew a former lifetime of the process gets %d notes, want all", len(all))
+		t.Errorf("a neighbour with a number from an earlier process gets %d notes, want all", len(all))
 	}
 }
 
-// Every target fails. Further attempts of all entry VMs together stay within the budget that they share.
+// Guards against retries of all entry VMs together that exceed the shared budget when every target fails.
 func TestRetriesStayWithinSharedBudget(t *testing.T) {
 	v := fleet(1)
 	var all []*Balancer
@@ -128,7 +128,7 @@
 	}
 	limit := int(0.2*float64(requests)) + 60
 	if retries > limit || retries < limit/2 {
-		t.Errorf("%d further attempts for %d requests, want at most %d and at least half of that", retries, requests, limit)
+		t.Errorf("%d retries for %d requests, want at most %d and at least half of that", retries, requests, limit)
 	}
 }
 
@@ -141,7 +141,7 @@
 	for i := range 200 {
 		q := request(fmt.Sprint(i), begin)
 		if c := b.Choose(q, begin); c.Target == "b1-0" || c.Target == "a1-0" || c.Target == "a1-1" {
-			t.Fatalf("%s was chosen", c.Target)
+			t.Fatalf("chose %s, which may not be used", c.Target)
 		}
 	}
 }
@@ -154,32 +154,33 @@
 		q := request(fmt.Sprint(i), begin)
 		q.Route = &r
 		if c := b.Choose(q, begin); c.Target != "c1-0" && c.Target != "c2-0" {
-			t.Fatalf("%s was chosen", c.Target)
+			t.Fatalf("chose %s, which may not be used", c.Target)
 		}
 	}
 	r.AllowedRegions = []string{"nowhere"}
-	if c := b.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin); c.Reason != ReasonNoTarget || c.RetryAfter <= 0 {
-		t.Errorf("choice %+v, want a refusal for want of a target", c)
+	c := b.Choose(Request{Route: &r, Service: "s", Deadline: begin.Add(time.Second)}, begin)
+	if c.Reason != ReasonNoTarget || c.RetryAfter <= 0 {
+		t.Errorf("choice %+v, want a refusal with reason NoTarget and a retry time", c)
 	}
 }
 
-// A target turns requests away though it has free slots. The next one may be taken; the target is no
-// fuller than before.
+// Guards against treating a target as full when it sheds a request although it has a free slot.
 func TestShedWithFreeSlotAddsNoLoad(t *testing.T) {
 	b := newBalancer("a1", fleet(1))
 	r := Report{Target: "a1-0", Route: "r", Outcome: Shed, LoadKnown: true, Running: 1}
 	b.Start(Choice{Target: "a1-0"}, request("", begin), begin)
 	b.Finish(r, begin)
 	if !b.ShedWithFreeSlot(r) || b.targets["a1-0"].load(begin) > 1 {
-		t.Errorf("load %v", b.targets["a1-0"].load(begin))
+		t.Errorf("shed with a free slot not recognized, or load %v above 1", b.targets["a1-0"].load(begin))
 	}
 	r.Running, r.Waiting = 3, 9
 	if b.ShedWithFreeSlot(r) {
-		t.Error("a full target counts as having room")
+		t.Error("a full target counts as having a free slot")
 	}
 }
 
-// Whatever happens in whatever order, a choice names a target that may be used, and counts stay sound.
+// Guards against choices of targets that may not be used, and against wrong counts of requests in flight, after any sequence
+// of events.
 func TestRandomEventsKeepCountsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(1)
@@ -193,13 +194,13 @@
 				c := b.Choose(request(fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "object")), now), now)
 				if c.Target == "" {
 					if c.Reason == "" || c.RetryAfter <= 0 {
-						t.Fatalf("a refusal without reason or time: %+v", c)
+						t.Fatalf("refusal without a reason or a retry time: %+v", c)
 					}
 					continue
 				}
 				m := v.Targets[c.Target]
 				if m == nil || m.Draining || b.targets[c.Target].excluded || now.Before(b.targets[c.Target].backoffUntil) {
-					t.Fatalf("%s may not be used", c.Target)
+					t.Fatalf("chose %s, which may not be used", c.Target)
 				}
 				b.Start(c, request("x", now), now)
 				running[c.Target]++
@@ -225,15 +226,15 @@
 			}
 			for id, n := range running {
 				if t2 := b.targets[id]; t2 != nil && t2.inFlight != n {
-					t.Fatalf("%s has %d in flight, counted %d", id, n, t2.inFlight)
+					t.Fatalf("%s has %d requests in flight, counted %d", id, n, t2.inFlight)
 				}
 			}
 		}
 	})
 }
 
-// A target loses power. Nothing refuses a connection; its callers leave one after the other, and for
-// seconds all requests for its objects are sent there all the same.
+// Guards against requests that keep going to a target without power. No connection is refused, and the requests end only
+// when their callers disconnect.
 func TestUnresponsiveTargetIsAvoided(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	home := b.Choose(request("x", begin), begin).Target
@@ -253,12 +254,12 @@
 		b.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: 300 * time.Millisecond}, now)
 	}
 	if sent > 17 {
-		t.Errorf("%d of 40 requests in 4 s were sent to the silent target", sent)
+		t.Errorf("%d of 40 requests in 4 s were sent to the unresponsive target, want at most 17", sent)
 	}
 }
 
-// An operator adds a target to a service in use. All objects are warm elsewhere, and the new target got
-// nothing for the rest of the day.
+// Guards against a new target that stays idle because all objects are warm elsewhere. Once one got nothing for the rest of
+// the day.
 func TestNewTargetGetsRequestsWithinSeconds(t *testing.T) {
 	v := fleet(1)
 	b := newBalancer("a1", v)
@@ -274,7 +275,8 @@
 		ask(tick)
 	}
 	v.Apply(pafleet.TargetSaid{Target: pafleet.Target{
-		ID: "new", Service: "s", Zone: "a2", Slots: 3, Born: 1, Sequence: 1, Revision: 900, Address: netip.MustParseAddrPort("10.0.0.9:80"),
+		ID: "new", Service: "s", Zone: "a2", Slots: 3, Born: 1, Sequence: 1, Revision: 900,
+		Address: netip.MustParseAddrPort("10.0.0.9:80"),
 	}}, begin.Add(4*time.Second))
 	b.Update(v, begin.Add(4*time.Second))
 	for tick := 40; tick < 70; tick++ {
@@ -282,5 +284,5 @@
 			return
 		}
 	}
-	t.Error("the new target got nothing in 3 s")
+	t.Error("the new target got no request in 3 s")
 }
--- a/pasteer/cold_test.go
+++ b/pasteer/cold_test.go
@@ -9,8 +9,8 @@
 	"papayahead/paroute"
 )
 
-// A zone comes back cold under full load. In no second may all entry VMs together send a cold target
-// more than it bears: its rate with half of it above, and five.
+// Guards against all entry VMs together sending a cold target more than it bears when a zone comes back cold under full
+// load. A target bears 1.5 times its rate plus 5 requests in any second.
 func TestColdTargetRateLimit(t *testing.T) {
 	v := fleet(2)
 	for id, m := range v.Targets {
@@ -35,7 +35,7 @@
 		}
 	}
 	if len(sent) == 0 {
-		t.Fatal("cold targets get nothing at all")
+		t.Fatal("cold targets got no requests")
 	}
 	for id, at := range sent {
 		for i := range at {
@@ -46,29 +46,29 @@
 				}
 			}
 			if n > 8 {
-				t.Errorf("%s got %d requests within a second", id, n)
+				t.Errorf("cold target %s got %d requests within a second, want at most 8", id, n)
 			}
 		}
 	}
 }
 
-// A target refuses connections because it starts anew under its ID, cold. It must not get its full share
-// at once: a cold target crashes under that.
+// Guards against sending a full share of the traffic to a target that refused connections because it restarts under its ID.
+// It is cold then and would crash.
 func TestRefusedConnectionMarksTargetCold(t *testing.T) {
 	b := newBalancer("a1", fleet(1))
 	id := "a1-0"
 	b.Start(Choice{Target: id}, request("", begin), begin)
 	b.Finish(Report{Target: id, Route: "r", Outcome: Refused}, begin)
 	if !b.targets[id].isCold(begin.Add(time.Second)) {
-		t.Error("it counts as warm")
+		t.Error("the target does not count as cold")
 	}
 	if !begin.Before(b.targets[id].backoffUntil) {
-		t.Error("it is tried again at once")
+		t.Error("the target is tried again at once")
 	}
 }
 
-// The first run of an object takes three times as long as the next ones. Taken for a warm run, it makes all
-// waits look three times as long, and requests that could be answered in time are refused or run cold elsewhere.
+// Guards against counting the first run of an object, which takes three times as long as the next ones, as a warm run. All
+// expected waits would be three times too long, and requests would be refused or run cold elsewhere.
 func TestColdRunDoesNotCountAsWarm(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	q, now := request("x", begin), begin
@@ -79,25 +79,26 @@
 		b.Finish(Report{Target: c.Target, Route: "r", Object: "x", Outcome: Answered, Duration: took, Warm: c.Warm}, now)
 	}
 	if cold, warm := b.expectedRun(q, false), b.expectedRun(q, true); cold != 900*time.Millisecond || warm != 270*time.Millisecond {
-		t.Errorf("a cold run is expected to take %s and a warm one %s", cold, warm)
+		t.Errorf("expected times are %s for a cold run and %s for a warm one, want 900ms and 270ms", cold, warm)
 	}
 }
 
-// A region comes back from a loss of power with its entry VMs and its targets, which are cold. Its entry VMs
-// know of those elsewhere and not yet of each other; those elsewhere do not know that they are back. All of
-// them together sent a cold target several times what it bears, and it crashed.
+// Guards against overloading the cold targets of a region that comes back from a power failure together with its entry VMs.
+// These know the entry VMs elsewhere but not yet each other, and those elsewhere do not know yet that they are back. All
+// together once sent a cold target several times what it bears, and it crashed.
 func TestColdRateAfterRegionRestart(t *testing.T) {
 	testRegionRestart(t, route)
 }
 
-// The same, and only the targets of that region may be used, so that every request wants them. The entry VMs of
-// its one availability zone took the other for one without any, and sent to its targets too.
+// Guards against the same when only the targets of that region are allowed, so that every request competes for them. The
+// entry VMs in one of its availability zones once took the other zone for one without entry VMs and sent to its targets too.
 func TestColdRateAfterRestartOfOnlyAllowedRegion(t *testing.T) {
 	r := *route
 	r.AllowedRegions = []string{"c"}
 	testRegionRestart(t, &r)
 }
 
+// testRegionRestart checks how many requests the cold targets of region c get in the first second after its restart.
 func testRegionRestart(t *testing.T, r *paroute.Route) {
 	t.Helper()
 	v := fleet(1)
@@ -142,10 +143,10 @@
 	}
 	for _, id := range []string{"c1-0", "c2-0"} {
 		if sent[id] > 8 {
-			t.Errorf("the cold target %s got %d requests in a second, and bears 8", id, sent[id])
+			t.Errorf("cold target %s got %d requests in a second, want at most 8", id, sent[id])
 		}
 		if sent[id] == 0 {
-			t.Errorf("the cold target %s got nothing", id)
+			t.Errorf("cold target %s got no requests", id)
 		}
 	}
 }
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -10,8 +10,8 @@
 	"papayahead/pafleet"
 )
 
-// simulation plays load against a model of targets: three slots, a queue, 25 warm objects, and cold work that
-// takes more than three times as long as warm work.
+// simulation runs load against a model of targets, which have three slots, a queue and 25 warm objects. A cold run takes
+// more than three times as long as a warm one.
 type simulation struct {
 	balancers []*Balancer
 	targets   map[string]*simTarget
@@ -19,18 +19,18 @@
 	random    *rand.Rand
 	// arrived and inTime count requests by the second of their arrival.
 	arrived, inTime []int
-	// last is the region of the latest request for each object by each entry VM; sent and moved count
-	// requests, and those that went elsewhere, of callers of the region c, by the second.
+	// last is the region of the latest request for each object by each entry VM. sent counts the requests of callers of
+	// region c by the second, and moved those of them that went to another region than the one before.
 	view        *pafleet.View
 	last        map[string]string
 	sent, moved []int
-	// slowdown is how many times as long as usual all work takes.
+	// slowdown multiplies the time of all runs.
 	slowdown int
-	// useLeastLoaded replaces the choice by the least loaded target, as a baseline.
+	// useLeastLoaded sends each request to the least loaded target, as a baseline.
 	useLeastLoaded bool
-	// restricted is the share of requests that may run in the region c only.
+	// restricted is the fraction of requests that may run only in region c.
 	restricted float64
-	// countQueueTime counts the time that a request countQueueTime at its target as part of its run, as an entry VM sees it.
+	// countQueueTime includes the time in the target's queue in the reported duration, as an entry VM measures it.
 	countQueueTime bool
 }
 
@@ -89,7 +89,7 @@
 
 func (r *simulation) at(t time.Time, do func(now time.Time)) { heap.Push(&r.events, simEvent{t, do}) }
 
-// run plays a number of seconds at a rate of requests that may change each second.
+// run simulates a number of seconds. rate returns the number of requests in a second.
 func (r *simulation) run(rate func(second int) int, seconds int) {
 	for second := range seconds {
 		for range rate(second) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// arrive sends a request for an object, which callers of one region ask for.
+// arrive sends a request for the n-th object. All requests for an object come from callers of one region.
 func (r *simulation) arrive(n int, now time.Time) {
 	b := r.balancers[n%3*2+r.random.IntN(2)]
 	object := fmt.Sprintf("o%d", n)
@@ -134,8 +134,8 @@
 	r.startQueued(m, now)
 }
 
-// countMove counts a request of a caller of the region c, and whether it goes to another region than the one before
-// it for the same object, or than the first one would if no target had anything to do.
+// countMove counts a request of a caller of region c, and whether it goes to another region than the previous one for the
+// same object. The first one is compared with the choice for idle targets.
 func (r *simulation) countMove(b *Balancer, object, target string, second int) {
 	if b.Config.Region != "c" {
 		return
@@ -152,7 +152,7 @@
 	r.sent[second]++
 }
 
-// maxMoved returns the largest part of the requests of two seconds that went to another region than the ones before.
+// maxMoved returns the largest fraction of the requests in two seconds that went to another region than the ones before.
 func (r *simulation) maxMoved(seconds int) float64 {
 	largest := 0.0
 	for i := 0; i+2 <= seconds; i++ {
@@ -186,7 +186,7 @@
 	}
 }
 
-// markWarm keeps the 25 objects that were handled last.
+// markWarm makes the target warm for the object and evicts the least recently used one of more than 25.
 func (m *simTarget) markWarm(object string, now time.Time) {
 	m.warm[object] = now
 	if len(m.warm) <= 25 {
@@ -214,7 +214,7 @@
 	r.startQueued(m, now)
 }
 
-// runStart is the time from which a run counts.
+// runStart returns the time from which the duration of a run is measured.
 func (r *simulation) runStart(j job) time.Time {
 	if r.countQueueTime {
 		return j.arrived
@@ -231,8 +231,8 @@
 	return float64(inTime) / float64(asked)
 }
 
-// burstRate is 45 requests a second, which the targets bear warm at a third of their slots and not at all
-// cold, with three seconds of twice as many.
+// burstRate is 45 requests a second, and twice as many for three seconds. Warm runs at 45 a second take a third of the slots;
+// cold runs take more than all of them.
 func burstRate(second int) int {
 	if second >= 10 && second < 13 {
 		return 90
@@ -240,8 +240,8 @@
 	return 45
 }
 
-// After a burst callers wait longer than their target latency for the rest of the day: requests that
-// found the targets of their object busy ran cold at others, and cold work leaves no slot free.
+// Guards against a service that stays too slow after a burst. Requests that find the targets of their object busy run cold
+// at others, and cold runs leave no slot free.
 func TestRunsAreWarmAgainAfterBurst(t *testing.T) {
 	r, baseline := newSimulation(fleet(2), 30), newSimulation(fleet(2), 30)
 	baseline.useLeastLoaded = true
@@ -255,25 +255,24 @@
 	}
 }
 
-// Callers ask for three times what the targets bear, for many seconds. All who are not refused wait for
-// more than their target latency: queues stand at the targets' limit, and what is answered is answered
-// late. The targets could answer a third of all in time.
+// Guards against standing queues when callers send three times what the targets bear for many seconds. With full queues
+// every answer misses the target latency, although the targets could answer a third of all requests in time.
 func TestSomeAnswersInTimeUnderSaturation(t *testing.T) {
 	for _, countQueueTime := range []bool{false, true} {
 		r := newSimulation(fleet(2), 20)
 		r.countQueueTime = countQueueTime
 		r.run(func(int) int { return 400 }, 20)
 		s := r.inTimeShare(8, 20)
-		t.Logf("in time at saturation, with runs that count waits %t: %.3f", countQueueTime, s)
+		t.Logf("in time at saturation, with queue time counted %t: %.3f", countQueueTime, s)
 		if s < 0.1 {
-			t.Errorf("in time at saturation, with runs that count waits %t: %.3f", countQueueTime, s)
+			t.Errorf("in time at saturation, with queue time counted %t: %.3f", countQueueTime, s)
 		}
 	}
 }
 
-// A third of the callers live in a region with a sixth of the targets, and all work takes twice as long as
-// usual. The region's targets fill up while its objects run for the first time, and a quarter of all requests
-// went to other regions than the ones before them, over links and onto targets that others use.
+// Guards against moving too many requests to other regions at once. A third of the callers are in a region with a sixth of
+// the targets, and all runs take twice as long as usual. The region's targets fill up while its objects run for the first
+// time, and without the limit a quarter of the requests change region.
 func TestFullRegionStaysWithinMaxShift(t *testing.T) {
 	maxMoved := func(maxShift float64, countQueueTime bool) float64 {
 		v := fleet(2)
@@ -290,18 +289,19 @@
 	}
 	for _, countQueueTime := range []bool{false, true} {
 		unlimited, limited := maxMoved(0, countQueueTime), maxMoved(0.15, countQueueTime)
-		t.Logf("went to another region within 2 s: %.2f without a bound, %.2f with one of 0.15", unlimited, limited)
+		t.Logf("changed region within 2 s: %.2f without a limit, %.2f with a limit of 0.15", unlimited, limited)
 		if unlimited < 0.2 {
-			t.Errorf("only %.2f moved without a bound: the load shows nothing", unlimited)
+			t.Errorf("only %.2f changed region without a limit: the load is too low for this test", unlimited)
 		}
 		if limited > 0.15 {
-			t.Errorf("%.2f moved, more than the bound of 0.15", limited)
+			t.Errorf("%.2f changed region, want at most 0.15", limited)
 		}
 	}
 }
 
-// A third of the callers live in a region with few targets, and one request in six may run nowhere else. Each entry VM sees
-// few of the requests there and took its targets for free, so that what may run elsewhere filled their queues.
+// Guards against requests that fill the queues of a region with few targets although they may run elsewhere. A third of the
+// callers are there, and one request in six may run nowhere else. Each entry VM sees few of the requests there and takes the
+// targets for free.
 func TestRequestsLeaveCongestedRegion(t *testing.T) {
 	share := func(off bool) float64 {
 		v := fleet(2)
@@ -316,8 +316,8 @@
 		return r.inTimeShare(15, 40)
 	}
 	without, with := share(true), share(false)
-	t.Logf("in time: %.3f, with the region's queues not regarded %.3f", with, without)
+	t.Logf("in time: %.3f, without regard to congestion: %.3f", with, without)
 	if with < without+0.05 {
-		t.Errorf("in time: %.3f, with the region's queues not regarded %.3f", with, without)
+		t.Errorf("in time: %.3f, without regard to congestion: %.3f", with, without)
 	}
 }
--- a/pasteer/newtarget_test.go
+++ b/pasteer/newtarget_test.go
@@ -9,8 +9,8 @@
 	"papayahead/pafleet"
 )
 
-// Targets join under load, and word that one of them is in use takes seconds to all entry VMs. Each entry VM began the
-// use of each target by itself, and all that they sent ran cold.
+// Guards against every entry VM sending a first request to every new target. News that a target is in use takes seconds to
+// reach all entry VMs, and all those requests run cold.
 func TestFewFirstRequestsPerNewTarget(t *testing.T) {
 	v := fleet(2)
 	for i := range 12 {
@@ -49,7 +49,9 @@
 			q := request(fmt.Sprint("object-", (tick*7+k)%100), now)
 			if c := b.Choose(q, now); c.Target != "" {
 				b.Start(c, q, now)
-				b.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm}, now)
+				b.Finish(Report{
+					Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm,
+				}, now)
 				if !c.Warm && len(c.Target) > 3 && c.Target[:3] == "new" {
 					sent[c.Target]++
 				}
@@ -62,9 +64,9 @@
 	}
 	t.Logf("%d targets got %d cold runs in 3 s", len(sent), total)
 	if len(sent) < 10 {
-		t.Errorf("only %d of 10 targets were used within 3 s", len(sent))
+		t.Errorf("only %d of 10 new targets got a request within 3 s", len(sent))
 	}
 	if total > 3*len(sent) {
-		t.Errorf("%d cold runs at %d targets that joined", total, len(sent))
+		t.Errorf("%d cold runs at %d new targets, want at most 3 each", total, len(sent))
 	}
 }
--- a/pasteer/rotation_test.go
+++ b/pasteer/rotation_test.go
@@ -14,7 +14,8 @@
 	TargetLatency: 600 * time.Millisecond, Timeout: 3 * time.Second, MaxAttempts: 2,
 }
 
-// Guards against targets of the own availability zone that get nothing while one before them in the list has room.
+// Guards against targets of the entry VM's availability zone that get no requests while one before them in the list has a free
+// slot.
 func TestRequestsWithoutObjectUseAllTargetsOfZone(t *testing.T) {
 	for _, perZone := range []int{2, 4, 8, 12, 40} {
 		b := newBalancer("a1", fleet(perZone))
@@ -24,23 +25,29 @@
 			q := Request{Route: noAffinityRoute, Service: "s", Deadline: now.Add(3 * time.Second)}
 			c := b.Choose(q, now)
 			b.Start(c, q, now)
-			b.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
+			b.Finish(
+				Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond},
+				now.Add(300*time.Millisecond),
+			)
 			got[c.Target]++
 		}
 		for i := range perZone {
 			if n := got[fmt.Sprintf("a1-%d", i)]; n < 10 || n > 40 {
-				t.Errorf("%d targets: number %d got %d of %d requests, want about 20", perZone, i, n, 20*perZone)
+				t.Errorf("with %d targets, target %d got %d of %d requests, want about 20", perZone, i, n, 20*perZone)
 			}
 		}
 	}
 }
 
-// Guards against a target that gets the first request of every entry VM.
+// Guards against one target that gets the first request of every entry VM.
 func TestEntryVMsStartRotationAtDifferentTargets(t *testing.T) {
 	v := fleet(8)
 	got := map[string]int{}
 	for i := range 80 {
-		b := New(Config{Name: fmt.Sprint("entry-", i), Zone: "a1", Region: "a", Regions: regions, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60})
+		b := New(Config{
+			Name: fmt.Sprint("entry-", i), Zone: "a1", Region: "a", Regions: regions,
+			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryFloor: 60,
+		})
 		b.Update(v, begin)
 		got[b.Choose(Request{Route: noAffinityRoute, Service: "s", Deadline: begin.Add(3 * time.Second)}, begin).Target]++
 	}
--- a/pasteer/shift_test.go
+++ b/pasteer/shift_test.go
@@ -8,9 +8,9 @@
 	"papayahead/pafleet"
 )
 
-// The entry VMs of a region are stopped, and its callers come to an entry VM of another region that has just let
-// enough requests leave its own. Their objects are warm where they always ran, as a neighbour tells; kept in
-// the new entry VM's region they all run cold, and none of them had changed its region.
+// Guards against holding requests in the wrong region. The entry VMs of a region are stopped, and its callers come to an entry
+// VM of another region that has just reached MaxShift. A neighbour's notes say that their objects are warm where they always
+// ran. Held in the new entry VM's region they would all run cold.
 func TestObjectStaysInRegionWhereItIsWarm(t *testing.T) {
 	v := fleet(2)
 	b := newBalancer("a1", v)
@@ -21,7 +21,7 @@
 		b.shifts.events[b.shifts.bucketAt(now, shiftWindow)]++
 	}
 	if b.mayShift(now) {
-		t.Fatal("the entry VM may still let requests leave its region")
+		t.Fatal("requests may still leave the region")
 	}
 	b.ApplyNotes([]pafleet.WarmNote{{Target: "c1-1", Object: "x"}}, now)
 	if c := b.Choose(request("x", now), now); c.Target != "c1-1" || !c.Warm || c.Shifted {
@@ -29,8 +29,8 @@
 	}
 }
 
-// All entry VMs lose power, and more is warm than the store keeps: an object that had moved runs cold again, while
-// others that had not are kept for nothing.
+// Guards against another cold run of a displaced object after all entry VMs lost power, because the store's limit on notes was
+// spent on objects that are at their home and need no note.
 func TestWarmObjectsListsDisplacedFirst(t *testing.T) {
 	b := newBalancer("a1", fleet(2))
 	displaced := 0
@@ -57,6 +57,6 @@
 		want += b.displaced(b.targets[n.Target], hashPair("s", n.Object))
 	}
 	if found != min(want, 2*displaced) || found < displaced {
-		t.Errorf("%d of %d objects that moved are kept", found, want)
+		t.Errorf("%d of %d displaced objects are listed", found, want)
 	}
 }
--- a/pasteer/shortlist_test.go
+++ b/pasteer/shortlist_test.go
@@ -10,8 +10,8 @@
 	"papayahead/pafleet"
 )
 
-// A shortlist that misses a target would send an object elsewhere than the whole ranking says, and each entry VM to
-// another place.
+// Guards against a shortlist that misses a target, so that an object runs elsewhere than its full ranking says, and at a
+// different target for each entry VM.
 func TestShortlistChoosesSameTargetAsFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(rapid.IntRange(1, 12).Draw(t, "targets in a zone"))
@@ -28,14 +28,16 @@
 			}
 			got := b.Choose(q, now)
 			if got.Target != whole.Target || got.Shifted != whole.Shifted || got.Held != whole.Held {
-				t.Fatalf("chose %+v, by the whole ranking %+v", got, whole)
+				t.Fatalf("chose %+v, want %+v as from the full list", got, whole)
 			}
 			if got.Target == "" {
 				continue
 			}
 			b.Start(got, q, now)
 			o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, Lost, Refused, Shed}).Draw(t, "outcome")
-			b.Finish(Report{Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Duration: 300 * time.Millisecond, Warm: got.Warm}, now)
+			b.Finish(Report{
+				Target: got.Target, Route: "r", Object: q.Object, Outcome: o, Duration: 300 * time.Millisecond, Warm: got.Warm,
+			}, now)
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
 				v.Apply(pafleet.TargetGone{ID: got.Target, Revision: v.Revision + 1}, now)
 				b.Update(v, now)
@@ -44,7 +46,8 @@
 	})
 }
 
-// newLargeBalancer returns the Balancer of an entry VM of a service with a number of targets, each warm for two objects.
+// newLargeBalancer returns a Balancer for a service with the given number of targets, each warm for two objects on average, and
+// the objects.
 func newLargeBalancer(targets int) (*Balancer, []string) {
 	b := newBalancer("a1", fleet(targets/len(regions)))
 	var objects []string
@@ -58,7 +61,8 @@
 	return b, objects
 }
 
-// A decision that allocates, or that grows with the targets, holds up all requests behind the lock.
+// Guards against allocations in a decision. All requests wait for the lock that a decision holds, so it must neither allocate
+// nor take longer with more targets; BenchmarkChoose shows the latter.
 func TestChooseDoesNotAllocate(t *testing.T) {
 	b, objects := newLargeBalancer(600)
 	i := 0
@@ -67,7 +71,7 @@
 		i++
 	})
 	if got > 0 {
-		t.Errorf("%.2f allocations for a decision", got)
+		t.Errorf("%.2f allocations per decision, want 0", got)
 	}
 }
 
