--- a/pasteer/budget.go
+++ b/pasteer/budget.go
@@ -19,22 +19,22 @@
 }
 
 // bucketAt returns the index of the current bucket, after resetting it if it is from an earlier window.
-func (w *rollingCounter) bucketAt(now time.Time, length time.Duration) int {
+func (c *rollingCounter) bucketAt(now time.Time, length time.Duration) int {
 	tick := now.UnixNano() / int64(length/windowBuckets)
 	i := int(tick % windowBuckets)
-	if w.ticks[i] != tick {
-		w.ticks[i], w.requests[i], w.events[i] = tick, 0, 0
+	if c.ticks[i] != tick {
+		c.ticks[i], c.requests[i], c.events[i] = tick, 0, 0
 	}
 	return i
 }
 
 // totals returns the sums over the window of the given length that ends now.
-func (w *rollingCounter) totals(now time.Time, length time.Duration) (requests, events int) {
+func (c *rollingCounter) totals(now time.Time, length time.Duration) (requests, events int) {
 	tick := now.UnixNano() / int64(length/windowBuckets)
-	for i := range w.ticks {
-		if w.ticks[i] > tick-windowBuckets {
-			requests += w.requests[i]
-			events += w.events[i]
+	for i := range c.ticks {
+		if c.ticks[i] > tick-windowBuckets {
+			requests += c.requests[i]
+			events += c.events[i]
 		}
 	}
 	return requests, events
@@ -47,8 +47,9 @@
 
 // TakeRetry takes one retry from the service's budget and reports whether there was one.
 //
-// When many targets fail or shed at once, unbounded retries would take slots from first attempts. RetryFloor is divided
-// evenly among the entry VMs, so that their sum stays within it without any messages.
+// Retries are bounded because they compete with first attempts for slots. When many targets fail or shed requests at once,
+// no slots are to spare, and unbounded retries would add to the overload. RetryFloor is divided evenly among the entry VMs,
+// so that all of them together stay within it without exchanging messages.
 func (b *Balancer) TakeRetry(service string, now time.Time) bool {
 	svc := b.services[service]
 	if svc == nil {
--- a/pasteer/cold.go
+++ b/pasteer/cold.go
@@ -31,8 +31,9 @@
 	return now.Before(t.member.ColdUntil) || now.Before(t.suspectColdUntil)
 }
 
-// coldShare is the share of this entry VM in the rate that each cold target of an availability zone bears. It is number
-// index of the senders that send to them, in an order on which all entry VMs agree.
+// coldShare is the share of this entry VM in the rate that each cold target of an availability zone bears: a number of entry
+// VMs, the senders, send to these targets in turn, and index is this entry VM's position among them. All entry VMs compute
+// the same order.
 type coldShare struct{ index, senders int }
 
 const (
@@ -84,50 +85,50 @@
 		default:
 			continue
 		}
-		f := coldShare{senders: len(names) + 1}
-		own := hashPair(zone, b.Config.Name)
+		share := coldShare{senders: len(names) + 1}
+		ownHash := hashPair(zone, b.Config.Name)
 		for _, name := range names {
-			if hashPair(zone, name) > own {
-				f.index++
+			if hashPair(zone, name) > ownHash {
+				share.index++
 			}
 		}
 		if zone != b.Config.Zone {
-			f.senders = min(f.senders, maxColdSenders)
+			share.senders = min(share.senders, maxColdSenders)
 		}
-		if f.index < f.senders {
-			b.coldShares[zone] = f
+		if share.index < share.senders {
+			b.coldShares[zone] = share
 		}
 	}
 }
 
 // coldShareOf returns the share of this entry VM in the rate of the target's zone, and whether it has one.
 func (b *Balancer) coldShareOf(t *target, now time.Time) (coldShare, bool) {
-	f, ok := b.coldShares[t.member.Zone]
+	share, ok := b.coldShares[t.member.Zone]
 	if ok && now.Sub(b.startedAt) < startupGrace {
-		f.senders = max(f.senders, b.maxEntriesPerZone)
+		share.senders = max(share.senders, b.maxEntriesPerZone)
 		ok = t.distance == sameZone
 	}
-	return f, ok
+	return share, ok
 }
 
 // coldRate returns how many requests a second this entry VM may send to a cold target. Only the entry VMs of the target's
 // availability zone send to it, or a few others if the zone has none. They divide the rate that the target bears evenly,
 // without asking each other.
 func (b *Balancer) coldRate(t *target, now time.Time) float64 {
-	f, ok := b.coldShareOf(t, now)
+	share, ok := b.coldShareOf(t, now)
 	svc := b.services[t.member.Service]
 	if !ok || svc == nil {
 		return 0
 	}
-	return svc.settings.ColdRate / float64(f.senders)
+	return svc.settings.ColdRate / float64(share.senders)
 }
 
 // delayFirstCold delays the first request to a target that has just turned cold. The delays spread the first requests of
 // the senders over the interval that each of them waits between two requests.
 func (b *Balancer) delayFirstCold(t *target, now time.Time) {
-	f, ok := b.coldShareOf(t, now)
+	share, ok := b.coldShareOf(t, now)
 	if rate := b.coldRate(t, now); ok && rate > 0 {
-		turn := float64(f.index) / float64(f.senders)
-		t.coldBucket.refilledAt = later(t.coldBucket.refilledAt, now.Add(time.Duration(turn/rate*float64(time.Second))))
+		offset := float64(share.index) / float64(share.senders)
+		t.coldBucket.refilledAt = later(t.coldBucket.refilledAt, now.Add(time.Duration(offset/rate*float64(time.Second))))
 	}
 }
--- a/pasteer/congestion.go
+++ b/pasteer/congestion.go
@@ -23,17 +23,17 @@
 }
 
 // decayed returns the average, decayed until now.
-func (p *excessTime) decayed(now time.Time) time.Duration {
-	if p == nil || p.value == 0 {
+func (e *excessTime) decayed(now time.Time) time.Duration {
+	if e == nil || e.value == 0 {
 		return 0
 	}
-	return time.Duration(float64(p.value) * math.Exp2(-float64(now.Sub(p.at))/float64(excessHalfLife)))
+	return time.Duration(float64(e.value) * math.Exp2(-float64(now.Sub(e.at))/float64(excessHalfLife)))
 }
 
 // observe adds a run to the average. A negative excess counts as 0.
-func (p *excessTime) observe(excess time.Duration, now time.Time) {
-	previous := p.decayed(now)
-	p.value, p.at = previous+time.Duration(excessWeight*float64(max(0, excess)-previous)), now
+func (e *excessTime) observe(excess time.Duration, now time.Time) {
+	previous := e.decayed(now)
+	e.value, e.at = previous+time.Duration(excessWeight*float64(max(0, excess)-previous)), now
 }
 
 // observeExcess adds a run at a target to the average of the target's region.
@@ -42,17 +42,17 @@
 	if svc == nil || usual == 0 {
 		return
 	}
-	p := svc.excess[t.region]
-	if p == nil {
-		p = &excessTime{}
-		svc.excess[t.region] = p
+	average := svc.excess[t.region]
+	if average == nil {
+		average = &excessTime{}
+		svc.excess[t.region] = average
 	}
 	excess := r.Duration - roundTripTime[t.distance] - usual
 	if r.LoadKnown && r.Waiting == 0 {
 		// Nothing is queued at the target: the run itself took longer.
 		excess = 0
 	}
-	p.observe(excess, now)
+	average.observe(excess, now)
 }
 
 // congestion returns how much longer than usual a run in the region is expected to take if that justifies sending the
--- a/pasteer/home.go
+++ b/pasteer/home.go
@@ -15,8 +15,9 @@
 	maxHomes = 6
 )
 
-// homeCount returns how many targets at the start of an object's ranking may be its home. The home is the first of them
-// or, if that is in another region, the first one in this region. A cold run takes about the target latency.
+// homeCount returns how many targets of an object's ranking are considered for its home. The home is the first of the ranking.
+// If that is in another region, it is the first of the next homeCount-1 targets that is in this region. The count assumes
+// that a cold run takes the target latency.
 func (b *Balancer) homeCount(r *paroute.Route) int {
 	if b.Config.Off.FurtherHomes {
 		return 1
--- a/pasteer/newtarget.go
+++ b/pasteer/newtarget.go
@@ -45,10 +45,10 @@
 // come first, then the others of the region, both ordered by hash.
 func (b *Balancer) newTargetOf(t *target) newTarget {
 	before := 0
-	own := rendezvousWeight(t.hash, b.hash)
+	ownWeight := rendezvousWeight(t.hash, b.hash)
 	for _, e := range b.regionPeers {
 		first := e.zone == t.member.Zone
-		if same := first == (b.Config.Zone == t.member.Zone); same && rendezvousWeight(t.hash, e.hash) > own || !same && first {
+		if same := first == (b.Config.Zone == t.member.Zone); same && rendezvousWeight(t.hash, e.hash) > ownWeight || !same && first {
 			before++
 		}
 	}
--- a/pasteer/note.go
+++ b/pasteer/note.go
@@ -19,18 +19,21 @@
 	maxNotedTimes = 64
 )
 
-// noteLog is a ring buffer of notes that neighbours fetch, in the order in which this entry VM learned of them.
+// noteLog is a ring buffer of notes that neighbours fetch, in the order in which this entry VM learned of them. The zero
+// value is ready for use.
 type noteLog struct {
 	ring []loggedNote
 	// lastSeq is the sequence number of the latest note; the first one has 1.
 	lastSeq uint64
 }
 
+// loggedNote is a note that a target handled an object at a time.
 type loggedNote struct {
 	target, object string
 	at             time.Time
 }
 
+// add appends a note, replacing the oldest one if the buffer is full.
 func (l *noteLog) add(n loggedNote) {
 	if len(l.ring) < maxNotes {
 		l.ring = append(l.ring, n)
@@ -65,7 +68,8 @@
 // ApplyNotes applies a neighbour's notes and logs the new ones for other neighbours.
 //
 // With more objects than targets keep warm, a late note on an object that was evicted meanwhile counted as new and
-// circulated among the neighbours without end. A note counts as new only if it is later than the latest one known.
+// circulated among the neighbours without end. So a note counts as new only if it is minNoteAdvance later than the latest
+// one known, even if the object was evicted.
 func (b *Balancer) ApplyNotes(all []pafleet.WarmNote, now time.Time) {
 	if b.Config.Off.Notes {
 		return
@@ -103,7 +107,7 @@
 // applyNote records that the target handled the object at the given time, and reports whether that is new.
 func (b *Balancer) applyNote(t *target, object string, at time.Time) bool {
 	key := hashPair(t.member.Service, object)
-	if told, ok := t.warm.notedAt[key]; ok && at.Sub(told) < minNoteAdvance {
+	if latest, ok := t.warm.notedAt[key]; ok && at.Sub(latest) < minNoteAdvance {
 		return false
 	}
 	t.warm.setNoted(key, at)
--- a/pasteer/outcome.go
+++ b/pasteer/outcome.go
@@ -49,7 +49,7 @@
 	Route   string
 	Object  string
 	Outcome Outcome
-	// Duration is the time from the start of the attempt until its end.
+	// Duration is the time from the start of the attempt until the response header arrived or the attempt failed.
 	Duration time.Duration
 	// Warm is copied from the Choice.
 	Warm bool
@@ -96,7 +96,8 @@
 	b.recordUse(t, q.Object, now)
 }
 
-// updateFullSince records since when the target has no free slot.
+// updateFullSince records since when the target has no free slot. Without a recent load report a target counts as full while
+// requests of this entry VM are outstanding.
 func (t *target) updateFullSince(now time.Time) {
 	switch {
 	case t.load(now) < t.slots() && (t.inFlight == 0 || now.Sub(t.otherLoadAt) <= otherLoadTTL):
@@ -107,8 +108,8 @@
 }
 
 const (
-	// unresponsiveRuns is for how many cold runs a target may answer nothing before it counts as unresponsive;
-	// minUnresponsive is the minimum of that time.
+	// unresponsiveRuns is the time, in expected cold runs, after which a target that answers nothing counts as
+	// unresponsive; minUnresponsive is the minimum of that time.
 	unresponsiveRuns = 2
 	minUnresponsive  = time.Second
 	// unresponsiveRetryInterval is the time between two requests to an unresponsive target.
--- a/pasteer/pick.go
+++ b/pasteer/pick.go
@@ -25,7 +25,7 @@
 // waits for a warm target until that costs more than a cold run, including what a cold run takes from other requests.
 func (b *Balancer) pick(svc *service, all []candidate, q Request, now time.Time) Choice {
 	var best Choice
-	var least time.Duration
+	var lowestCost time.Duration
 	if t := b.pickNewTarget(svc, all, q, now); t != nil {
 		return Choice{Target: t.member.ID, Address: t.member.Address, Born: t.member.Born, finish: b.expectedRun(q, false)}
 	}
@@ -37,8 +37,8 @@
 	}
 	first := b.firstUncongested(svc, usable, q, now)
 	for i, c := range usable {
-		shifts := region != "" && c.target.region != region
-		if held && shifts {
+		shifted := region != "" && c.target.region != region
+		if held && shifted {
 			continue
 		}
 		warm := c.target.warm.has(q.key(), now)
@@ -50,11 +50,11 @@
 		e := b.estimate(c.target, q, warm, now)
 		// In a congested region the request also delays those that can run nowhere else.
 		e.cost += 2 * b.congestion(svc, c.target.region, q, now)
-		if best.Target == "" || e.cost < least {
-			least = e.cost
+		if best.Target == "" || e.cost < lowestCost {
+			lowestCost = e.cost
 			best = Choice{
 				Target: c.target.member.ID, Address: c.target.member.Address, Born: c.target.member.Born,
-				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifts, Held: held,
+				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifted, Held: held,
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 	return usable
 }
 
-// estimate is the expected treatment of a request at a target.
+// estimate is what a request is expected to encounter at a target.
 type estimate struct {
 	// load is the load per slot, with a penalty for failures. wait and finish are those of Choice; cost is finish plus
 	// the weighted slot time that a cold run takes beyond a warm one.
@@ -94,18 +94,19 @@
 // otherwise alike.
 var roundTripTime = [...]time.Duration{sameZone: 0, sameRegion: 0, otherRegion: 70 * time.Millisecond}
 
-// estimate returns the expected treatment of the request at the target.
+// estimate returns the expected load, times and cost of sending the request to the target. warm is whether the target is
+// warm for the request's object.
 func (b *Balancer) estimate(t *target, q Request, warm bool, now time.Time) estimate {
 	load := t.load(now)
 	e := estimate{load: load / t.slots()}
 	if t.errorRate > maxErrorRate && !b.Config.Off.GreyTargets {
 		e.load += errorRatePenalty
 	}
-	work := b.expectedRun(q, true)
-	e.wait = time.Duration(max(0, (e.load*t.slots()+1-t.slots())/t.slots()) * float64(work))
+	warmRun := b.expectedRun(q, true)
+	e.wait = time.Duration(max(0, (e.load*t.slots()+1-t.slots())/t.slots()) * float64(warmRun))
 	run := b.expectedRun(q, warm)
 	e.finish = roundTripTime[t.distance] + e.wait + run
-	e.cost = e.finish + time.Duration(coldCostWeight*float64(run-work))
+	e.cost = e.finish + time.Duration(coldCostWeight*float64(run-warmRun))
 	return e
 }
 
--- a/pasteer/shift.go
+++ b/pasteer/shift.go
@@ -21,18 +21,18 @@
 	recent, previous map[uint64]string
 }
 
-func (p *lastTargets) get(object uint64) string {
-	if t, ok := p.recent[object]; ok {
+func (l *lastTargets) get(object uint64) string {
+	if t, ok := l.recent[object]; ok {
 		return t
 	}
-	return p.previous[object]
+	return l.previous[object]
 }
 
-func (p *lastTargets) put(object uint64, target string) {
-	if p.recent == nil || len(p.recent) >= maxLastTargets {
-		p.previous, p.recent = p.recent, map[uint64]string{}
+func (l *lastTargets) put(object uint64, target string) {
+	if l.recent == nil || len(l.recent) >= maxLastTargets {
+		l.previous, l.recent = l.recent, map[uint64]string{}
 	}
-	p.recent[object] = target
+	l.recent[object] = target
 }
 
 // lastTargetKey is the request's key in lastTargets. It includes the regions that the workspace allows, since requests that
@@ -55,18 +55,18 @@
 	if !q.hasAffinity() || len(q.Tried) > 0 {
 		return ""
 	}
-	home := all[b.defaultHome(all, q.Route)].target
+	current := all[b.defaultHome(all, q.Route)].target
 	if last := b.lastTargets.get(q.lastTargetKey()); last != "" {
-		home = b.targets[last]
+		current = b.targets[last]
 	} else if i := slices.IndexFunc(usable, func(c candidate) bool { return c.target.warm.has(q.key(), now) }); i >= 0 {
-		home = usable[i].target
+		current = usable[i].target
 	}
-	if home == nil || !eligible(home, q) {
+	if current == nil || !eligible(current, q) {
 		return ""
 	}
-	if slices.ContainsFunc(usable, func(c candidate) bool { return c.target.region == home.region }) ||
-		b.bestInRegion(svc, home.region, q, now) != nil {
-		return home.region
+	if slices.ContainsFunc(usable, func(c candidate) bool { return c.target.region == current.region }) ||
+		b.bestInRegion(svc, current.region, q, now) != nil {
+		return current.region
 	}
 	return ""
 }
--- a/pasteer/warm.go
+++ b/pasteer/warm.go
@@ -161,18 +161,18 @@
 }
 
 // of returns the average time of warm or cold runs, or 0 before the first one.
-func (w *runTimes) of(warm bool) time.Duration {
+func (r *runTimes) of(warm bool) time.Duration {
 	if warm {
-		return w.warm
+		return r.warm
 	}
-	return w.cold
+	return r.cold
 }
 
 // add adds a run to the average of warm or cold runs.
-func (w *runTimes) add(warm bool, duration time.Duration) {
-	average := &w.cold
+func (r *runTimes) add(warm bool, duration time.Duration) {
+	average := &r.cold
 	if warm {
-		average = &w.warm
+		average = &r.warm
 	}
 	if *average == 0 {
 		*average = duration
@@ -183,12 +183,12 @@
 
 // runTimesOf returns the run times of a route, creating them if needed.
 func (b *Balancer) runTimesOf(route string) *runTimes {
-	w := b.runTimes[route]
-	if w == nil {
-		w = &runTimes{}
-		b.runTimes[route] = w
+	r := b.runTimes[route]
+	if r == nil {
+		r = &runTimes{}
+		b.runTimes[route] = r
 	}
-	return w
+	return r
 }
 
 // defaultWarmRatio is the assumed ratio of the times of warm and cold runs before the first warm run.
@@ -197,16 +197,16 @@
 // expectedRun returns the expected time of a warm or cold run, without time in a queue. Before the first cold run the target
 // latency stands for its time.
 func (b *Balancer) expectedRun(q Request, warm bool) time.Duration {
-	w := b.runTimesOf(q.Route.Name)
-	cold := w.cold
+	r := b.runTimesOf(q.Route.Name)
+	cold := r.cold
 	if cold == 0 {
 		cold = q.Route.TargetLatency
 	}
 	switch {
 	case !warm:
 		return cold
-	case w.warm > 0:
-		return min(w.warm, cold)
+	case r.warm > 0:
+		return min(r.warm, cold)
 	}
 	return time.Duration(defaultWarmRatio * float64(cold))
 }
