--- a/pasteer/balancer.go
+++ b/pasteer/balancer.go
@@ -233,6 +233,7 @@
 // read of the store 1 s.
 const coldAfterEvacuation = 2500 * time.Millisecond
 
+// distance returns the distance of a target in the given zone and region.
 func (b *Balancer) distance(zone, region string) int {
 	switch {
 	case zone == b.Config.Zone:
@@ -250,6 +251,7 @@
 	otherRegion
 )
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/pasteer/rank.go
+++ b/pasteer/rank.go
@@ -12,7 +12,8 @@
 	// maxRanked is how many targets of an object's ranking are cached: its homes, and others to replace homes that drain,
 	// fail or are full.
 	maxRanked = 16
-	// minRanked is the length of a ranking from which no target is removed; the ranking is dropped and recomputed instead.
+	// minRanked is the shortest length of a cached ranking that lost a target. A ranking that would get shorter is dropped
+	// and recomputed at its next use.
 	minRanked = 8
 	// maxRankings is how many rankings each of the two generations of a rankingCache holds.
 	maxRankings = 4096
@@ -47,7 +48,8 @@
 	return top
 }
 
-// put stores a ranking in the recent generation. If that is full, it replaces the previous generation first.
+// put stores a ranking in the recent generation. If that is full, it first becomes the previous generation, and the former
+// previous one is dropped.
 func (r *rankingCache) put(object uint64, top []ranked) {
 	if r.recent == nil || len(r.recent) >= maxRankings {
 		r.previous, r.recent = r.recent, map[uint64][]ranked{}
--- a/pasteer/shortlist.go
+++ b/pasteer/shortlist.go
@@ -88,6 +88,7 @@
 	return slices.ContainsFunc(l.all, func(c candidate) bool { return c.target == t })
 }
 
+// byRank orders candidates by their rendezvous weight, the highest first.
 func byRank(a, b candidate) int { return cmp.Compare(b.hash, a.hash) }
 
 // addCandidate adds a target to the list if it is eligible.
