--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -35,7 +35,7 @@
 		if last == kept {
 			continue
 		}
-		err := g.storeCall(ctx, "KeepWarm", func(ctx context.Context) error { return g.config.Registry.KeepWarm(ctx, notes) })
+		err := g.storeCall(ctx, "KeepWarm", func(ctx context.Context) error { return g.config.Registry.SaveWarmNotes(ctx, notes) })
 		switch {
 		case err == nil:
 			kept = last
@@ -48,7 +48,7 @@
 // takeWarm hands what the store kept to the steering, once the targets are known.
 func (g *Gate) takeWarm(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
-		if k, ok := c.(pafleet.WarmKept); ok {
+		if k, ok := c.(pafleet.WarmSnapshot); ok {
 			g.steering.Lock()
 			g.steer.ApplyStoredNotes(k.Notes, now)
 			g.steering.Unlock()
--- a/pasteer/balancer.go
+++ b/pasteer/balancer.go
@@ -80,7 +80,7 @@
 
 // target is the state of a target from its start to its end; a restart under the same ID makes a new one.
 type target struct {
-	member pafleet.Member
+	member pafleet.TargetState
 	// hash is the hash of the target's ID.
 	hash   uint64
 	region string
@@ -189,7 +189,7 @@
 }
 
 // updateTarget applies what the view says of a target.
-func (b *Balancer) updateTarget(id string, m *pafleet.Member, v *pafleet.View, now time.Time) {
+func (b *Balancer) updateTarget(id string, m *pafleet.TargetState, v *pafleet.View, now time.Time) {
 	t := b.targets[id]
 	if t == nil || t.member.Born != m.Born || t.member.Address != m.Address || t.member.Service != m.Service ||
 		t.member.Zone != m.Zone {
@@ -203,7 +203,7 @@
 	t.distance = b.distance(m.Zone, t.region)
 	_, evacuated := v.Evacuated[m.Zone]
 	t.excluded = m.Draining || evacuated
-	if at, ok := v.Restored[m.Zone]; ok && now.Sub(at) < coldAfterEvacuation {
+	if at, ok := v.RestoredAt[m.Zone]; ok && now.Sub(at) < coldAfterEvacuation {
 		// Targets may have turned cold while their availability zone was evacuated. Their own report of that takes
 		// a heartbeat and a read of the store to arrive, and full traffic before then crashes them.
 		t.suspectColdUntil = later(t.suspectColdUntil, at.Add(coldAfterEvacuation))
@@ -217,7 +217,7 @@
 }
 
 // addTarget creates the state of a target that is new or restarted.
-func (b *Balancer) addTarget(id string, m *pafleet.Member, now time.Time) *target {
+func (b *Balancer) addTarget(id string, m *pafleet.TargetState, now time.Time) *target {
 	t := &target{hash: xxhash.Sum64String(id), region: b.Config.Regions[m.Zone]}
 	b.targets[id] = t
 	if b.used[m.Service] {
--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -114,7 +114,7 @@
 
 // allows reports whether the request may be handled in a region.
 func (q Request) allows(region string) bool {
-	return paroute.Allows(q.Route.AllowedRegions, region) && paroute.Allows(q.Regions, region)
+	return paroute.AllowsRegion(q.Route.AllowedRegions, region) && paroute.AllowsRegion(q.Regions, region)
 }
 
 // hasAffinity reports whether the request prefers the homes of its object and the targets that are warm for it.
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -277,7 +277,7 @@
 	maxMoved := func(maxShift float64, countQueueTime bool) float64 {
 		v := fleet(2)
 		for _, id := range []string{"c1-1", "c2-1"} {
-			v.Apply(pafleet.TargetGone{ID: id, Revision: 1000}, begin)
+			v.Apply(pafleet.TargetRemoved{ID: id, Revision: 1000}, begin)
 		}
 		r := newSimulation(v, 12)
 		r.slowdown, r.countQueueTime = 2, countQueueTime
@@ -305,8 +305,8 @@
 func TestRequestsLeaveCongestedRegion(t *testing.T) {
 	share := func(off bool) float64 {
 		v := fleet(2)
-		v.Apply(pafleet.TargetGone{ID: "c1-1", Revision: 1000}, begin)
-		v.Apply(pafleet.TargetGone{ID: "c2-1", Revision: 1001}, begin)
+		v.Apply(pafleet.TargetRemoved{ID: "c1-1", Revision: 1000}, begin)
+		v.Apply(pafleet.TargetRemoved{ID: "c2-1", Revision: 1001}, begin)
 		r := newSimulation(v, 40)
 		r.restricted, r.countQueueTime = 1.0/6, true
 		for _, b := range r.balancers {
