--- a/pasteer/balancer.go
+++ b/pasteer/balancer.go
@@ -80,7 +80,8 @@
 
 // target is the state of a target from its start to its end; a restart under the same ID makes a new one.
 type target struct {
-	member pafleet.TargetState
+	// state is what the fleet view says of the target.
+	state pafleet.TargetState
 	// hash is the hash of the target's ID.
 	hash   uint64
 	region string
@@ -182,24 +183,24 @@
 // removeTarget drops the state of a target that restarted or is gone.
 func (b *Balancer) removeTarget(t *target) {
 	b.clearWarm(t)
-	if svc := b.services[t.member.Service]; svc != nil {
+	if svc := b.services[t.state.Service]; svc != nil {
 		svc.rankings.remove(t)
 	}
-	delete(b.targets, t.member.ID)
+	delete(b.targets, t.state.ID)
 }
 
 // updateTarget applies what the view says of a target.
 func (b *Balancer) updateTarget(id string, m *pafleet.TargetState, v *pafleet.View, now time.Time) {
 	t := b.targets[id]
-	if t == nil || t.member.Born != m.Born || t.member.Address != m.Address || t.member.Service != m.Service ||
-		t.member.Zone != m.Zone {
+	if t == nil || t.state.Born != m.Born || t.state.Address != m.Address || t.state.Service != m.Service ||
+		t.state.Zone != m.Zone {
 		if t != nil {
 			b.removeTarget(t)
 		}
 		t = b.addTarget(id, m, now)
 	}
 	wasCold := t.isCold(now)
-	t.member = *m
+	t.state = *m
 	t.distance = b.distance(m.Zone, t.region)
 	_, evacuated := v.Evacuated[m.Zone]
 	t.excluded = m.Draining || evacuated
--- a/pasteer/choose.go
+++ b/pasteer/choose.go
@@ -136,5 +136,5 @@
 }
 
 func sortByID(all []*target) {
-	slices.SortFunc(all, func(a, b *target) int { return cmp.Compare(a.member.ID, b.member.ID) })
+	slices.SortFunc(all, func(a, b *target) int { return cmp.Compare(a.state.ID, b.state.ID) })
 }
--- a/pasteer/cold.go
+++ b/pasteer/cold.go
@@ -28,7 +28,7 @@
 
 // isCold reports whether the target reports that it is cold, or is presumed cold.
 func (t *target) isCold(now time.Time) bool {
-	return now.Before(t.member.ColdUntil) || now.Before(t.suspectColdUntil)
+	return now.Before(t.state.ColdUntil) || now.Before(t.suspectColdUntil)
 }
 
 // coldShare is the share of this entry VM in the rate that each cold target of an availability zone bears: a number of entry
@@ -103,7 +103,7 @@
 
 // coldShareOf returns the share of this entry VM in the rate of the target's zone, and whether it has one.
 func (b *Balancer) coldShareOf(t *target, now time.Time) (coldShare, bool) {
-	share, ok := b.coldShares[t.member.Zone]
+	share, ok := b.coldShares[t.state.Zone]
 	if ok && now.Sub(b.startedAt) < startupGrace {
 		share.senders = max(share.senders, b.maxEntriesPerZone)
 		ok = t.distance == sameZone
@@ -116,7 +116,7 @@
 // without asking each other.
 func (b *Balancer) coldRate(t *target, now time.Time) float64 {
 	share, ok := b.coldShareOf(t, now)
-	svc := b.services[t.member.Service]
+	svc := b.services[t.state.Service]
 	if !ok || svc == nil {
 		return 0
 	}
--- a/pasteer/congestion.go
+++ b/pasteer/congestion.go
@@ -38,7 +38,7 @@
 
 // observeExcess adds a run at a target to the average of the target's region.
 func (b *Balancer) observeExcess(t *target, r Report, now time.Time) {
-	svc, usual := b.services[t.member.Service], b.runTimesOf(r.Route).of(r.Warm)
+	svc, usual := b.services[t.state.Service], b.runTimesOf(r.Route).of(r.Warm)
 	if svc == nil || usual == 0 {
 		return
 	}
--- a/pasteer/load_test.go
+++ b/pasteer/load_test.go
@@ -165,7 +165,7 @@
 	best, least := "", 0.0
 	for _, t := range b.services["s"].targets {
 		if l := t.load(now); best == "" || l < least {
-			best, least = t.member.ID, l
+			best, least = t.state.ID, l
 		}
 	}
 	return best
--- a/pasteer/newtarget.go
+++ b/pasteer/newtarget.go
@@ -47,8 +47,8 @@
 	before := 0
 	ownWeight := rendezvousWeight(t.hash, b.hash)
 	for _, e := range b.regionPeers {
-		first := e.zone == t.member.Zone
-		if same := first == (b.Config.Zone == t.member.Zone); same && rendezvousWeight(t.hash, e.hash) > ownWeight || !same && first {
+		first := e.zone == t.state.Zone
+		if same := first == (b.Config.Zone == t.state.Zone); same && rendezvousWeight(t.hash, e.hash) > ownWeight || !same && first {
 			before++
 		}
 	}
--- a/pasteer/note.go
+++ b/pasteer/note.go
@@ -106,7 +106,7 @@
 
 // applyNote records that the target handled the object at the given time, and reports whether that is new.
 func (b *Balancer) applyNote(t *target, object string, at time.Time) bool {
-	key := hashPair(t.member.Service, object)
+	key := hashPair(t.state.Service, object)
 	if latest, ok := t.warm.notedAt[key]; ok && at.Sub(latest) < minNoteAdvance {
 		return false
 	}
@@ -119,7 +119,7 @@
 	if object == "" {
 		return
 	}
-	key := hashPair(t.member.Service, object)
+	key := hashPair(t.state.Service, object)
 	known := t.warm.has(key, now)
 	b.addWarm(t, key, object, now)
 	since := now.Sub(t.warm.notedAt[key])
@@ -127,5 +127,5 @@
 		return
 	}
 	t.warm.setNoted(key, now)
-	b.notes.add(loggedNote{t.member.ID, object, now})
+	b.notes.add(loggedNote{t.state.ID, object, now})
 }
--- a/pasteer/outcome.go
+++ b/pasteer/outcome.go
@@ -82,7 +82,7 @@
 		return
 	}
 	t.inFlight++
-	t.used, b.used[t.member.Service] = true, true
+	t.used, b.used[t.state.Service] = true, true
 	if t.unresponsiveAt.IsZero() {
 		t.unresponsiveAt = now.Add(max(minUnresponsive, c.wait+unresponsiveRuns*b.expectedRun(q, false)))
 	} else if t.unresponsive(now) {
--- a/pasteer/pick.go
+++ b/pasteer/pick.go
@@ -27,7 +27,7 @@
 	var best Choice
 	var lowestCost time.Duration
 	if t := b.pickNewTarget(svc, all, q, now); t != nil {
-		return Choice{Target: t.member.ID, Address: t.member.Address, Born: t.member.Born, finish: b.expectedRun(q, false)}
+		return Choice{Target: t.state.ID, Address: t.state.Address, Born: t.state.Born, finish: b.expectedRun(q, false)}
 	}
 	usable := b.filterUsable(all)
 	region := b.currentRegion(svc, all, usable, q, now)
@@ -53,7 +53,7 @@
 		if best.Target == "" || e.cost < lowestCost {
 			lowestCost = e.cost
 			best = Choice{
-				Target: c.target.member.ID, Address: c.target.member.Address, Born: c.target.member.Born,
+				Target: c.target.state.ID, Address: c.target.state.Address, Born: c.target.state.Born,
 				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifted, Held: held,
 			}
 		}
@@ -123,7 +123,7 @@
 )
 
 // slots returns the number of slots of the target, at least 1.
-func (t *target) slots() float64 { return float64(max(1, t.member.Slots)) }
+func (t *target) slots() float64 { return float64(max(1, t.state.Slots)) }
 
 // otherLoadTTL is how long a target's load report counts: about the time of a warm run.
 const otherLoadTTL = 500 * time.Millisecond
--- a/pasteer/shortlist.go
+++ b/pasteer/shortlist.go
@@ -110,7 +110,7 @@
 // eligible reports whether the target may handle the request at all: it is not excluded, in an allowed region and not tried
 // yet.
 func eligible(t *target, q Request) bool {
-	return !t.excluded && q.allows(t.region) && !slices.Contains(q.Tried, t.member.ID)
+	return !t.excluded && q.allows(t.region) && !slices.Contains(q.Tried, t.state.ID)
 }
 
 // mayTakeCold reports whether the rate limit of a cold target allows this entry VM to send it a request now.
--- a/pasteer/warm.go
+++ b/pasteer/warm.go
@@ -137,7 +137,7 @@
 
 // displaced returns 0 if the target ranks first for the object, and 1 if it does not.
 func (b *Balancer) displaced(t *target, key uint64) int {
-	svc := b.services[t.member.Service]
+	svc := b.services[t.state.Service]
 	if svc == nil {
 		return 0
 	}
