--- a/pasteer/pick.go
+++ b/pasteer/pick.go
@@ -5,127 +5,133 @@
 	"time"
 )
 
-// usableOf returns the candidates that may get the request now.
-func (s *Balancer) usableOf(all []candidate) []candidate {
-	usable := s.scratchUsable[:0]
+// filterUsable returns the usable candidates. The result is valid until the next call.
+func (b *Balancer) filterUsable(all []candidate) []candidate {
+	usable := b.scratchUsable[:0]
 	for _, c := range all {
 		if c.usable {
 			usable = append(usable, c)
 		}
 	}
-	s.scratchUsable = usable
+	b.scratchUsable = usable
 	return usable
 }
 
-// pick takes the candidate with the least cost, or refuses where none can answer in time.
+// pick selects the candidate with the lowest cost, or refuses the request if it cannot be answered in time.
 //
-// Load: a burst, or targets that came back, so that the targets of an object have no free slot for a
-// while. Harm prevented: sending the request to any free target looks quick, but there it takes three
-// times the slot time of warm work and pushes another object out; soon all work everywhere is cold
-// and the service has a third of its capacity, long after the burst. So waiting at a warm target is
-// preferred until it costs more than the cold run and what that takes from others.
-func (s *Balancer) pick(g *service, all []candidate, q Request, now time.Time) Choice {
+// After a burst or a restart the targets of an object may have no free slot for a while. Sending the request to any free
+// target seems faster, but a cold run occupies the slot three times as long as a warm one and evicts another object from
+// that target; soon all runs are cold, and the service has a third of its capacity long after the burst. So the request
+// waits for a warm target until that costs more than a cold run, including what a cold run takes from other requests.
+func (b *Balancer) pick(svc *service, all []candidate, q Request, now time.Time) Choice {
 	var best Choice
-	var least time.Duration
-	if t := s.newcomer(g, all, q, now); t != nil {
-		return Choice{Target: t.member.ID, Address: t.member.Address, Born: t.member.Born, finish: s.expected(q, false)}
+	var lowestCost time.Duration
+	if t := b.pickNewTarget(svc, all, q, now); t != nil {
+		return Choice{Target: t.state.ID, Address: t.state.Address, Born: t.state.Born, finish: b.expectedRun(q, false)}
 	}
-	usable := s.usableOf(all)
-	region := s.settled(g, all, usable, q, now)
-	held := region != "" && !s.mayShift(now)
+	usable := b.filterUsable(all)
+	region := b.currentRegion(svc, all, usable, q, now)
+	held := region != "" && !b.mayShift(now)
 	if held {
-		usable = s.withFirstIn(g, region, usable, q, now)
+		usable = b.withRegionHome(svc, region, usable, q, now)
 	}
-	first := s.firstHome(g, usable, q, now)
+	first := b.firstUncongested(svc, usable, q, now)
 	for i, c := range usable {
-		shifts := region != "" && c.target.region != region
-		if held && shifts {
+		shifted := region != "" && c.target.region != region
+		if held && shifted {
 			continue
 		}
 		warm := c.target.warm.has(q.key(), now)
-		// Where the request is held in its region, the first target there may run the object cold.
-		if q.bound() && !warm && !s.Config.Off.WarmWait && !s.mayBeHome(g, usable, first, i, q, now) && !(held && best.Target == "") {
+		// If the request is held in its region, the first target there may run the object cold.
+		if q.hasAffinity() && !warm && !b.Config.Off.WarmWait && !b.mayRunCold(svc, usable, first, i, q, now) &&
+			!(held && best.Target == "") {
 			continue
 		}
-		e := s.estimate(c.target, q, warm, now)
-		// What waits there waits longer for each request that could have gone elsewhere.
-		e.cost += 2 * s.pressOf(g, c.target.region, q, now)
-		if best.Target == "" || e.cost < least {
-			least = e.cost
+		e := b.estimate(c.target, q, warm, now)
+		// In a congested region the request also delays those that can run nowhere else.
+		e.cost += 2 * b.congestion(svc, c.target.region, q, now)
+		if best.Target == "" || e.cost < lowestCost {
+			lowestCost = e.cost
 			best = Choice{
-				Target: c.target.member.ID, Address: c.target.member.Address, Born: c.target.member.Born,
-				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifts, Held: held,
+				Target: c.target.state.ID, Address: c.target.state.Address, Born: c.target.state.Born,
+				Warm: warm, Load: e.load, wait: e.wait, finish: e.finish, Shifted: shifted, Held: held,
 			}
 		}
 	}
-	if s.tooLate(best, q, now) {
-		return Choice{Reason: ReasonFull, RetryAfter: comeBackFull + best.wait/2, Load: best.Load, Held: held}
+	if b.shouldRefuse(best, q, now) {
+		return Choice{Reason: ReasonFull, RetryAfter: retryAfterFull + best.wait/2, Load: best.Load, Held: held}
 	}
 	return best
 }
 
-// withFirstIn adds the first target of a region where none of the ranking's first is in it: a request that is held
-// there may run cold at it.
-func (s *Balancer) withFirstIn(g *service, region string, usable []candidate, q Request, now time.Time) []candidate {
+// withRegionHome adds the best target of a region to the candidates unless they contain one there that is not warm for the
+// object. A request that is held in the region may run cold at it.
+func (b *Balancer) withRegionHome(svc *service, region string, usable []candidate, q Request, now time.Time) []candidate {
 	for _, c := range usable {
 		if c.target.region == region && !c.target.warm.has(q.key(), now) {
 			return usable
 		}
 	}
-	t := s.firstIn(g, region, q, now)
+	t := b.bestInRegion(svc, region, q, now)
 	if t == nil || t.warm.has(q.key(), now) {
 		return usable
 	}
-	usable = append(usable, candidate{ranked: ranked{t, rendezvous(q.key(), t.hash)}, usable: true})
+	usable = append(usable, candidate{ranked: ranked{t, rendezvousWeight(q.key(), t.hash)}, usable: true})
 	slices.SortFunc(usable, byRank)
 	return usable
 }
 
-// estimate is what a request is taken to meet at a target.
+// estimate is what a request is expected to encounter at a target.
 type estimate struct {
+	// load is the load per slot, with a penalty for failures. wait and finish are those of Choice; cost is finish plus
+	// the weighted slot time that a cold run takes beyond a warm one.
 	load         float64
 	wait, finish time.Duration
 	cost         time.Duration
 }
 
-// wayTime is the time to a target and back, by its distance. It only decides between targets that are alike otherwise.
-var wayTime = [...]time.Duration{nearZone: 0, nearRegion: 0, nearNone: 70 * time.Millisecond}
+// roundTripTime is the network round-trip time to a target by its distance. It only matters between targets that are
+// otherwise alike.
+var roundTripTime = [...]time.Duration{sameZone: 0, sameRegion: 0, otherRegion: 70 * time.Millisecond}
 
-func (s *Balancer) estimate(t *target, q Request, warm bool, now time.Time) estimate {
+// estimate returns the expected load, times and cost of sending the request to the target. warm is whether the target is
+// warm for the request's object.
+func (b *Balancer) estimate(t *target, q Request, warm bool, now time.Time) estimate {
 	load := t.load(now)
 	e := estimate{load: load / t.slots()}
-	if t.errors > greyErrors && !s.Config.Off.GreyTargets {
-		e.load += greyPenalty
+	if t.errorRate > maxErrorRate && !b.Config.Off.GreyTargets {
+		e.load += errorRatePenalty
 	}
-	work := s.expected(q, true)
-	e.wait = time.Duration(max(0, (e.load*t.slots()+1-t.slots())/t.slots()) * float64(work))
-	run := s.expected(q, warm)
-	e.finish = wayTime[t.near] + e.wait + run
-	e.cost = e.finish + time.Duration(coldCost*float64(run-work))
+	warmRun := b.expectedRun(q, true)
+	e.wait = time.Duration(max(0, (e.load*t.slots()+1-t.slots())/t.slots()) * float64(warmRun))
+	run := b.expectedRun(q, warm)
+	e.finish = roundTripTime[t.distance] + e.wait + run
+	e.cost = e.finish + time.Duration(coldCostWeight*float64(run-warmRun))
 	return e
 }
 
-// coldCost is how much the slot time that a cold run takes beyond a warm one weighs against the
-// request's own wait.
-const coldCost = 2.0
+// coldCostWeight is the weight, relative to the request's own wait, of the slot time that a cold run takes beyond a warm
+// one.
+const coldCostWeight = 2.0
 
 const (
-	// greyErrors is the smoothed share of failures above which a target is avoided. Targets fail under
-	// one in a hundred requests by themselves; a single failure raises the share by errorWeight.
-	greyErrors = 0.3
-	// greyPenalty is the load that a failing target counts as having besides its own.
-	greyPenalty = 1.5
+	// maxErrorRate is the average failure rate above which a target is avoided. Healthy targets fail less than one in a
+	// hundred requests; a single failure raises the average by errorWeight.
+	maxErrorRate = 0.3
+	// errorRatePenalty is the load per slot that is added to that of a target above maxErrorRate.
+	errorRatePenalty = 1.5
 )
 
-func (t *target) slots() float64 { return float64(max(1, t.member.Slots)) }
+// slots returns the number of slots of the target, at least 1.
+func (t *target) slots() float64 { return float64(max(1, t.state.Slots)) }
 
-// othersLife is how long what a target told of its load counts: about a run of warm work.
-const othersLife = 500 * time.Millisecond
+// otherLoadTTL is how long a target's load report counts: about the time of a warm run.
+const otherLoadTTL = 500 * time.Millisecond
 
-// load estimates the requests that the target has.
+// load estimates the number of requests at the target, of this and of other entry VMs.
 func (t *target) load(now time.Time) float64 {
-	if now.Sub(t.othersAt) > othersLife {
+	if now.Sub(t.otherLoadAt) > otherLoadTTL {
 		return float64(t.inFlight)
 	}
-	return float64(t.inFlight) + t.others
+	return float64(t.inFlight) + t.otherLoad
 }
--- a/pasteer/rank.go
+++ b/pasteer/rank.go
@@ -9,66 +9,71 @@
 )
 
 const (
-	// rankMost is how many targets of an object's ranking are kept: its homes, and others for when these drain,
+	// maxRanked is how many targets of an object's ranking are cached: its homes, and others to replace homes that drain,
 	// fail or are full.
-	rankMost = 16
-	// rankLeast is how few may be left of them before the ranking is made anew.
-	rankLeast = 8
-	// ranksMost is how many objects' rankings are kept of a service, twice over.
-	ranksMost = 4096
+	maxRanked = 16
+	// minRanked is the shortest length of a cached ranking that lost a target. A ranking that would get shorter is dropped
+	// and recomputed at its next use.
+	minRanked = 8
+	// maxRankings is how many rankings each of the two generations of a rankingCache holds.
+	maxRankings = 4096
 )
 
 // ranked is a target in the ranking of an object.
 type ranked struct {
 	target *target
-	hash   uint64
+	// hash is the target's rendezvousWeight for the object; the highest ranks first.
+	hash uint64
 }
 
-// ranks keeps the first targets of the rankings of the objects that were asked for last. The zero value is ready.
+// rankingCache caches the first targets of the rankings of recently used objects, in two generations. The zero value is
+// ready for use.
 //
-// Load: thousands of targets, and hundreds of requests a second. Harm prevented: each decision ranked all targets of
-// its service, under the lock that all requests of the entry VM share.
-type ranks struct {
-	recent, older map[uint64][]ranked
+// Without it, with thousands of targets and hundreds of requests a second, each decision ranks all targets of its service
+// under the lock that all requests of the entry VM share.
+type rankingCache struct {
+	recent, previous map[uint64][]ranked
 }
 
-// of returns the first targets of an object's ranking among all of the service.
-func (r *ranks) of(object uint64, all []*target) []ranked {
+// get returns the first targets of an object's ranking of all targets of the service.
+func (r *rankingCache) get(object uint64, all []*target) []ranked {
 	if top, ok := r.recent[object]; ok {
 		return top
 	}
-	top, ok := r.older[object]
+	top, ok := r.previous[object]
 	if !ok {
-		top = rankOf(object, all)
+		top = rankTargets(object, all)
 	}
 	r.put(object, top)
 	return top
 }
 
-func (r *ranks) put(object uint64, top []ranked) {
-	if r.recent == nil || len(r.recent) >= ranksMost {
-		r.older, r.recent = r.recent, map[uint64][]ranked{}
+// put stores a ranking in the recent generation. If that is full, it first becomes the previous generation, and the former
+// previous one is dropped.
+func (r *rankingCache) put(object uint64, top []ranked) {
+	if r.recent == nil || len(r.recent) >= maxRankings {
+		r.previous, r.recent = r.recent, map[uint64][]ranked{}
 	}
 	r.recent[object] = top
 }
 
-// join puts a new target into the rankings that it belongs to.
-func (r *ranks) join(t *target) {
-	for _, all := range []map[uint64][]ranked{r.recent, r.older} {
+// add inserts a new target into the cached rankings in which it is among the first.
+func (r *rankingCache) add(t *target) {
+	for _, all := range []map[uint64][]ranked{r.recent, r.previous} {
 		for object, top := range all {
-			all[object] = insertRanked(top, ranked{t, rendezvous(object, t.hash)})
+			all[object] = insertRanked(top, ranked{t, rendezvousWeight(object, t.hash)})
 		}
 	}
 }
 
-// leave takes a target out of all rankings; one that gets too short is made anew when it is asked for.
-func (r *ranks) leave(t *target) {
-	for _, all := range []map[uint64][]ranked{r.recent, r.older} {
+// remove removes a target from all cached rankings. A ranking that would get too short is dropped.
+func (r *rankingCache) remove(t *target) {
+	for _, all := range []map[uint64][]ranked{r.recent, r.previous} {
 		for object, top := range all {
 			i := slices.IndexFunc(top, func(e ranked) bool { return e.target == t })
 			switch {
 			case i < 0:
-			case len(top) <= rankLeast:
+			case len(top) <= minRanked:
 				delete(all, object)
 			default:
 				all[object] = slices.Delete(top, i, i+1)
@@ -77,27 +82,28 @@
 	}
 }
 
-// rankOf ranks all targets and returns the first of them.
-func rankOf(object uint64, all []*target) []ranked {
-	top := make([]ranked, 0, rankMost+1)
+// rankTargets ranks the targets for an object and returns the first maxRanked of them.
+func rankTargets(object uint64, all []*target) []ranked {
+	top := make([]ranked, 0, maxRanked+1)
 	for _, t := range all {
-		top = insertRanked(top, ranked{t, rendezvous(object, t.hash)})
+		top = insertRanked(top, ranked{t, rendezvousWeight(object, t.hash)})
 	}
 	return top
 }
 
-// insertRanked puts a target where it belongs and drops what is then too much.
+// insertRanked inserts a target by its weight and cuts the ranking to maxRanked.
 func insertRanked(top []ranked, e ranked) []ranked {
-	if len(top) >= rankMost && e.hash <= top[len(top)-1].hash {
+	if len(top) >= maxRanked && e.hash <= top[len(top)-1].hash {
 		return top
 	}
 	i, _ := slices.BinarySearchFunc(top, e, func(a, b ranked) int { return cmp.Compare(b.hash, a.hash) })
 	top = slices.Insert(top, i, e)
-	return top[:min(len(top), rankMost)]
+	return top[:min(len(top), maxRanked)]
 }
 
-// rendezvous is the weight of a name for an object, both by their hashes: the highest comes first.
-func rendezvous(object, name uint64) uint64 {
+// rendezvousWeight returns the rendezvous hash of an object and a name, given the hashes of both. The name with the highest
+// weight ranks first.
+func rendezvousWeight(object, name uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], object)
 	binary.LittleEndian.PutUint64(b[8:], name)
