--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -15,72 +15,72 @@
 	reasonNoConfig  = "NoConfiguration"
 	reasonNoRoute   = "NoRoute"
 	reasonTooLarge  = "TooLarge"
-	reasonHeader    = "HeaderTooLarge"
+	reasonHeaderTooLarge    = "HeaderTooLarge"
 	reasonBadBody   = "BodyUnreadable"
-	reasonLost      = "TargetLost"
+	reasonTargetLost      = "TargetLost"
 	reasonDeadline  = "DeadlinePassed"
-	reasonLeaving   = "ShuttingDown"
-	reasonAttempts  = "AttemptsSpent"
-	reasonGone      = "CallerGone"
-	reasonCutAnswer = "AnswerCut"
-	reasonBehind    = "BehindOthers"
-	reasonNoKey     = "NoCredential"
-	reasonBadKey    = "CredentialMalformed"
-	reasonKey       = "KeyUnknown"
+	reasonShuttingDown   = "ShuttingDown"
+	reasonAttemptsSpent  = "AttemptsSpent"
+	reasonCallerGone      = "CallerGone"
+	reasonAnswerCut = "AnswerCut"
+	reasonBehindOthers    = "BehindOthers"
+	reasonNoCredential     = "NoCredential"
+	reasonMalformedKey    = "CredentialMalformed"
+	reasonUnknownKey       = "KeyUnknown"
 	reasonStale     = "ConfigurationStale"
-	reasonRegions   = "NoCommonRegion"
-	reasonLimit     = "RateLimit"
+	reasonNoCommonRegion   = "NoCommonRegion"
+	reasonRateLimit     = "RateLimit"
 )
 
 const (
-	// comeBackNoConfig is when a caller should try again at an entry VM that has no configuration yet.
-	comeBackNoConfig = 300 * time.Millisecond
-	// comeBackAttempts is when a caller should try again whose request found full targets only: a slot
+	// retryAfterNoConfig is when a caller should try again at an entry VM that has no configuration yet.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// retryAfterTargetsFull is when a caller should try again whose request found full targets only: a slot
 	// comes free within a warm run.
-	comeBackAttempts = 300 * time.Millisecond
-	// comeBackRoom sends a caller back at once to targets that turned it away though they had room.
-	comeBackRoom = 30 * time.Millisecond
-	// comeBackLeaving sends callers of a process that shuts down to another one at once.
-	comeBackLeaving = 50 * time.Millisecond
-	// comeBackBehind sends a caller back at once whose request waited behind others on its connection.
-	comeBackBehind = 30 * time.Millisecond
-	// comeBackSpread is the part of a time to come back by which it varies, so that callers that were
+	retryAfterTargetsFull = 300 * time.Millisecond
+	// retryAfterShedWithRoom sends a caller back at once to targets that turned it away though they had room.
+	retryAfterShedWithRoom = 30 * time.Millisecond
+	// retryAfterShutdown sends callers of a process that shuts down to another one at once.
+	retryAfterShutdown = 50 * time.Millisecond
+	// retryAfterBehindOthers sends a caller back at once whose request waited behind others on its connection.
+	retryAfterBehindOthers = 30 * time.Millisecond
+	// retryAfterJitter is the part of a time to come back by which it varies, so that callers that were
 	// refused together do not return together.
-	comeBackSpread = 0.5
+	retryAfterJitter = 0.5
 )
 
-// unplaced answers a request for which there is no target.
-func (g *Gate) unplaced(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
+// answerNoTarget answers a request for which there is no target.
+func (g *Gate) answerNoTarget(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
 	switch {
-	case x.failed != nil:
-		g.answer(w, x, result{reply: x.failed, outcome: pasteer.Failed})
+	case x.failedReply != nil:
+		g.writeReply(w, x, result{reply: x.failedReply, outcome: pasteer.Failed})
 	case x.mayHaveRun:
-		g.answerOwn(w, x, http.StatusBadGateway, string(c.Reason))
+		g.writeError(w, x, http.StatusBadGateway, string(c.Reason))
 	default:
 		g.refuse(w, x, string(c.Reason), c.ComeBack)
 	}
 }
 
-// giveUp answers a request whose last attempt brought no answer.
-func (g *Gate) giveUp(w http.ResponseWriter, x *exchange, r result, room bool) {
+// answerLastFailure answers a request whose last attempt brought no answer.
+func (g *Gate) answerLastFailure(w http.ResponseWriter, x *exchange, r result, room bool) {
 	switch {
-	case x.failed != nil:
-		g.answer(w, x, result{reply: x.failed, outcome: pasteer.Failed})
+	case x.failedReply != nil:
+		g.writeReply(w, x, result{reply: x.failedReply, outcome: pasteer.Failed})
 	case !x.mayHaveRun && room:
-		g.refuse(w, x, reasonAttempts, comeBackRoom)
+		g.refuse(w, x, reasonAttemptsSpent, retryAfterShedWithRoom)
 	case !x.mayHaveRun:
-		g.refuse(w, x, reasonAttempts, comeBackAttempts)
+		g.refuse(w, x, reasonAttemptsSpent, retryAfterTargetsFull)
 	case r.outcome == pasteer.Abandoned && g.ending.Err() != nil:
-		g.answerOwn(w, x, http.StatusGatewayTimeout, reasonLeaving)
+		g.writeError(w, x, http.StatusGatewayTimeout, reasonShuttingDown)
 	case r.outcome == pasteer.Abandoned:
-		g.answerOwn(w, x, http.StatusGatewayTimeout, reasonDeadline)
+		g.writeError(w, x, http.StatusGatewayTimeout, reasonDeadline)
 	default:
-		g.answerOwn(w, x, http.StatusBadGateway, reasonLost)
+		g.writeError(w, x, http.StatusBadGateway, reasonTargetLost)
 	}
 }
 
-// answer passes the target's answer on.
-func (g *Gate) answer(w http.ResponseWriter, x *exchange, r result) {
+// writeReply passes the target's writeReply on.
+func (g *Gate) writeReply(w http.ResponseWriter, x *exchange, r result) {
 	p := r.reply
 	g.beginAnswer(w, x, len(p.body))
 	h := w.Header()
@@ -99,45 +99,45 @@
 		p.done(err == nil)
 	}
 	if err != nil && p.rest != nil {
-		g.ended(x, p.status, reasonCutAnswer)
+		g.recordEnd(x, p.status, reasonAnswerCut)
 		panic(http.ErrAbortHandler)
 	}
-	g.ended(x, p.status, "")
+	g.recordEnd(x, p.status, "")
 }
 
 // refuse answers that the request has not run, and when to come back.
 func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, comeBack time.Duration) {
-	g.refuseAs(w, x, http.StatusServiceUnavailable, reason, comeBack)
+	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, comeBack)
 }
 
-// refuseAs is refuse with a status that says why.
-func (g *Gate) refuseAs(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
+// refuseWithStatus is refuse with a status that says why.
+func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
 	g.limits.giveBack(x)
-	spread := 1 + comeBackSpread*g.random()
+	spread := 1 + retryAfterJitter*g.random()
 	seconds := comeBack.Seconds() * spread
 	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
-	g.answerOwn(w, x, status, reason)
+	g.writeError(w, x, status, reason)
 }
 
-// answerOwn gives an answer of the gate's own.
-func (g *Gate) answerOwn(w http.ResponseWriter, x *exchange, status int, reason string) {
+// writeError gives an answer of the gate's own.
+func (g *Gate) writeError(w http.ResponseWriter, x *exchange, status int, reason string) {
 	g.beginAnswer(w, x, 0)
 	if x.id != "" {
 		w.Header().Set(g.config.Headers.RequestID, x.id)
 	}
 	http.Error(w, reason, status)
-	g.ended(x, status, reason)
+	g.recordEnd(x, status, reason)
 }
 
-// ended logs and counts the end of a request; refusals and failures as far as there is room, and one in servedSample
+// recordEnd logs and counts the end of a request; refusals and failures as far as there is room, and one in servedSample
 // of the others.
-func (g *Gate) ended(x *exchange, status int, reason string) {
+func (g *Gate) recordEnd(x *exchange, status int, reason string) {
 	took := g.config.Clock.Since(x.arrived)
 	name := ""
 	if x.route != nil {
 		name = x.route.Name
 	}
-	g.meter.request(name, status, reason, took, x.behind)
+	g.meter.request(name, status, reason, took, x.pipelineWait)
 	if reason == "" && status < http.StatusInternalServerError {
 		if !g.meter.sample() {
 			return
@@ -149,9 +149,9 @@
 	s := g.state.Load()
 	g.record(paevent.RequestEnded{
 		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: name, Status: status, Reason: reason,
-		Workspace: x.workspaceName(), Target: x.last.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: took.Microseconds(),
-		Load: x.last.Load, Warm: x.last.Warm, Held: x.last.Held, BehindMicroseconds: x.behind.Microseconds(),
-		LimitMicroseconds: x.limited.Microseconds(),
+		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: took.Microseconds(),
+		Load: x.lastChoice.Load, Warm: x.lastChoice.Warm, Held: x.lastChoice.Held, BehindMicroseconds: x.pipelineWait.Microseconds(),
+		LimitMicroseconds: x.limitWait.Microseconds(),
 		KnownMilliseconds: g.age(s).Milliseconds(), Revision: uint64(s.revision),
 	})
 }
--- a/pagate/budget.go
+++ b/pagate/budget.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// budget bounds how much of something is done: rate a second after burst at once.
-type budget struct {
+// tokenBucket bounds how much of something is done: rate a second after burst at once.
+type tokenBucket struct {
 	rate, burst float64
 
 	mutex sync.Mutex
-	left  float64
-	at    time.Time
+	tokens  float64
+	refilledAt    time.Time
 }
 
 // available returns how many may be done now.
-func (b *budget) available(now time.Time) int {
+func (b *tokenBucket) available(now time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.fill(now)
+	return b.refill(now)
 }
 
-// fill adds what has come back since the last call; the mutex is held.
-func (b *budget) fill(now time.Time) int {
-	if b.at.IsZero() {
-		b.left = b.burst
+// refill adds what has come back since the last call; the mutex is held.
+func (b *tokenBucket) refill(now time.Time) int {
+	if b.refilledAt.IsZero() {
+		b.tokens = b.burst
 	} else {
-		b.left = min(b.burst, b.left+b.rate*now.Sub(b.at).Seconds())
+		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.at = now
-	return int(b.left)
+	b.refilledAt = now
+	return int(b.tokens)
 }
 
 // spend takes some, which may be more than there are.
-func (b *budget) spend(n int) {
+func (b *tokenBucket) spend(n int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.left -= float64(n)
+	b.tokens -= float64(n)
 }
 
 // take takes one if there is one, and says whether there was.
-func (b *budget) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.fill(now) < 1 {
+	if b.refill(now) < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/pagate/elsewhere_test.go
+++ b/pagate/elsewhere_test.go
@@ -53,12 +53,12 @@
 		f.changes = append(f.changes, pafleet.EntrySaid{Entry: e})
 	}
 	s := &state{entries: f.entries()}
-	order := f.gates[0].byHash(s)
+	order := f.gates[0].liveByHash(s)
 	place := func(name string) int {
 		return slices.IndexFunc(order, func(e pafleet.Entry) bool { return e.Name == name })
 	}
 	slices.SortFunc(f.gates, func(a, b *Gate) int { return place(a.self.Name) - place(b.self.Name) })
-	if f.gates[2].nearestReader(s).Name == f.gates[1].self.Name {
+	if f.gates[2].syncSource(s).Name == f.gates[1].self.Name {
 		f.gates[0], f.gates[1] = f.gates[1], f.gates[0]
 	}
 	return f
--- a/pagate/fleet.go
+++ b/pagate/fleet.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// fleetMemory is how long an entry VM that is no longer registered counts: one that is cut off goes on with its part
+	// fleetPeakWindow is how long an entry VM that is no longer registered counts: one that is cut off goes on with its part
 	// of each rate limit, which the others must not take.
-	fleetMemory = 10 * time.Minute
-	// fleetSlots is the number of parts of that time.
-	fleetSlots = 10
+	fleetPeakWindow = 10 * time.Minute
+	// fleetPeakBuckets is the number of parts of that time.
+	fleetPeakBuckets = 10
 )
 
-// fleetMost is the most entry VMs that were registered at once within fleetMemory. The zero value is ready.
-type fleetMost struct {
-	slots [fleetSlots]int
-	slot  int64
+// fleetPeak is the most entry VMs that were registered at once within fleetMemory. The zero value is ready.
+type fleetPeak struct {
+	buckets [fleetPeakBuckets]int
+	newest  int64
 }
 
-// most notes a number of entry VMs and returns the most.
-func (f *fleetMost) most(n int, now time.Duration) int {
-	slot := int64(now / (fleetMemory / fleetSlots))
-	for f.slot < slot {
-		f.slot = max(f.slot+1, slot-fleetSlots)
-		f.slots[f.slot%fleetSlots] = 0
+// observe notes a number of entry VMs and returns the observe.
+func (f *fleetPeak) observe(n int, now time.Duration) int {
+	slot := int64(now / (fleetPeakWindow / fleetPeakBuckets))
+	for f.newest < slot {
+		f.newest = max(f.newest+1, slot-fleetPeakBuckets)
+		f.buckets[f.newest%fleetPeakBuckets] = 0
 	}
-	f.slots[slot%fleetSlots] = max(f.slots[slot%fleetSlots], n)
+	f.buckets[slot%fleetPeakBuckets] = max(f.buckets[slot%fleetPeakBuckets], n)
 	most := 0
-	for _, s := range f.slots {
+	for _, s := range f.buckets {
 		most = max(most, s)
 	}
 	return most
--- a/pagate/follow_test.go
+++ b/pagate/follow_test.go
@@ -17,12 +17,12 @@
 	for _, change := range []time.Duration{0, 2500 * time.Millisecond, 4 * time.Second} {
 		const n = 119
 		for rank := 1; rank < n; rank++ {
-			at, before := staleAfter(rank, n, change), staleAfter(rank-1, n, change)
-			if at < before || change > maxAge && at > change-latestMargin {
+			at, before := maxAgeOfRank(rank, n, change), maxAgeOfRank(rank-1, n, change)
+			if at < before || change > maxAge && at > change-propagationMargin {
 				t.Errorf("change time %v: entry VM %d reads after %v", change, rank, at)
 			}
 		}
-		if first := staleAfter(0, n, change); first < maxAge {
+		if first := maxAgeOfRank(0, n, change); first < maxAge {
 			t.Errorf("the first reads after %v, when readers may still be on their way", first)
 		}
 	}
@@ -74,9 +74,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g.spawn(func() { g.takeEvents(ctx) })
-	g.spawn(func() { g.follow(ctx) })
+	g.spawn(func() { g.followStore(ctx) })
 	var most time.Duration
-	time.Sleep(readPace)
+	time.Sleep(minReadInterval)
 	const looks = 150
 	for range looks {
 		time.Sleep(20 * time.Millisecond)
@@ -88,7 +88,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if most := int(looks*20*time.Millisecond/watchMost) + 3; r.watches > most {
+	if most := int(looks*20*time.Millisecond/maxWatchTime) + 3; r.watches > most {
 		t.Errorf("%d watches in 3 s of a store without changes, want at most %d", r.watches, most)
 	}
 }
@@ -99,11 +99,11 @@
 	s := Settings{Name: "e", Seeds: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.9:1")}}
 	g := New(Config{Settings: s, Network: unused{}, Clock: clockwork.NewRealClock()})
 	g.state.Store(&state{knownAt: longAgo})
-	if g.toldAtStart(context.Background()) {
+	if g.syncedAtStart(context.Background()) {
 		t.Error("an answer without a revision counts as a reading")
 	}
 	g.state.Store(&state{knownAt: g.uptime(), revision: 7})
-	if !g.toldAtStart(context.Background()) {
+	if !g.syncedAtStart(context.Background()) {
 		t.Error("a neighbour's reading is not taken")
 	}
 }
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -25,49 +25,49 @@
 	route  *paroute.Route
 	// workspace is whose key the request carried; nil for none.
 	workspace *paroute.Workspace
-	// token says that the request has a token of the workspace's rate limit.
-	token bool
-	// limited is how long it waited for that.
-	limited time.Duration
+	// hasToken says that the request has a hasToken of the workspace's rate limit.
+	hasToken bool
+	// limitWait is how long it waited for that.
+	limitWait time.Duration
 	service string
 	object  string
 	version int64
 	// size is the length of the body, or -1; body is what is held of it, stream what follows.
 	size   int64
-	body   []byte
-	stream io.Reader
+	buffered   []byte
+	unbuffered io.Reader
 	// arrived is when the head was read, limit when the answer is due: by the route, or as the caller leaves.
 	arrived time.Time
-	limit   time.Time
+	deadline   time.Time
 	// tried are the targets that the request was sent to; mayHaveRun says that one may have run it.
 	tried      []string
 	mayHaveRun bool
-	failed     *reply
-	// last is the last decision, for the log.
-	last pasteer.Choice
+	failedReply     *reply
+	// lastChoice is the lastChoice decision, for the log.
+	lastChoice pasteer.Choice
 	// caller ends when the caller leaves.
 	caller context.Context
 	// lane knows of the requests ahead on the caller's connection; behind is how long the answer was ready, or
 	// the request waited, behind theirs.
 	lane   *palane.Lane
-	behind time.Duration
+	pipelineWait time.Duration
 }
 
-func (x *exchange) inline() bool { return x.stream == nil && len(x.body) <= inlineMost }
+func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= inlineMost }
 
 // serveCaller answers one request of a caller.
 func (g *Gate) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	x := g.open(r)
+	x := g.newExchange(r)
 	s := g.configured(r.Context())
 	if s.table == nil {
-		g.refuse(w, x, reasonNoConfig, comeBackNoConfig)
+		g.refuse(w, x, reasonNoConfig, retryAfterNoConfig)
 		return
 	}
 	x.version = s.table.Config.Version
-	if x.route = s.table.Match(r.Host, path(r.RequestURI)); x.route == nil {
-		g.answerOwn(w, x, http.StatusNotFound, reasonNoRoute)
+	if x.route = s.table.Match(r.Host, requestPath(r.RequestURI)); x.route == nil {
+		g.writeError(w, x, http.StatusNotFound, reasonNoRoute)
 		return
 	}
 	if status, reason := g.admitKey(x, s); status != 0 {
@@ -75,24 +75,24 @@
 		return
 	}
 	if most := s.table.Config.Limits.MaxHeader; most > 0 && headerSize(r) > most {
-		g.answerOwn(w, x, http.StatusRequestHeaderFieldsTooLarge, reasonHeader)
+		g.writeError(w, x, http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLarge)
 		return
 	}
 	if status, reason := g.readBody(x, r, s.table.Config.Limits); status != 0 {
-		g.readOn(w, r)
-		g.answerOwn(w, x, status, reason)
+		g.discardBody(w, r)
+		g.writeError(w, x, status, reason)
 		return
 	}
-	x.limit = g.limitOf(x, r)
+	x.deadline = g.deadlineOf(x, r)
 	if !g.mayFinish(x) {
-		g.refuse(w, x, reasonLeaving, comeBackLeaving)
+		g.refuse(w, x, reasonShuttingDown, retryAfterShutdown)
 		return
 	}
 	if !g.mayRun(w, x) {
 		return
 	}
 	if comeBack, ok := g.limits.admit(x, s); !ok {
-		g.refuseAs(w, x, http.StatusTooManyRequests, reasonLimit, comeBack)
+		g.refuseWithStatus(w, x, http.StatusTooManyRequests, reasonRateLimit, comeBack)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
@@ -101,8 +101,8 @@
 	g.serve(ctx, w, x)
 }
 
-// open reads the head of a request.
-func (g *Gate) open(r *http.Request) *exchange {
+// newExchange reads the head of a request.
+func (g *Gate) newExchange(r *http.Request) *exchange {
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: paheader.EndToEnd(r.Header), size: r.ContentLength, arrived: g.config.Clock.Now(),
@@ -114,20 +114,20 @@
 	return x
 }
 
-func path(uri string) string {
+func requestPath(uri string) string {
 	p, _, _ := strings.Cut(uri, "?")
 	return p
 }
 
-// lineExtra is what a header line has besides its name and value: a colon, a space and the line's end.
-const lineExtra = 4
+// headerLineOverhead is what a header line has besides its name and value: a colon, a space and the line's end.
+const headerLineOverhead = 4
 
 // headerSize returns the size of a request's head, in bytes.
 func headerSize(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineExtra + len("Host") + len(r.Host) + lineExtra
+	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + headerLineOverhead + len("Host") + len(r.Host) + headerLineOverhead
 	for name, values := range r.Header {
 		for _, v := range values {
-			n += len(name) + len(v) + lineExtra
+			n += len(name) + len(v) + headerLineOverhead
 		}
 	}
 	return n
@@ -153,32 +153,32 @@
 	case err != nil:
 		return http.StatusBadRequest, reasonBadBody
 	}
-	x.body = held
+	x.buffered = held
 	if len(held) > bufferMost {
-		x.stream = body
+		x.unbuffered = body
 	}
 	return 0, ""
 }
 
 const (
-	// readOnMost and readOnTime bound what is read of a body that is refused.
-	readOnMost = 4 << 20
-	readOnTime = time.Second
+	// maxDiscardedBody and readOnTime bound what is read of a body that is refused.
+	maxDiscardedBody = 4 << 20
+	discardTimeout = time.Second
 )
 
-// readOn reads a refused body on for a while. A connection that is closed with unread bytes is reset,
+// discardBody reads a refused body on for a while. A connection that is closed with unread bytes is reset,
 // and the caller, still writing, loses the answer that tells it why.
-func (g *Gate) readOn(w http.ResponseWriter, r *http.Request) {
-	if err := http.NewResponseController(w).SetReadDeadline(g.config.Clock.Now().Add(readOnTime)); err != nil {
+func (g *Gate) discardBody(w http.ResponseWriter, r *http.Request) {
+	if err := http.NewResponseController(w).SetReadDeadline(g.config.Clock.Now().Add(discardTimeout)); err != nil {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, r.Body, readOnMost); err != nil {
+	if _, err := io.CopyN(io.Discard, r.Body, maxDiscardedBody); err != nil {
 		return // The body ended, or its caller is too slow; the answer is the same.
 	}
 }
 
-// limitOf returns when the answer is due: by the route's timeout, or when the caller leaves.
-func (g *Gate) limitOf(x *exchange, r *http.Request) time.Time {
+// deadlineOf returns when the answer is due: by the route's timeout, or when the caller leaves.
+func (g *Gate) deadlineOf(x *exchange, r *http.Request) time.Time {
 	wait := x.route.Timeout
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.config.Headers.Deadline), 64); err == nil && ms > 0 {
 		if d := time.Duration(ms * float64(time.Millisecond)); d < wait || wait <= 0 {
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -36,9 +36,9 @@
 	meter   *meter
 	noted   noted
 	// fleet is how many entry VMs were registered; only the control loop uses it.
-	fleet fleetMost
+	fleet fleetPeak
 	// ends bounds the lines on requests that were refused or failed.
-	ends budget
+	ends tokenBucket
 	// startedAt is when the process began, and firstConfig is closed when a configuration came into force.
 	startedAt   time.Time
 	startedUp   time.Duration
@@ -73,8 +73,8 @@
 			LinkMbps: s.LinkMbps,
 		},
 		events:    make(chan event, maxEvents),
-		noted:     noted{follows: budget{rate: followLines, burst: followBurst}},
-		ends:      budget{rate: endLines, burst: endBurst},
+		noted:     noted{follows: tokenBucket{rate: followLines, burst: followBurst}},
+		ends:      tokenBucket{rate: endLines, burst: endBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
 		announced: make(chan struct{}, 1),
 		steer: pasteer.New(pasteer.Config{
@@ -119,8 +119,8 @@
 	}
 	s := g.config.Settings
 	g.record(paevent.Started{Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String()})
-	g.spawn(func() { g.follow(ctx) })
-	g.spawn(func() { g.announce(ctx) })
+	g.spawn(func() { g.followStore(ctx) })
+	g.spawn(func() { g.keepRegistered(ctx) })
 	g.spawn(func() { g.keepWarm(ctx) })
 	g.spawn(func() { g.peers.run(ctx) })
 	g.spawn(func() { g.limits.run(ctx) })
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -20,7 +20,7 @@
 	// asks has the entry VMs that each asks, and after the number of the last note that it got from each.
 	asks   [][]int
 	after  [][]uint64
-	budget []*budget
+	budget []*tokenBucket
 	random *rand.Rand
 	// told and most are the notes that each told in all, and at most in a second.
 	told, second, most []int
@@ -31,7 +31,7 @@
 var gossipBegin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newGossip(entries, regions int) *gossip {
-	o := &gossip{random: rand.New(rand.NewPCG(3, 5)), budget: make([]*budget, entries)}
+	o := &gossip{random: rand.New(rand.NewPCG(3, 5)), budget: make([]*tokenBucket, entries)}
 	o.told, o.second, o.most = make([]int, entries), make([]int, entries), make([]int, entries)
 	v := &pafleet.View{}
 	zones := map[string]string{}
@@ -46,7 +46,7 @@
 		zones[region] = region
 		e := pafleet.Entry{Name: fmt.Sprint("e", i), Zone: region, Region: region}
 		index[e.Name] = i
-		o.budget[i] = &budget{rate: noteRate, burst: noteBurst}
+		o.budget[i] = &tokenBucket{rate: noteRate, burst: noteBurst}
 		o.entries = append(o.entries, e)
 	}
 	v.Replace(changes, gossipTargets+2, gossipBegin)
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -26,7 +26,7 @@
 // took away for as long as the cut lasts.
 func (g *Gate) fresh(s *state) bool {
 	bound := g.config.Settings.MaxRevocation
-	return bound <= 0 || g.age(s) <= max(0, bound-g.watchTime())
+	return bound <= 0 || g.age(s) <= max(0, bound-g.watchDuration())
 }
 
 // admitKey takes the credential off a request and finds whose it is; a status is the answer to one that is refused.
@@ -47,12 +47,12 @@
 	key, err := pakey.Parse(fields)
 	switch {
 	case errors.Is(err, pakey.ErrMissing):
-		return http.StatusUnauthorized, reasonNoKey
+		return http.StatusUnauthorized, reasonNoCredential
 	case err != nil:
-		return http.StatusUnauthorized, reasonBadKey
+		return http.StatusUnauthorized, reasonMalformedKey
 	}
 	if x.workspace = s.table.Holder(key); x.workspace == nil {
-		return http.StatusUnauthorized, reasonKey
+		return http.StatusUnauthorized, reasonUnknownKey
 	}
 	x.header.Set(g.config.Headers.Workspace, x.workspace.Name)
 	return 0, ""
@@ -65,7 +65,7 @@
 		return
 	}
 	w.Header().Set("WWW-Authenticate", "Bearer")
-	g.answerOwn(w, x, status, reason)
+	g.writeError(w, x, status, reason)
 }
 
 // strip removes the credential, and what the caller says of its workspace in any spelling that a target could take
--- a/pagate/lease_test.go
+++ b/pagate/lease_test.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g.spawn(func() { g.takeEvents(ctx) })
-	g.spawn(func() { g.follow(ctx) })
+	g.spawn(func() { g.followStore(ctx) })
 	gone := <-r.gone
 	for g.fresh(g.state.Load()) {
 		time.Sleep(5 * time.Millisecond)
@@ -67,10 +67,10 @@
 	for _, e := range all {
 		g := New(Config{Settings: Settings{Name: e.Name}, Network: unused{}, Clock: clockwork.NewRealClock()})
 		g.state.Store(&state{entries: all})
-		switch turn := g.turn(watchMost); {
-		case !g.isReader() && turn != 0, turn < 0, turn >= watchMost:
+		switch turn := g.watchOffset(maxWatchTime); {
+		case !g.isStoreReader() && turn != 0, turn < 0, turn >= maxWatchTime:
 			t.Errorf("%s begins %v later", e.Name, turn)
-		case g.isReader():
+		case g.isStoreReader():
 			begins[turn] = true
 		}
 	}
--- a/pagate/limit.go
+++ b/pagate/limit.go
@@ -100,7 +100,7 @@
 		l.gate.meter.limit("Refused")
 		return h.ComeBack(now), false
 	}
-	x.token = true
+	x.hasToken = true
 	if verdict == paquota.Run {
 		l.mutex.Unlock()
 		l.gate.meter.limit("Own")
@@ -115,11 +115,11 @@
 
 // await waits for the limiter's answer.
 func (l *limits) await(x *exchange, h *share, granted chan bool) (comeBack time.Duration, ok bool) {
-	patience := min(l.patience(askPatience), x.limit.Sub(l.gate.config.Clock.Now()))
+	patience := min(l.patience(askPatience), x.deadline.Sub(l.gate.config.Clock.Now()))
 	timer := l.gate.config.Clock.NewTimer(max(0, patience))
 	defer timer.Stop()
 	begun := l.gate.config.Clock.Now()
-	defer func() { x.limited = l.gate.config.Clock.Since(begun) }()
+	defer func() { x.limitWait = l.gate.config.Clock.Since(begun) }()
 	outcome := "Unanswered"
 	select {
 	case ok = <-granted:
@@ -133,7 +133,7 @@
 		l.gate.meter.limit("Granted")
 		return 0, true
 	}
-	x.token = false
+	x.hasToken = false
 	l.gate.meter.limit(outcome)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -165,10 +165,10 @@
 
 // giveBack returns the token of a request that did not run.
 func (l *limits) giveBack(x *exchange) {
-	if !x.token {
+	if !x.hasToken {
 		return
 	}
-	x.token = false
+	x.hasToken = false
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if h := l.shares[x.workspace.Name]; h != nil {
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -136,7 +136,7 @@
 
 // rank returns how many entry VMs come before this one.
 func (l *limiter) rank(s *state) int {
-	all := l.gate.live(s)
+	all := l.gate.liveEntries(s)
 	slices.SortFunc(all, byLink)
 	return slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 }
@@ -145,7 +145,7 @@
 func (l *limiter) claim(ctx context.Context, was pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
 	begun := g.uptime()
-	lease, err := g.lease(ctx, max(limiterLife, g.config.Settings.MinLeaseTTL))
+	lease, err := g.grantLease(ctx, max(limiterLife, g.config.Settings.MinLeaseTTL))
 	if err != nil {
 		return "", false
 	}
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -167,7 +167,7 @@
 			next.entries = append(next.entries, e)
 		}
 		_, next.registered = v.Entries[g.self.Name]
-		next.fleet = g.fleet.most(len(v.Entries), g.uptime())
+		next.fleet = g.fleet.observe(len(v.Entries), g.uptime())
 		if v.Config != nil && (old.table == nil || old.table.Config != v.Config) {
 			next.table = paroute.NewTable(v.Config)
 			g.noteKeys(old.table, next.table)
--- a/pagate/neighbour_test.go
+++ b/pagate/neighbour_test.go
@@ -27,8 +27,8 @@
 			}
 			called[n.Name]++
 		}
-		asked[g.nearestReader(s).Name]++
-		if named := len(g.addresses(LookUp{Region: e.Region})); named != neighboursMost+1 {
+		asked[g.syncSource(s).Name]++
+		if named := len(g.lookUpAddresses(LookUp{Region: e.Region})); named != neighboursMost+1 {
 			t.Fatalf("%s names %d entry VMs of 100 in its region, want those that it watches", e.Name, named)
 		}
 	}
@@ -58,9 +58,9 @@
 		}
 		g := New(Config{Settings: Settings{Name: e.Name, Region: e.Region}, Network: unused{}, Clock: clockwork.NewFakeClock()})
 		g.state.Store(s)
-		all := g.addresses(LookUp{Region: "r1"})
-		if len(all) != addressesMost {
-			t.Fatalf("%s names %d entry VMs, want %d", e.Name, len(all), addressesMost)
+		all := g.lookUpAddresses(LookUp{Region: "r1"})
+		if len(all) != maxAddresses {
+			t.Fatalf("%s names %d entry VMs, want %d", e.Name, len(all), maxAddresses)
 		}
 		for _, a := range all {
 			named[a]++
--- a/pagate/note.go
+++ b/pagate/note.go
@@ -37,13 +37,13 @@
 	// staleAt is the uptime since when requests with a key are refused; 0 while they are not.
 	staleAt time.Duration
 	// lines bounds the lines on single targets and entry VMs; unlisted counts those left out of the next sum.
-	lines    budget
+	lines    tokenBucket
 	unlisted int
 	// source is whom the change that is looked at came from: sourceStore, a neighbour's name, or nobody.
 	source string
 	// followed is the process whose word last raised the revision, and follows bounds the lines on that.
 	followed lifetime
-	follows  budget
+	follows  tokenBucket
 }
 
 // lifetime is one run of an entry VM's process.
@@ -71,7 +71,7 @@
 	}
 	if g.noted.targets == nil {
 		// A start: what is known by then counts as known.
-		g.noted.lines = budget{rate: fleetLines, burst: fleetBurst, at: now}
+		g.noted.lines = tokenBucket{rate: fleetLines, burst: fleetBurst, refilledAt: now}
 		g.noted.targets, g.noted.entries = map[string]paevent.TargetKnown{}, map[string]string{}
 	}
 	draining := g.noteTargets(v, now)
--- a/pagate/note_test.go
+++ b/pagate/note_test.go
@@ -55,7 +55,7 @@
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
 	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
 	for range 10 * endBurst {
-		g.ended(&exchange{arrived: clock.Now()}, 503, "Full")
+		g.recordEnd(&exchange{arrived: clock.Now()}, 503, "Full")
 		clock.Advance(time.Millisecond)
 	}
 	lines := strings.Count(out.String(), "\n")
--- a/pagate/pack_test.go
+++ b/pagate/pack_test.go
@@ -81,7 +81,7 @@
 		g := New(Config{Settings: Settings{Name: name, Region: "r"}, Network: unused{}, Clock: clock})
 		s := &state{knownAt: g.uptime(), entries: []pafleet.Entry{{Name: "e0", Region: "r"}, {Name: "e1", Region: "r"}}}
 		g.state.Store(s)
-		if r := g.nearestReader(s); r.Name == name || r.Name == "" {
+		if r := g.syncSource(s); r.Name == name || r.Name == "" {
 			t.Errorf("%s asks %q", name, r.Name)
 		}
 	}
--- a/pagate/peers.go
+++ b/pagate/peers.go
@@ -31,7 +31,7 @@
 	known map[string]*peer
 	conns map[netip.AddrPort]*peerConn
 	// notes is what may be told of warm objects now.
-	notes budget
+	notes tokenBucket
 	// wholeAsked says that a neighbour is being asked for everything, for want of history.
 	wholeAsked atomic.Bool
 }
@@ -62,7 +62,7 @@
 }
 
 func newPeers(g *Gate) *peers {
-	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, notes: budget{rate: noteRate, burst: noteBurst}}
+	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, notes: tokenBucket{rate: noteRate, burst: noteBurst}}
 }
 
 // run calls the neighbours in turn.
@@ -84,7 +84,7 @@
 	for _, e := range g.neighbours(s.entries) {
 		all[e.Peers] = e
 	}
-	if r := g.nearestReader(s); r.Name != "" {
+	if r := g.syncSource(s); r.Name != "" {
 		all[r.Peers] = r
 	}
 	for _, e := range g.farHeralds(s) {
--- a/pagate/ring.go
+++ b/pagate/ring.go
@@ -80,7 +80,7 @@
 // for its region, so that notes cross the links between regions once and not once for each entry VM.
 func (g *Gate) farHeralds(s *state) []pafleet.Entry {
 	first := map[string]pafleet.Entry{}
-	for _, e := range g.live(s) {
+	for _, e := range g.liveEntries(s) {
 		if f, ok := first[e.Region]; !ok || xxhash.Sum64String(e.Name) < xxhash.Sum64String(f.Name) {
 			first[e.Region] = e
 		}
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -92,7 +92,7 @@
 
 // exchange writes the request and reads the answer.
 func (a *attempt) exchange(ctx context.Context) result {
-	limit := a.x.limit.Add(answerSlack)
+	limit := a.x.deadline.Add(answerSlack)
 	if err := a.conn.SetDeadline(limit); err != nil {
 		return a.failed(ctx, trace.Wrap(err))
 	}
@@ -127,7 +127,7 @@
 func (a *attempt) request() *http.Request {
 	names := a.gate.config.Headers
 	h := a.x.header.Clone()
-	left := max(1, a.x.limit.Sub(a.gate.config.Clock.Now()).Milliseconds())
+	left := max(1, a.x.deadline.Sub(a.gate.config.Clock.Now()).Milliseconds())
 	h.Set(names.Deadline, strconv.FormatInt(left, 10))
 	h.Set(names.ExpectedInstance, a.choice.Target)
 	if h.Get("User-Agent") == "" {
@@ -139,10 +139,10 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: a.x.size,
 	}
 	switch {
-	case a.x.stream != nil:
-		r.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.x.body), a.x.stream))
-	case len(a.x.body) > 0:
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(a.x.body)), int64(len(a.x.body))
+	case a.x.unbuffered != nil:
+		r.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.x.buffered), a.x.unbuffered))
+	case len(a.x.buffered) > 0:
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(a.x.buffered)), int64(len(a.x.buffered))
 	default:
 		r.Body, r.ContentLength = http.NoBody, 0
 	}
--- a/pagate/series.go
+++ b/pagate/series.go
@@ -16,8 +16,8 @@
 		return true
 	}
 	g.awaitTurn(x)
-	if g.config.Clock.Now().After(x.limit) {
-		g.refuse(w, x, reasonBehind, comeBackBehind)
+	if g.config.Clock.Now().After(x.deadline) {
+		g.refuse(w, x, reasonBehindOthers, retryAfterBehindOthers)
 		return false
 	}
 	return true
@@ -30,9 +30,9 @@
 	}
 	begun := g.config.Clock.Now()
 	err := x.lane.AwaitTurn(x.caller)
-	x.behind += g.config.Clock.Since(begun)
+	x.pipelineWait += g.config.Clock.Since(begun)
 	if err != nil {
-		g.ended(x, 0, reasonGone)
+		g.recordEnd(x, 0, reasonCallerGone)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/pagate/serve.go
+++ b/pagate/serve.go
@@ -15,21 +15,21 @@
 	for dials, sheds := 0, 0; ; {
 		c := g.choose(x)
 		if c.Target == "" {
-			g.unplaced(w, x, c)
+			g.answerNoTarget(w, x, c)
 			return
 		}
 		r := g.send(ctx, x, c)
 		g.finished(x, r)
 		switch {
 		case r.reply != nil && !g.again(x, r):
-			g.answer(w, x, r)
+			g.writeReply(w, x, r)
 			return
 		case x.caller.Err() != nil:
-			g.ended(x, 0, reasonGone)
+			g.recordEnd(x, 0, reasonCallerGone)
 			panic(http.ErrAbortHandler)
 		}
 		if r.reply != nil {
-			x.failed = r.reply
+			x.failedReply = r.reply
 		}
 		x.mayHaveRun = x.mayHaveRun || !r.notRun
 		if r.outcome == pasteer.Refused {
@@ -40,7 +40,7 @@
 		}
 		room := g.shedWithRoom(r)
 		if r.reply == nil && (room && sheds >= shedsMost || !g.again(x, r)) {
-			g.giveUp(w, x, r, room)
+			g.answerLastFailure(w, x, r, room)
 			return
 		}
 		if room {
@@ -71,9 +71,9 @@
 	now := g.config.Clock.Now()
 	g.steering.Lock()
 	defer g.steering.Unlock()
-	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.limit, Regions: x.regions()}
+	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.regions()}
 	c := g.steer.Choose(q, now)
-	x.last = c
+	x.lastChoice = c
 	g.meter.choice(c)
 	if c.Target != "" {
 		g.steer.Start(c, q, now)
@@ -96,14 +96,14 @@
 	if r.reply != nil && r.outcome == pasteer.Answered {
 		return false
 	}
-	if x.stream != nil || r.outcome == pasteer.Abandoned || !x.route.Idempotent && !r.notRun {
+	if x.unbuffered != nil || r.outcome == pasteer.Abandoned || !x.route.Idempotent && !r.notRun {
 		return false
 	}
 	if len(x.tried)+1 >= x.route.MaxAttempts {
 		return false
 	}
 	now := g.config.Clock.Now()
-	if x.limit.Sub(now) < x.route.TargetLatency/retryShare {
+	if x.deadline.Sub(now) < x.route.TargetLatency/retryShare {
 		return false
 	}
 	g.steering.Lock()
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -11,10 +11,10 @@
 const (
 	// stayTime is how long after the start of a shutdown new requests are taken: callers keep the
 	// answer of a look-up for up to three of its lives, and then some on the way.
-	stayTime = 3*lookUpLife + 300*time.Millisecond
+	stayTime = 3*lookUpTTL + 300*time.Millisecond
 	// closeAfter is when answers begin to close their connections; callers that look up again use
 	// others by then.
-	closeAfter = lookUpLife + 500*time.Millisecond
+	closeAfter = lookUpTTL + 500*time.Millisecond
 	// graceMargin is how long before the kill the process ends by itself.
 	graceMargin = 250 * time.Millisecond
 	// answerMargin is how long before that the requests that still run are given up and answered: an
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -78,7 +78,7 @@
 // successors returns the first of the other entry VMs.
 func (l *limiter) successors() []pafleet.Entry {
 	g := l.gate
-	all := slices.DeleteFunc(g.live(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
+	all := slices.DeleteFunc(g.liveEntries(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	slices.SortFunc(all, byLink)
 	return all[:min(len(all), successorsMost)]
 }
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -36,7 +36,7 @@
 		}
 		return
 	}
-	for _, r := range g.readers(s) {
+	for _, r := range g.storeReaders(s) {
 		if r.Name == g.self.Name || r.Name == e.Name {
 			continue
 		}
@@ -80,7 +80,7 @@
 // that carries callers' requests too, and word of targets that leave comes seconds late.
 func (p *peers) source(e pafleet.Entry) bool {
 	s := p.gate.state.Load()
-	return e.Name == "" || e.Name == p.gate.nearestReader(s).Name || p.gate.age(s) > maxAge
+	return e.Name == "" || e.Name == p.gate.syncSource(s).Name || p.gate.age(s) > maxAge
 }
 
 func (p *peers) exchange(ctx context.Context, c *peerConn, e pafleet.Entry, since pafleet.Revision, asked bool) (*pawire.SyncReply, error) {
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -26,7 +26,7 @@
 func (g *Gate) keepWarm(ctx context.Context) {
 	var kept uint64
 	for g.sleep(ctx, warmPace) {
-		if g.leaving.Load() || g.readers(g.state.Load())[0].Name != g.self.Name {
+		if g.leaving.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
 			continue
 		}
 		g.steering.Lock()
