--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -70,7 +70,7 @@
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterShedWithRoom)
 	case !x.mayHaveRun:
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterTargetsFull)
-	case r.outcome == pasteer.Abandoned && g.ending.Err() != nil:
+	case r.outcome == pasteer.Abandoned && g.requests.Err() != nil:
 		g.writeError(w, x, http.StatusGatewayTimeout, reasonShuttingDown)
 	case r.outcome == pasteer.Abandoned:
 		g.writeError(w, x, http.StatusGatewayTimeout, reasonDeadline)
@@ -112,7 +112,7 @@
 
 // refuseWithStatus is refuse with a status that says why.
 func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
-	g.limits.giveBack(x)
+	g.quotas.returnToken(x)
 	spread := 1 + retryAfterJitter*g.random()
 	seconds := comeBack.Seconds() * spread
 	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
@@ -142,7 +142,7 @@
 		if !g.meter.sample() {
 			return
 		}
-	} else if !g.ends.take(g.config.Clock.Now()) {
+	} else if !g.endLog.take(g.config.Clock.Now()) {
 		g.meter.unlogged.Inc()
 		return
 	}
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -24,7 +24,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	if g.leaving.Load() || g.state.Load().table == nil {
+	if g.shuttingDown.Load() || g.state.Load().table == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -57,7 +57,7 @@
 		region = r
 	}
 	live := g.liveEntries(g.state.Load())
-	if g.leaving.Load() && len(live) > 1 {
+	if g.shuttingDown.Load() && len(live) > 1 {
 		live = slices.DeleteFunc(live, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	}
 	near := slices.DeleteFunc(slices.Clone(live), func(e pafleet.Entry) bool { return e.Region != region })
@@ -82,7 +82,7 @@
 // late that they died.
 func (g *Gate) monitored(near []pafleet.Entry) []pafleet.Entry {
 	all := g.neighbours(near)
-	if !g.leaving.Load() {
+	if !g.shuttingDown.Load() {
 		all = append(all, g.self)
 	}
 	return all
--- a/pagate/elsewhere_test.go
+++ b/pagate/elsewhere_test.go
@@ -76,7 +76,7 @@
 	if whole {
 		all = append(slices.Clone(f.changes), all...)
 	}
-	g.post(context.Background(), storeRead{changes: all, since: g.state.Load().revision, revision: r, whole: whole, at: g.uptime()})
+	g.post(context.Background(), storeUpdate{changes: all, since: g.state.Load().revision, revision: r, whole: whole, verifiedAt: g.uptime()})
 	waitFor(func() bool { return g.state.Load().revision == r })
 }
 
--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -64,7 +64,7 @@
 		default:
 			fails++
 			if paplatform.FaultOf(err) != paplatform.Limited {
-				g.post(ctx, storeFailed{at: now})
+				g.post(ctx, storeFailure{at: now})
 			}
 			if lostAt.IsZero() && ctx.Err() == nil {
 				lostAt = now
@@ -185,7 +185,7 @@
 		// Nothing had changed when the watch ended.
 		at += wait
 	}
-	g.post(ctx, storeRead{changes: all, since: since, revision: r, whole: whole, at: at})
+	g.post(ctx, storeUpdate{changes: all, since: since, revision: r, whole: whole, verifiedAt: at})
 	return whole || len(all) > 0, nil
 }
 
@@ -194,7 +194,7 @@
 	var l paplatform.LeaseID
 	written := false
 	life := max(registrationTTL, g.config.Settings.MinLeaseTTL)
-	for ctx.Err() == nil && !g.leaving.Load() {
+	for ctx.Err() == nil && !g.shuttingDown.Load() {
 		var err error
 		switch {
 		case l == "":
@@ -215,7 +215,7 @@
 		}
 		select {
 		case <-g.config.Clock.After(registrationRenewInterval):
-		case <-g.announced:
+		case <-g.reregister:
 			if written && !g.sleep(ctx, minReadInterval) {
 				return
 			}
@@ -223,7 +223,7 @@
 		case <-ctx.Done():
 		}
 	}
-	if l != "" && g.leaving.Load() {
+	if l != "" && g.shuttingDown.Load() {
 		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, l) }); err != nil {
 			g.record(paevent.StoreUnreachable{Reason: err.Error()})
 		}
--- a/pagate/follow_test.go
+++ b/pagate/follow_test.go
@@ -59,7 +59,7 @@
 		select {
 		case e := <-g.events:
 			now := g.config.Clock.Now()
-			g.publish(&v, knownAt, g.handle(&v, e, &knownAt, now), now)
+			g.publish(&v, knownAt, g.handleEvent(&v, e, &knownAt, now), now)
 		case <-ctx.Done():
 			return
 		}
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -70,8 +70,8 @@
 		g.writeError(w, x, http.StatusNotFound, reasonNoRoute)
 		return
 	}
-	if status, reason := g.admitKey(x, s); status != 0 {
-		g.refuseKey(w, x, status, reason)
+	if status, reason := g.authenticate(x, s); status != 0 {
+		g.refuseAuthentication(w, x, status, reason)
 		return
 	}
 	if most := s.table.Config.Limits.MaxHeader; most > 0 && headerSize(r) > most {
@@ -91,13 +91,13 @@
 	if !g.mayRun(w, x) {
 		return
 	}
-	if comeBack, ok := g.limits.admit(x, s); !ok {
+	if comeBack, ok := g.quotas.admit(x, s); !ok {
 		g.refuseWithStatus(w, x, http.StatusTooManyRequests, reasonRateLimit, comeBack)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(g.ending, cancel)()
+	defer context.AfterFunc(g.requests, cancel)()
 	g.serve(ctx, w, x)
 }
 
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -29,38 +29,38 @@
 	state  atomic.Pointer[state]
 	events chan event
 	peers  *peers
-	// limits are the own shares of rate limits, limiter the pools where this entry VM keeps them.
-	limits  *limits
+	// quotas are the own shares of rate quotas, limiter the pools where this entry VM keeps them.
+	quotas  *rateShares
 	limiter *limiter
 	pool    *pool
 	meter   *meter
-	noted   noted
-	// fleet is how many entry VMs were registered; only the control loop uses it.
-	fleet fleetPeak
-	// ends bounds the lines on requests that were refused or failed.
-	ends tokenBucket
+	logged   noted
+	// fleetPeak is how many entry VMs were registered; only the control loop uses it.
+	fleetPeak fleetPeak
+	// endLog bounds the lines on requests that were refused or failed.
+	endLog tokenBucket
 	// startedAt is when the process began, and firstConfig is closed when a configuration came into force.
 	startedAt   time.Time
-	startedUp   time.Duration
+	startUptime   time.Duration
 	firstConfig chan struct{}
-	// dropped counts log lines that were dropped; nil where nobody counts.
-	dropped *atomic.Uint64
+	// droppedLines counts log lines that were droppedLines; nil where nobody counts.
+	droppedLines *atomic.Uint64
 
-	// steering guards steer, which all requests share.
-	steering sync.Mutex
+	// steerMutex guards steer, which all requests share.
+	steerMutex sync.Mutex
 	steer    *pasteer.Steer
 
-	// ending ends shortly before the process is killed; requests that still run then get an answer.
-	ending context.Context
-	end    context.CancelFunc
+	// requests ends shortly before the process is killed; requests that still run then get an answer.
+	requests context.Context
+	cancelRequests    context.CancelFunc
 
-	callers   *palane.Listener
-	leaving   atomic.Bool
-	leftAt    atomic.Int64
+	listener   *palane.Listener
+	shuttingDown   atomic.Bool
+	shutdownAt    atomic.Int64
 	inFlight  atomic.Int64
-	announced chan struct{}
+	reregister chan struct{}
 	traffic   traffic
-	work      sync.WaitGroup
+	goroutines      sync.WaitGroup
 }
 
 // New returns a Gate that is not running yet.
@@ -73,24 +73,24 @@
 			LinkMbps: s.LinkMbps,
 		},
 		events:    make(chan event, maxEvents),
-		noted:     noted{follows: tokenBucket{rate: followLines, burst: followBurst}},
-		ends:      tokenBucket{rate: endLines, burst: endBurst},
+		logged:     noted{follows: tokenBucket{rate: followLines, burst: followBurst}},
+		endLog:      tokenBucket{rate: endLines, burst: endBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
-		announced: make(chan struct{}, 1),
+		reregister: make(chan struct{}, 1),
 		steer: pasteer.New(pasteer.Config{
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Regions: s.Regions,
 			RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryFloor: s.RetryFloor, MaxShift: s.MaxShift, Off: c.Off,
 		}),
 	}
-	g.ending, g.end = context.WithCancel(context.Background())
-	g.startedUp = g.uptime()
-	g.self.BornUp = g.startedUp.Milliseconds()
+	g.requests, g.cancelRequests = context.WithCancel(context.Background())
+	g.startUptime = g.uptime()
+	g.self.BornUp = g.startUptime.Milliseconds()
 	g.state.Store(&state{knownAt: longAgo})
 	g.meter = newMeter(g)
 	g.pool = &pool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*conn{}}
 	g.peers = newPeers(g)
 	g.limiter = newLimiter(g)
-	g.limits = newLimits(g)
+	g.quotas = newLimits(g)
 	g.countTraffic()
 	return g
 }
@@ -123,35 +123,35 @@
 	g.spawn(func() { g.keepRegistered(ctx) })
 	g.spawn(func() { g.keepWarm(ctx) })
 	g.spawn(func() { g.peers.run(ctx) })
-	g.spawn(func() { g.limits.run(ctx) })
+	g.spawn(func() { g.quotas.run(ctx) })
 	g.spawn(func() { g.limiter.run(ctx) })
 	g.spawn(func() { g.logTraffic(ctx) })
 	g.spawn(func() { g.servePeers(ctx, listeners[3]) })
-	g.callers = palane.Listen(palane.Config{
+	g.listener = palane.Listen(palane.Config{
 		Base: listeners[0], Clock: g.config.Clock, MaxHeader: maxHeader, HeadTimeout: func() time.Duration { return g.callerLimits().HeaderTimeout },
 	})
 	front := &http.Server{
-		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.callers.Observe, ConnContext: palane.WithLane,
+		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.listener.Observe, ConnContext: palane.WithLane,
 	}
 	g.spawn(func() { g.loop(ctx) })
-	g.spawn(func() { g.closed(g.callers.Run()) })
+	g.spawn(func() { g.recordListenerError(g.listener.Run()) })
 	others := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
-	g.spawn(func() { g.closed(front.Serve(g.callers)) })
-	g.spawn(func() { g.closed(others[0].Serve(listeners[1])) })
-	g.spawn(func() { g.closed(others[1].Serve(listeners[2])) })
+	g.spawn(func() { g.recordListenerError(front.Serve(g.listener)) })
+	g.spawn(func() { g.recordListenerError(others[0].Serve(listeners[1])) })
+	g.spawn(func() { g.recordListenerError(others[1].Serve(listeners[2])) })
 	select {
 	case <-soft.Done():
 		g.shutDown(hard, listeners[0])
 	case <-hard.Done():
 	}
-	g.end()
+	g.cancelRequests()
 	front.Close()
-	g.callers.End()
+	g.listener.End()
 	for _, o := range others {
 		o.Close()
 	}
 	cancel()
-	g.work.Wait()
+	g.goroutines.Wait()
 	return nil
 }
 
@@ -173,7 +173,7 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
 }
 
-func (g *Gate) closed(err error) {
+func (g *Gate) recordListenerError(err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
 	}
@@ -192,9 +192,9 @@
 }
 
 func (g *Gate) spawn(f func()) {
-	g.work.Add(1)
+	g.goroutines.Add(1)
 	go func() {
-		defer g.work.Done()
+		defer g.goroutines.Done()
 		f()
 	}()
 }
@@ -222,16 +222,16 @@
 
 // random returns a random number from 0 to 1.
 func (g *Gate) random() float64 {
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
 	return g.config.Random.Float64()
 }
 
 // Reload takes new settings. The bounds of retries change at once; places and addresses are those of
 // the process's start.
 func (g *Gate) Reload(s Settings) {
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
 	c := &g.steer.Config
 	c.RetryRatio, c.RetryWindow, c.RetryFloor, c.MaxShift = s.RetryRatio, s.RetryWindow, s.RetryFloor, s.MaxShift
 }
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -15,32 +15,32 @@
 const (
 	// comeBackStale is when a caller should try again, at another entry VM: one of them may be in touch.
 	comeBackStale = 200 * time.Millisecond
-	// keysNamed is how many workspaces a line on changed keys names.
-	keysNamed = 32
+	// maxLoggedWorkspaces is how many workspaces a line on changed keys names.
+	maxLoggedWorkspaces = 32
 )
 
-// fresh says whether what is known may decide on keys: until a watch before a key that was taken away must be out of force
+// keysFresh says whether what is known may decide on keys: until a watch before a key that was taken away must be out of force
 // everywhere. A watch that ended early makes what is known look younger by as much as it waits.
 //
 // Failure prevented: an entry VM is cut off from the store and from all that read it, and serves a key that an operator
 // took away for as long as the cut lasts.
-func (g *Gate) fresh(s *state) bool {
+func (g *Gate) keysFresh(s *state) bool {
 	bound := g.config.Settings.MaxRevocation
 	return bound <= 0 || g.age(s) <= max(0, bound-g.watchDuration())
 }
 
-// admitKey takes the credential off a request and finds whose it is; a status is the answer to one that is refused.
+// authenticate takes the credential off a request and finds whose it is; a status is the answer to one that is refused.
 // Nothing that the caller says of its workspace reaches a target.
-func (g *Gate) admitKey(x *exchange, s *state) (status int, reason string) {
+func (g *Gate) authenticate(x *exchange, s *state) (status int, reason string) {
 	if !s.table.Config.Keyed {
 		return 0, ""
 	}
 	fields := x.header["Authorization"]
-	x.strip(g.config.Headers.Workspace)
+	x.stripCredentials(g.config.Headers.Workspace)
 	if x.route.Public {
 		return 0, ""
 	}
-	if !g.fresh(s) {
+	if !g.keysFresh(s) {
 		// A key that is unknown here may have been added since.
 		return http.StatusServiceUnavailable, reasonStale
 	}
@@ -58,8 +58,8 @@
 	return 0, ""
 }
 
-// refuseKey answers a request that admitKey refused.
-func (g *Gate) refuseKey(w http.ResponseWriter, x *exchange, status int, reason string) {
+// refuseAuthentication answers a request that admitKey refused.
+func (g *Gate) refuseAuthentication(w http.ResponseWriter, x *exchange, status int, reason string) {
 	if status == http.StatusServiceUnavailable {
 		g.refuse(w, x, reason, comeBackStale)
 		return
@@ -68,9 +68,9 @@
 	g.writeError(w, x, status, reason)
 }
 
-// strip removes the credential, and what the caller says of its workspace in any spelling that a target could take
+// stripCredentials removes the credential, and what the caller says of its workspace in any spelling that a target could take
 // for the header's name.
-func (x *exchange) strip(workspace string) {
+func (x *exchange) stripCredentials(workspace string) {
 	for name := range x.header {
 		plain := strings.ReplaceAll(name, "_", "-")
 		if strings.EqualFold(plain, "Authorization") || strings.EqualFold(plain, workspace) {
@@ -87,16 +87,16 @@
 	return x.workspace.Name
 }
 
-// regions returns the only regions that the request's workspace allows.
-func (x *exchange) regions() []string {
+// allowedRegions returns the only allowedRegions that the request's workspace allows.
+func (x *exchange) allowedRegions() []string {
 	if x.workspace == nil {
 		return nil
 	}
 	return x.workspace.AllowedRegions
 }
 
-// noteKeys logs which workspaces' keys a new version changed.
-func (g *Gate) noteKeys(old, next *paroute.Table) {
+// logKeyChanges logs which workspaces' keys a new version changed.
+func (g *Gate) logKeyChanges(old, next *paroute.Table) {
 	if old == nil {
 		return
 	}
@@ -122,22 +122,22 @@
 		e.Workspaces = append(e.Workspaces, name)
 	}
 	slices.Sort(e.Workspaces)
-	e.Workspaces = e.Workspaces[:min(len(e.Workspaces), keysNamed)]
+	e.Workspaces = e.Workspaces[:min(len(e.Workspaces), maxLoggedWorkspaces)]
 	g.record(e)
 }
 
-// noteFreshness logs when requests with a key begin to be refused for the age of what is known, and when that ends.
+// logStaleness logs when requests with a key begin to be refused for the age of what is known, and when that ends.
 // Only the control loop calls it, at each tick and change.
-func (g *Gate) noteFreshness(s *state) {
+func (g *Gate) logStaleness(s *state) {
 	if s.table == nil || !s.table.Config.Keyed {
 		return
 	}
-	switch fresh := g.fresh(s); {
-	case !fresh && g.noted.staleAt == 0:
-		g.noted.staleAt = g.uptime()
+	switch fresh := g.keysFresh(s); {
+	case !fresh && g.logged.staleAt == 0:
+		g.logged.staleAt = g.uptime()
 		g.record(paevent.ConfigurationStale{AgeMilliseconds: g.age(s).Milliseconds()})
-	case fresh && g.noted.staleAt != 0:
-		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.noted.staleAt).Milliseconds()})
-		g.noted.staleAt = 0
+	case fresh && g.logged.staleAt != 0:
+		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.logged.staleAt).Milliseconds()})
+		g.logged.staleAt = 0
 	}
 }
--- a/pagate/lease_test.go
+++ b/pagate/lease_test.go
@@ -48,7 +48,7 @@
 	g.spawn(func() { g.takeEvents(ctx) })
 	g.spawn(func() { g.followStore(ctx) })
 	gone := <-r.gone
-	for g.fresh(g.state.Load()) {
+	for g.keysFresh(g.state.Load()) {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if served := time.Since(gone); served < bound*7/10 || served > bound {
--- a/pagate/limit.go
+++ b/pagate/limit.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	// askPace is the least time between two calls to the limiter for each entry VM of the deployment, so that it hears
+	// callIntervalPerEntry is the least time between two calls to the limiter for each entry VM of the deployment, so that it hears
 	// about as many calls however many they are, and askLeast the least at all.
-	askPace  = 700 * time.Microsecond
-	askLeast = 15 * time.Millisecond
-	// sparePace is the time between two calls for requests to come only.
-	sparePace = 60 * time.Millisecond
-	// askPatience is the longest that a request waits for the limiter: a call between regions, and the one before it.
-	askPatience = 350 * time.Millisecond
-	// dryPatience is how long it waits on for a limiter that has nothing: a refused caller takes longer to be back.
-	dryPatience = 150 * time.Millisecond
-	// startAsking is how long after its start requests wait longer: the shares are empty, and the limiter may have
+	callIntervalPerEntry  = 700 * time.Microsecond
+	minCallInterval = 15 * time.Millisecond
+	// spareCallInterval is the time between two calls for requests to come only.
+	spareCallInterval = 60 * time.Millisecond
+	// limiterWait is the longest that a request waits for the limiter: a call between regions, and the one before it.
+	limiterWait = 350 * time.Millisecond
+	// emptyPoolWait is how long it waits on for a limiter that has nothing: a refused caller takes longer to be back.
+	emptyPoolWait = 150 * time.Millisecond
+	// startPeriod is how long after its start requests wait longer: the shares are empty, and the limiter may have
 	// started too.
-	startAsking = 2 * time.Second
-	// askAgain is how long after a call that failed no request waits for the limiter.
-	askAgain = 250 * time.Millisecond
-	// againMargin is how far the clocks of two lifetimes of a process may differ.
-	againMargin = time.Second
-	// settleShares is how long after the first start of an entry VM its shares stay empty: until all others know of it.
-	settleShares = 3 * time.Second
+	startPeriod = 2 * time.Second
+	// callFailureBackoff is how long after a call that failed no request waits for the limiter.
+	callFailureBackoff = 250 * time.Millisecond
+	// restartClockMargin is how far the clocks of two lifetimes of a process may differ.
+	restartClockMargin = time.Second
+	// firstStartDelay is how long after the first start of an entry VM its shares stay empty: until all others know of it.
+	firstStartDelay = 3 * time.Second
 )
 
-// limits are the own shares of rate limits.
-type limits struct {
+// rateShares are the own shares of rate rateShares.
+type rateShares struct {
 	gate *Gate
-	// asked wakes the calls to the limiter.
-	asked chan struct{}
+	// wakeUp wakes the calls to the limiter.
+	wakeUp chan struct{}
 
 	mutex  sync.Mutex
-	shares map[string]*share
-	// from is the uptime from which shares fill; again says that they have something at once then.
-	from  time.Duration
-	again bool
+	shares map[string]*rateShare
+	// fillFrom is the uptime fillFrom which shares fill; again says that they have something at once then.
+	fillFrom  time.Duration
+	restarted bool
 	// failedAt is the uptime of the last call that failed, unless one succeeded since.
 	failedAt time.Duration
 }
 
-// share is the own share of a workspace's limit and the requests that wait for more.
-type share struct {
+// rateShare is the own rateShare of a workspace's limit and the requests that wait for more.
+type rateShare struct {
 	*paquota.Share
 	// waiters hear whether they may run, in the order in which they came.
 	waiters []chan bool
 }
 
-func newLimits(g *Gate) *limits {
-	return &limits{
-		gate: g, asked: make(chan struct{}, 1), shares: map[string]*share{}, from: g.startedUp + settleShares, failedAt: longAgo,
+func newLimits(g *Gate) *rateShares {
+	return &rateShares{
+		gate: g, wakeUp: make(chan struct{}, 1), shares: map[string]*rateShare{}, fillFrom: g.startUptime + firstStartDelay, failedAt: longAgo,
 	}
 }
 
-// begin takes the first state. An entry VM that is registered already has only started anew: the others count it, and
+// start takes the first state. An entry VM that is registered already has only started anew: the others count it, and
 // if it ran for longer than a window before, its shares have something at once.
-func (l *limits) begin(s *state) {
+func (l *rateShares) start(s *state) {
 	i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 	if i < 0 {
 		return
@@ -72,7 +72,7 @@
 	ran := l.gate.self.RanAtLeast(s.entries[i])
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.from, l.again = l.gate.startedUp, ran > l.gate.config.Settings.Quota.Window+againMargin
+	l.fillFrom, l.restarted = l.gate.startUptime, ran > l.gate.config.Settings.Quota.Window+restartClockMargin
 }
 
 // division divides a workspace's limit as this entry VM sees the deployment.
@@ -86,7 +86,7 @@
 }
 
 // admit takes a token for the request, waiting for the limiter if need be, or returns when one may be there.
-func (l *limits) admit(x *exchange, s *state) (comeBack time.Duration, ok bool) {
+func (l *rateShares) admit(x *exchange, s *state) (comeBack time.Duration, ok bool) {
 	w := x.workspace
 	if w == nil || !w.Limited() {
 		return 0, true
@@ -110,12 +110,12 @@
 	h.waiters = append(h.waiters, granted)
 	l.mutex.Unlock()
 	l.wake()
-	return l.await(x, h, granted)
+	return l.awaitGrant(x, h, granted)
 }
 
-// await waits for the limiter's answer.
-func (l *limits) await(x *exchange, h *share, granted chan bool) (comeBack time.Duration, ok bool) {
-	patience := min(l.patience(askPatience), x.deadline.Sub(l.gate.config.Clock.Now()))
+// awaitGrant waits for the limiter's answer.
+func (l *rateShares) awaitGrant(x *exchange, h *rateShare, granted chan bool) (comeBack time.Duration, ok bool) {
+	patience := min(l.maxWait(limiterWait), x.deadline.Sub(l.gate.config.Clock.Now()))
 	timer := l.gate.config.Clock.NewTimer(max(0, patience))
 	defer timer.Stop()
 	begun := l.gate.config.Clock.Now()
@@ -125,9 +125,9 @@
 	case ok = <-granted:
 		outcome = "Dry"
 	case <-timer.Chan():
-		ok = l.leave(h, granted)
+		ok = l.cancelWait(h, granted)
 	case <-x.caller.Done():
-		ok = l.leave(h, granted)
+		ok = l.cancelWait(h, granted)
 	}
 	if ok {
 		l.gate.meter.limit("Granted")
@@ -140,19 +140,19 @@
 	return h.ComeBack(l.gate.uptime()), false
 }
 
-// patience returns how long a request waits for a token, where it is usually a time.
+// maxWait returns how long a request waits for a token, where it is usually a time.
 //
 // Load: all entry VMs lose power and come back under full load, with every bucket empty. Harm prevented: callers are
 // refused in the first second, though a token would come within the next, and find the same when they are back.
-func (l *limits) patience(usually time.Duration) time.Duration {
-	if l.gate.uptime()-l.gate.startedUp < startAsking {
+func (l *rateShares) maxWait(usually time.Duration) time.Duration {
+	if l.gate.uptime()-l.gate.startUptime < startPeriod {
 		return startWait
 	}
 	return usually
 }
 
-// leave ends the wait of a request, and says whether it was granted in the same moment.
-func (l *limits) leave(h *share, granted chan bool) bool {
+// cancelWait ends the wait of a request, and says whether it was granted in the same moment.
+func (l *rateShares) cancelWait(h *rateShare, granted chan bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if i := slices.Index(h.waiters, granted); i >= 0 {
@@ -163,8 +163,8 @@
 	return <-granted
 }
 
-// giveBack returns the token of a request that did not run.
-func (l *limits) giveBack(x *exchange) {
+// returnToken returns the token of a request that did not run.
+func (l *rateShares) returnToken(x *exchange) {
 	if !x.hasToken {
 		return
 	}
@@ -177,15 +177,15 @@
 }
 
 // shareOf returns the share of a workspace as the state divides it.
-func (l *limits) shareOf(w *paroute.Workspace, s *state) *share {
+func (l *rateShares) shareOf(w *paroute.Workspace, s *state) *rateShare {
 	division := l.gate.division(w, s)
 	h := l.shares[w.Name]
 	if h == nil {
 		again := 0.0
-		if l.again {
+		if l.restarted {
 			again = division.Again
 		}
-		h = &share{Share: paquota.NewShare(division.Share, again, l.gate.config.Settings.Quota, l.from)}
+		h = &rateShare{Share: paquota.NewShare(division.Share, again, l.gate.config.Settings.Quota, l.fillFrom)}
 		l.shares[w.Name] = h
 	}
 	h.Set(division.Share, l.gate.uptime())
@@ -193,23 +193,23 @@
 }
 
 // reachable says whether the limiter is worth waiting for.
-func (l *limits) reachable(now time.Duration) bool { return now-l.failedAt > askAgain }
+func (l *rateShares) reachable(now time.Duration) bool { return now-l.failedAt > callFailureBackoff }
 
 // wake makes the next call to the limiter come as soon as it may.
-func (l *limits) wake() {
+func (l *rateShares) wake() {
 	select {
-	case l.asked <- struct{}{}:
+	case l.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
 // run asks the limiter for what the shares want.
-func (l *limits) run(ctx context.Context) {
+func (l *rateShares) run(ctx context.Context) {
 	g := l.gate
 	for ctx.Err() == nil {
 		select {
-		case <-l.asked:
-		case <-g.config.Clock.After(sparePace):
+		case <-l.wakeUp:
+		case <-g.config.Clock.After(spareCallInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -217,7 +217,7 @@
 		if s.table == nil || !s.table.Limited() {
 			continue
 		}
-		l.forget(s)
+		l.prune(s)
 		wanted := l.wanted(s)
 		if len(wanted) == 0 {
 			continue
@@ -227,13 +227,13 @@
 		if g.uptime()-begun > paquota.CallTime {
 			granted = nil
 		}
-		l.granted(wanted, granted, err)
-		g.sleep(ctx, max(askLeast, time.Duration(s.fleet)*askPace))
+		l.distribute(wanted, granted, err)
+		g.sleep(ctx, max(minCallInterval, time.Duration(s.fleet)*callIntervalPerEntry))
 	}
 }
 
-// forget drops the shares of workspaces that are gone or have no limit any more.
-func (l *limits) forget(s *state) {
+// prune drops the shares of workspaces that are gone or have no limit any more.
+func (l *rateShares) prune(s *state) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, h := range l.shares {
@@ -244,7 +244,7 @@
 }
 
 // wanted returns what to ask for.
-func (l *limits) wanted(s *state) []*pawire.Wanted {
+func (l *rateShares) wanted(s *state) []*pawire.Wanted {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.gate.uptime()
@@ -260,13 +260,13 @@
 	return all
 }
 
-// granted hands out what the limiter gave; where it gave no answer, requests wait on until their patience ends.
-func (l *limits) granted(wanted []*pawire.Wanted, granted []*pawire.Granted, err error) {
+// distribute hands out what the limiter gave; where it gave no answer, requests wait on until their patience ends.
+func (l *rateShares) distribute(wanted []*pawire.Wanted, granted []*pawire.Granted, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.gate.uptime()
 	if err != nil || len(granted) != len(wanted) {
-		if now-l.gate.startedUp > startAsking {
+		if now-l.gate.startUptime > startPeriod {
 			l.failedAt = now
 		}
 		return
@@ -278,7 +278,7 @@
 			continue
 		}
 		next := time.Duration(granted[i].GetNextMilliseconds()) * time.Millisecond
-		run, refused := h.Granted(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.patience(dryPatience), now)
+		run, refused := h.Granted(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.maxWait(emptyPoolWait), now)
 		for n, c := range h.waiters[:run+refused] {
 			c <- n < run
 		}
--- a/pagate/limiter_test.go
+++ b/pagate/limiter_test.go
@@ -27,7 +27,7 @@
 	asks := f.gates[0]
 	second := asks.limiter.successors()[1].Name
 	limiter := f.gates[slices.IndexFunc(f.gates, func(g *Gate) bool { return g.self.Name == second })]
-	limiter.limiter.until = limiter.uptime() + limiterLife
+	limiter.limiter.claimEnd = limiter.uptime() + claimTTL
 	var err error
 	for range successorsMost {
 		if _, err = asks.limiter.ask(context.Background(), asks.state.Load(), []*pawire.Wanted{{Workspace: "w", Waiting: 1}}); err == nil {
@@ -68,10 +68,10 @@
 		if _, err := g.limiter.TakeOver(context.Background(), &takeOver); err != nil {
 			t.Fatal(err)
 		}
-		if len(g.limiter.left) > 1 {
-			t.Errorf("%d workspaces are kept of a message, one is known", len(g.limiter.left))
+		if len(g.limiter.inherited) > 1 {
+			t.Errorf("%d workspaces are kept of a message, one is known", len(g.limiter.inherited))
 		}
-		g.limiter.from, g.limiter.until = g.uptime(), g.uptime()+limiterLife
+		g.limiter.fillFrom, g.limiter.claimEnd = g.uptime(), g.uptime()+claimTTL
 		granted := 0
 		for range 3 {
 			r := g.limiter.take(take.GetWanted(), take.GetFrom())
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -9,58 +9,58 @@
 )
 
 // event is something that the control loop hears of.
-type event interface{ sealed() }
+type event interface{ isEvent() }
 
-// storeRead is what a reading of the store gave.
-type storeRead struct {
+// storeUpdate is what a reading of the store gave.
+type storeUpdate struct {
 	changes []pafleet.Change
 	// The changes are those after since and up to revision.
 	since, revision pafleet.Revision
 	whole           bool
-	// at is the uptime at which nothing newer was in the store.
-	at time.Duration
+	// verifiedAt is the uptime verifiedAt which nothing newer was in the store.
+	verifiedAt time.Duration
 }
 
-// storeFailed says that the store did not answer.
-type storeFailed struct{ at time.Time }
+// storeFailure says that the store did not answer.
+type storeFailure struct{ at time.Time }
 
-// peerSaid is a neighbour's delta; nil where nothing is new.
-type peerSaid struct {
+// peerUpdate is a neighbour's delta; nil where nothing is new.
+type peerUpdate struct {
 	// from is the neighbour, and since the revision that it was asked from.
 	from  pafleet.Entry
 	since pafleet.Revision
 	delta *pafleet.Delta
-	// knownAt is the uptime at which the neighbour knew that nothing newer was in the store.
-	knownAt  time.Duration
+	// verifiedAt is the uptime at which the neighbour knew that nothing newer was in the store.
+	verifiedAt  time.Duration
 	revision pafleet.Revision
-	// asked says that the neighbour was asked for what is new; without it, no delta means nothing.
-	asked bool
+	// requested says that the neighbour was requested for what is new; without it, no delta means nothing.
+	requested bool
 }
 
 // limiterClaimed says that this entry VM became the limiter.
 type limiterClaimed struct{ at pafleet.Revision }
 
-// deltaWanted asks for what changed after a revision.
-type deltaWanted struct {
+// deltaRequest asks for what changed after a revision.
+type deltaRequest struct {
 	since pafleet.Revision
-	to    chan<- told
+	reply    chan<- deltaReply
 }
 
-// told is what a neighbour is told of the changes after its revision: a delta, nil where nothing changed.
-type told struct {
+// deltaReply is what a neighbour is deltaReply of the changes after its revision: a delta, nil where nothing changed.
+type deltaReply struct {
 	delta *pafleet.Delta
 	// noHistory says that not every removal since then is known here.
 	noHistory bool
 }
 
-func (storeRead) sealed()      {}
-func (storeFailed) sealed()    {}
-func (peerSaid) sealed()       {}
-func (deltaWanted) sealed()    {}
-func (limiterClaimed) sealed() {}
+func (storeUpdate) isEvent()      {}
+func (storeFailure) isEvent()    {}
+func (peerUpdate) isEvent()       {}
+func (deltaRequest) isEvent()    {}
+func (limiterClaimed) isEvent() {}
 
-// tickTime is how often the loop looks at what only time changes.
-const tickTime = 250 * time.Millisecond
+// tickInterval is how often the loop looks at what only time changes.
+const tickInterval = 250 * time.Millisecond
 
 // post hands an event to the control loop.
 func (g *Gate) post(ctx context.Context, e event) {
@@ -74,7 +74,7 @@
 func (g *Gate) loop(ctx context.Context) {
 	var v pafleet.View
 	knownAt := longAgo
-	tick := g.config.Clock.NewTicker(tickTime)
+	tick := g.config.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		changed := false
@@ -85,29 +85,29 @@
 			return
 		case <-tick.Chan():
 			now = g.config.Clock.Now()
-			g.noted.source = ""
+			g.logged.source = ""
 			changed = v.Expire(now)
 			g.pool.reap(now)
 			g.noteDropped()
-			g.noteFreshness(g.state.Load())
-			g.callers.Reap(now, g.callerLimits().IdleTimeout)
+			g.logStaleness(g.state.Load())
+			g.listener.Reap(now, g.callerLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
-			changed = g.handle(&v, e, &knownAt, now)
+			changed = g.handleEvent(&v, e, &knownAt, now)
 		}
 		g.publish(&v, knownAt, changed, now)
-		if r, ok := e.(storeRead); ok && r.whole {
+		if r, ok := e.(storeUpdate); ok && r.whole {
 			g.takeWarm(r.changes, now)
 		}
 	}
 }
 
-// handle takes one event and says whether the view changed.
-func (g *Gate) handle(v *pafleet.View, e event, knownAt *time.Duration, now time.Time) bool {
-	g.noted.source = ""
+// handleEvent takes one event and says whether the view changed.
+func (g *Gate) handleEvent(v *pafleet.View, e event, knownAt *time.Duration, now time.Time) bool {
+	g.logged.source = ""
 	switch e := e.(type) {
-	case storeRead:
-		g.noted.source = sourceStore
+	case storeUpdate:
+		g.logged.source = sourceStore
 		changed := false
 		if e.whole {
 			changed = v.Replace(e.changes, e.revision, now)
@@ -115,16 +115,16 @@
 			changed = v.Follow(e.changes, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.at)
+			*knownAt = max(*knownAt, e.verifiedAt)
 		}
 		return changed
-	case storeFailed:
+	case storeFailure:
 		v.Outage(e.at)
-	case peerSaid:
-		if !e.asked && e.revision != v.Revision {
+	case peerUpdate:
+		if !e.requested && e.revision != v.Revision {
 			return false
 		}
-		g.noted.source = e.from.Name
+		g.logged.source = e.from.Name
 		changed, before := false, v.Revision
 		if e.delta != nil {
 			changed = v.Merge(e.delta, now)
@@ -132,7 +132,7 @@
 			v.Follow(nil, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.knownAt)
+			*knownAt = max(*knownAt, e.verifiedAt)
 		}
 		if v.Revision > before {
 			g.noteFollowed(e, v.Revision, now)
@@ -140,12 +140,12 @@
 		return changed
 	case limiterClaimed:
 		return v.Apply(pafleet.LimiterSaid{Name: g.self.Name, Revision: e.at}, now)
-	case deltaWanted:
+	case deltaRequest:
 		if !v.Covers(e.since) {
-			e.to <- told{noHistory: true}
+			e.reply <- deltaReply{noHistory: true}
 			break
 		}
-		e.to <- told{delta: v.Delta(e.since, now)}
+		e.reply <- deltaReply{delta: v.Delta(e.since, now)}
 	}
 	return false
 }
@@ -167,30 +167,30 @@
 			next.entries = append(next.entries, e)
 		}
 		_, next.registered = v.Entries[g.self.Name]
-		next.fleet = g.fleet.observe(len(v.Entries), g.uptime())
+		next.fleet = g.fleetPeak.observe(len(v.Entries), g.uptime())
 		if v.Config != nil && (old.table == nil || old.table.Config != v.Config) {
 			next.table = paroute.NewTable(v.Config)
-			g.noteKeys(old.table, next.table)
+			g.logKeyChanges(old.table, next.table)
 		}
-		g.steering.Lock()
+		g.steerMutex.Lock()
 		g.steer.Update(v, now)
-		g.steering.Unlock()
+		g.steerMutex.Unlock()
 		g.pool.keepOnly(v)
 	}
 	g.state.Store(next)
 	if old.table == nil && next.table != nil {
-		g.limits.begin(next)
+		g.quotas.start(next)
 		close(g.firstConfig)
 	}
 	if e, ok := v.Entries[g.self.Name]; changed && (!ok || e.Front != g.self.Front) {
-		g.announceAgain()
+		g.requestRegistration()
 	}
 }
 
-// announceAgain asks for the registration to be written anew.
-func (g *Gate) announceAgain() {
+// requestRegistration asks for the registration to be written anew.
+func (g *Gate) requestRegistration() {
 	select {
-	case g.announced <- struct{}{}:
+	case g.reregister <- struct{}{}:
 	default:
 	}
 }
--- a/pagate/meter.go
+++ b/pagate/meter.go
@@ -115,17 +115,17 @@
 // CountDroppedLines adds the number of log lines that a slow reader made the log drop to the metrics, and
 // logs that number when it grows. Call it before Run.
 func (g *Gate) CountDroppedLines(n *atomic.Uint64) {
-	g.dropped = n
+	g.droppedLines = n
 	g.meter.set.NewGauge("papayahead_gate_log_lines_dropped", func() float64 { return float64(n.Load()) })
 }
 
 // noteDropped logs that lines were dropped, once a tick at most.
 func (g *Gate) noteDropped() {
-	if g.dropped == nil {
+	if g.droppedLines == nil {
 		return
 	}
-	if n := g.dropped.Load(); n > g.noted.dropped {
-		g.noted.dropped = n
+	if n := g.droppedLines.Load(); n > g.logged.dropped {
+		g.logged.dropped = n
 		g.record(paevent.LinesDropped{Total: n})
 	}
 }
--- a/pagate/note.go
+++ b/pagate/note.go
@@ -57,11 +57,11 @@
 
 // note logs what is known of one target or entry VM if there is room for the line.
 func (g *Gate) note(e paevent.Event, now time.Time) {
-	if g.noted.lines.take(now) {
+	if g.logged.lines.take(now) {
 		g.record(e)
 		return
 	}
-	g.noted.unlisted++
+	g.logged.unlisted++
 }
 
 // noteChanges logs what the process now believes, one line for each change.
@@ -69,18 +69,18 @@
 	if v.Config != nil && v.Config.Version != old.configVersion() {
 		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigAt)})
 	}
-	if g.noted.targets == nil {
+	if g.logged.targets == nil {
 		// A start: what is known by then counts as known.
-		g.noted.lines = tokenBucket{rate: fleetLines, burst: fleetBurst, refilledAt: now}
-		g.noted.targets, g.noted.entries = map[string]paevent.TargetKnown{}, map[string]string{}
+		g.logged.lines = tokenBucket{rate: fleetLines, burst: fleetBurst, refilledAt: now}
+		g.logged.targets, g.logged.entries = map[string]paevent.TargetKnown{}, map[string]string{}
 	}
 	draining := g.noteTargets(v, now)
 	g.noteEntries(v, now)
 	g.record(paevent.FleetChanged{
 		Revision: uint64(v.Revision), Targets: len(v.Targets), Draining: draining,
-		Entries: len(v.Entries), EvacuatedZones: len(v.Evacuated), Unlisted: g.noted.unlisted,
+		Entries: len(v.Entries), EvacuatedZones: len(v.Evacuated), Unlisted: g.logged.unlisted,
 	})
-	g.noted.unlisted = 0
+	g.logged.unlisted = 0
 }
 
 // noteTargets logs changes of targets and returns how many drain.
@@ -94,18 +94,18 @@
 		case !m.Lapsed.IsZero():
 			e.State = targetLapsed
 		}
-		if g.noted.targets[id] == e {
+		if g.logged.targets[id] == e {
 			continue
 		}
-		g.noted.targets[id] = e
-		e.Revision, e.ColdMilliseconds, e.Source = uint64(m.Revision), max(0, m.ColdUntil.Sub(now)).Milliseconds(), g.noted.source
+		g.logged.targets[id] = e
+		e.Revision, e.ColdMilliseconds, e.Source = uint64(m.Revision), max(0, m.ColdUntil.Sub(now)).Milliseconds(), g.logged.source
 		g.note(e, now)
 	}
-	for id, e := range g.noted.targets {
+	for id, e := range g.logged.targets {
 		if v.Targets[id] == nil {
-			e.State, e.Revision, e.Source = targetGone, uint64(v.Revision), g.noted.source
+			e.State, e.Revision, e.Source = targetGone, uint64(v.Revision), g.logged.source
 			g.note(e, now)
-			delete(g.noted.targets, id)
+			delete(g.logged.targets, id)
 		}
 	}
 	return draining
@@ -114,14 +114,14 @@
 // noteEntries logs changes of the registered entry VMs.
 func (g *Gate) noteEntries(v *pafleet.View, now time.Time) {
 	for name, e := range v.Entries {
-		if _, ok := g.noted.entries[name]; !ok {
-			g.noted.entries[name] = e.Zone
+		if _, ok := g.logged.entries[name]; !ok {
+			g.logged.entries[name] = e.Zone
 			g.note(paevent.EntryKnown{Entry: name, Zone: e.Zone, Registered: true}, now)
 		}
 	}
-	for name, zone := range g.noted.entries {
+	for name, zone := range g.logged.entries {
 		if _, ok := v.Entries[name]; !ok {
-			delete(g.noted.entries, name)
+			delete(g.logged.entries, name)
 			g.note(paevent.EntryKnown{Entry: name, Zone: zone}, now)
 		}
 	}
@@ -129,18 +129,18 @@
 
 // noteFollowed logs that a neighbour's word raised the revision, if it named something or comes from another process than
 // the last such word.
-func (g *Gate) noteFollowed(p peerSaid, r pafleet.Revision, now time.Time) {
+func (g *Gate) noteFollowed(p peerUpdate, r pafleet.Revision, now time.Time) {
 	from := lifetime{name: p.from.Name, born: p.from.Born}
 	e := paevent.NeighbourFollowed{Entry: from.name, Born: from.born, Since: uint64(p.since), Revision: uint64(r)}
 	if d := p.delta; d != nil {
 		e.Whole, e.Targets, e.Gone, e.Entries, e.Left, e.Zones = d.Whole, len(d.Targets), len(d.Gone), len(d.Entries), len(d.Left), len(d.Zones)
 	}
 	g.meter.wordFollowed(wordOf(p.delta)).Inc()
-	if p.delta == nil && g.noted.followed == from {
+	if p.delta == nil && g.logged.followed == from {
 		return
 	}
-	g.noted.followed = from
-	if g.noted.follows.take(now) {
+	g.logged.followed = from
+	if g.logged.follows.take(now) {
 		g.record(e)
 	}
 }
--- a/pagate/note_test.go
+++ b/pagate/note_test.go
@@ -77,9 +77,9 @@
 	knownAt := longAgo
 	say := func(born int64, since, revision pafleet.Revision) string {
 		out.Reset()
-		said := peerSaid{from: pafleet.Entry{Name: "r", Born: born}, since: since, revision: revision, asked: true, knownAt: g.uptime()}
+		said := peerUpdate{from: pafleet.Entry{Name: "r", Born: born}, since: since, revision: revision, requested: true, verifiedAt: g.uptime()}
 		clock.Advance(time.Second)
-		g.handle(&v, said, &knownAt, clock.Now())
+		g.handleEvent(&v, said, &knownAt, clock.Now())
 		return out.String()
 	}
 	if line := say(1, 4, 5); !strings.Contains(line, `"Entry":"r","Born":1,"Since":4,"Revision":5`) {
--- a/pagate/pack_test.go
+++ b/pagate/pack_test.go
@@ -95,11 +95,11 @@
 	var v pafleet.View
 	knownAt := g.uptime()
 	v.Replace(nil, 5, clock.Now())
-	g.handle(&v, peerSaid{revision: 9, knownAt: knownAt + 1}, &knownAt, clock.Now())
+	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: knownAt + 1}, &knownAt, clock.Now())
 	if v.Revision != 5 {
 		t.Errorf("revision %d, want 5", v.Revision)
 	}
-	g.handle(&v, peerSaid{revision: 9, knownAt: knownAt + 1, asked: true}, &knownAt, clock.Now())
+	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: knownAt + 1, requested: true}, &knownAt, clock.Now())
 	if v.Revision != 9 {
 		t.Errorf("revision %d, want 9", v.Revision)
 	}
--- a/pagate/serve.go
+++ b/pagate/serve.go
@@ -9,9 +9,9 @@
 
 // serve sends the request until there is an answer.
 func (g *Gate) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
-	g.steering.Lock()
+	g.steerMutex.Lock()
 	x.service = g.steer.Part(x.route, x.arrived)
-	g.steering.Unlock()
+	g.steerMutex.Unlock()
 	for dials, sheds := 0, 0; ; {
 		c := g.choose(x)
 		if c.Target == "" {
@@ -61,17 +61,17 @@
 
 // shedWithRoom says that a target with a free slot turned the request away.
 func (g *Gate) shedWithRoom(r result) bool {
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
 	return g.steer.ShedWithRoom(r.report)
 }
 
 // choose decides where the request goes next.
 func (g *Gate) choose(x *exchange) pasteer.Choice {
 	now := g.config.Clock.Now()
-	g.steering.Lock()
-	defer g.steering.Unlock()
-	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.regions()}
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
+	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions()}
 	c := g.steer.Choose(q, now)
 	x.lastChoice = c
 	g.meter.choice(c)
@@ -83,8 +83,8 @@
 
 // finished tells the steering how an attempt ended.
 func (g *Gate) finished(x *exchange, r result) {
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
 	g.steer.Finish(r.report, g.config.Clock.Now())
 	g.meter.attempt(x.route.Name, r.outcome)
 }
@@ -106,8 +106,8 @@
 	if x.deadline.Sub(now) < x.route.TargetLatency/retryShare {
 		return false
 	}
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.steerMutex.Lock()
+	defer g.steerMutex.Unlock()
 	return g.steer.TakeRetry(x.service, now)
 }
 
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -24,7 +24,7 @@
 
 // closing says that answers close their connections.
 func (g *Gate) closing() bool {
-	return g.leaving.Load() && g.config.Clock.Now().UnixNano()-g.leftAt.Load() > int64(closeAfter)
+	return g.shuttingDown.Load() && g.config.Clock.Now().UnixNano()-g.shutdownAt.Load() > int64(closeAfter)
 }
 
 // mayFinish says whether a request that arrives now can end before the process does.
@@ -32,24 +32,24 @@
 // Load: callers that still use the entry VM during its shutdown. Harm prevented: a long request that
 // starts late is cut off by the kill; refused at once, it runs elsewhere.
 func (g *Gate) mayFinish(x *exchange) bool {
-	if !g.leaving.Load() {
+	if !g.shuttingDown.Load() {
 		return true
 	}
-	end := time.Duration(g.leftAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - graceMargin - answerMargin
+	end := time.Duration(g.shutdownAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - graceMargin - answerMargin
 	return x.route.TargetLatency*2 < end
 }
 
 // shutDown ends the process after all that callers may still send has its answer.
 func (g *Gate) shutDown(hard context.Context, listener net.Listener) {
-	g.leftAt.Store(g.config.Clock.Now().UnixNano())
-	g.leaving.Store(true)
-	g.announceAgain()
+	g.shutdownAt.Store(g.config.Clock.Now().UnixNano())
+	g.shuttingDown.Store(true)
+	g.requestRegistration()
 	g.record(paevent.Stopping{Reason: "signal", InFlight: int(g.inFlight.Load())})
 	begun := g.config.Clock.Now()
 	g.sleep(hard, min(stayTime, g.config.Settings.GracePeriod/2+stayTime/8))
 	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-graceMargin-g.config.Clock.Since(begun))
 	defer cancel()
-	giveUp := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-graceMargin-answerMargin-g.config.Clock.Since(begun), g.end)
+	giveUp := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-graceMargin-answerMargin-g.config.Clock.Since(begun), g.cancelRequests)
 	defer giveUp.Stop()
 	if err := listener.Close(); err != nil {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
@@ -75,7 +75,7 @@
 // shutdown began. Failure prevented: the process stands still for a moment while a request arrives, the
 // request is read right after, and its caller loses the connection without an answer.
 func (g *Gate) drain(ctx context.Context) bool {
-	for g.callers.Drain(g.config.Clock.Now(), newMost) > 0 {
+	for g.listener.Drain(g.config.Clock.Now(), newMost) > 0 {
 		if !g.sleep(ctx, drainPace) {
 			return false
 		}
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -27,7 +27,7 @@
 // Load: entry VMs are stopped and started in turn. Harm prevented: until the others read in the store that nobody is
 // the limiter, and one claims it, requests beyond the shares are refused.
 func (l *limiter) handOver(ctx context.Context, lease paplatform.LeaseID) {
-	left := l.end("shutdown")
+	left := l.endClaim("shutdown")
 	if l.release(ctx, lease) {
 		l.offer(ctx, "", left)
 	}
@@ -40,8 +40,8 @@
 // lapsed, seconds after it stopped.
 func (l *limiter) offer(ctx context.Context, lease paplatform.LeaseID, left []*pawire.Left) {
 	g := l.gate
-	l.calls.Lock()
-	defer l.calls.Unlock()
+	l.connMutex.Lock()
+	defer l.connMutex.Unlock()
 	for _, e := range l.successors() {
 		ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
 		c, err := l.connect(ctx, e)
@@ -50,7 +50,7 @@
 		}
 		cancel()
 		if err == nil {
-			l.follow(e.Name)
+			l.setHint(e.Name)
 			return
 		}
 		l.disconnect()
@@ -68,9 +68,9 @@
 
 // giveUp leaves the pools to an entry VM that reaches more others.
 func (l *limiter) giveUp(ctx context.Context, lease paplatform.LeaseID) {
-	l.end("out of touch")
+	l.endClaim("out of touch")
 	l.mutex.Lock()
-	l.alone = l.gate.uptime()
+	l.isolatedAt = l.gate.uptime()
 	l.mutex.Unlock()
 	l.release(ctx, lease)
 }
@@ -79,7 +79,7 @@
 func (l *limiter) successors() []pafleet.Entry {
 	g := l.gate
 	all := slices.DeleteFunc(g.liveEntries(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
-	slices.SortFunc(all, byLink)
+	slices.SortFunc(all, byBandwidth)
 	return all[:min(len(all), successorsMost)]
 }
 
@@ -93,15 +93,15 @@
 		return nil, trace.ConnectionProblem(nil, "the store does not serve %s", l.gate.self.Name)
 	}
 	l.mutex.Lock()
-	l.left, l.leftAt = map[string]int{}, l.gate.uptime()
+	l.inherited, l.inheritedAt = map[string]int{}, l.gate.uptime()
 	for _, w := range q.GetLeft() {
 		if s.table.Workspace(w.GetWorkspace()) != nil {
-			l.left[w.GetWorkspace()] = int(w.GetTokens())
+			l.inherited[w.GetWorkspace()] = int(w.GetTokens())
 		}
 	}
 	l.mutex.Unlock()
 	select {
-	case l.free <- struct{}{}:
+	case l.takeOver <- struct{}{}:
 	default:
 	}
 	return &pawire.TakeOverReply{}, nil
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -65,7 +65,7 @@
 		p.failed(e)
 		return nil
 	}
-	p.take(ctx, c, r, peerSaid{knownAt: sent, since: since, asked: asked})
+	p.take(ctx, c, r, peerUpdate{verifiedAt: sent, since: since, requested: asked})
 	return r
 }
 
@@ -92,7 +92,7 @@
 		c.conn, c.entry, c.warm = drpcconn.New(raw), pafleet.Entry{}, 0
 	}
 	q := &pawire.SyncRequest{
-		Name: p.gate.self.Name, Revision: uint64(since), Leaving: p.gate.leaving.Load(),
+		Name: p.gate.self.Name, Revision: uint64(since), Leaving: p.gate.shuttingDown.Load(),
 		WarmAfter: c.warm, WarmWanted: p.gate.asksForNotes(e),
 	}
 	if !asked {
@@ -114,7 +114,7 @@
 }
 
 // take hands a neighbour's reply to the control loop and to the steering; said holds what was asked, and as knownAt when.
-func (p *peers) take(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerSaid) {
+func (p *peers) take(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerUpdate) {
 	if len(r.GetEntry()) > 0 {
 		if err := json.Unmarshal(r.GetEntry(), &c.entry); err != nil {
 			p.gate.record(paevent.NeighbourUnreadable{Reason: err.Error()})
@@ -133,7 +133,7 @@
 	// A neighbour cannot know what will be.
 	age := max(0, time.Duration(r.GetAgeMicroseconds())*time.Microsecond)
 	said.from, said.revision = c.entry, pafleet.Revision(r.GetRevision())
-	said.knownAt -= age
+	said.verifiedAt -= age
 	if len(r.GetDelta()) > 0 {
 		p.gate.traffic.changes.Add(uint64(len(r.GetDelta())))
 		said.delta = &pafleet.Delta{}
@@ -149,7 +149,7 @@
 func (p *peers) Sync(ctx context.Context, q *pawire.SyncRequest) (*pawire.SyncReply, error) {
 	s := p.gate.state.Load()
 	r := &pawire.SyncReply{
-		Revision: uint64(s.revision), Leaving: p.gate.leaving.Load(),
+		Revision: uint64(s.revision), Leaving: p.gate.shuttingDown.Load(),
 		AgeMicroseconds: p.gate.age(s).Microseconds(),
 	}
 	if len(q.GetEntry()) > 0 {
@@ -186,13 +186,13 @@
 }
 
 // changesSince asks the control loop for what a neighbour at a revision is to be told.
-func (p *peers) changesSince(ctx context.Context, since pafleet.Revision) (told, error) {
-	to := make(chan told, 1)
-	p.gate.post(ctx, deltaWanted{since: since, to: to})
+func (p *peers) changesSince(ctx context.Context, since pafleet.Revision) (deltaReply, error) {
+	to := make(chan deltaReply, 1)
+	p.gate.post(ctx, deltaRequest{since: since, reply: to})
 	select {
 	case t := <-to:
 		return t, nil
 	case <-ctx.Done():
-		return told{}, ctx.Err()
+		return deltaReply{}, ctx.Err()
 	}
 }
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -24,12 +24,12 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.gate.uptime()
-	if now >= l.until || s.table == nil {
+	if now >= l.claimEnd || s.table == nil {
 		return &pawire.TakeReply{Limiter: l.follows(s, now)}
 	}
 	r := &pawire.TakeReply{Limiter: l.gate.self.Name}
 	for _, w := range all {
-		granted, next := 0, limiterLook
+		granted, next := 0, claimPollInterval
 		if pool := l.pool(s, w.GetWorkspace(), now); pool != nil {
 			wanted := paquota.Wanted{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), From: uint64(from)}
 			granted, next = pool.Take(wanted, now)
@@ -49,9 +49,9 @@
 	bucket := l.gate.division(w, s).Pool
 	p := l.pools[name]
 	if p == nil {
-		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.from)
-		p.Put(l.left[name])
-		delete(l.left, name)
+		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.fillFrom)
+		p.Put(l.inherited[name])
+		delete(l.inherited, name)
 		l.pools[name] = p
 	}
 	p.Set(bucket, now)
@@ -61,7 +61,7 @@
 // follows returns whom this entry VM takes for the limiter; mutex is held. Once hintEnd is past the store's word goes
 // first, unless it names nobody, or this entry VM itself, which knows better.
 func (l *limiter) follows(s *state, now time.Duration) string {
-	if l.hint != "" && (now < l.hintEnd || s.limiter == "" || s.limiter == l.gate.self.Name) {
+	if l.hint != "" && (now < l.hintUntil || s.limiter == "" || s.limiter == l.gate.self.Name) {
 		return l.hint
 	}
 	return s.limiter
@@ -72,26 +72,26 @@
 	g := l.gate
 	l.mutex.Lock()
 	now := g.uptime()
-	here, name := now < l.until, l.follows(s, now)
+	here, name := now < l.claimEnd, l.follows(s, now)
 	l.mutex.Unlock()
 	if here {
-		return l.take(wanted, l.name).GetGranted(), nil
+		return l.take(wanted, l.nameHash).GetGranted(), nil
 	}
 	if name == "" {
 		name = l.likely()
 	}
 	ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
 	defer cancel()
-	l.calls.Lock()
-	defer l.calls.Unlock()
+	l.connMutex.Lock()
+	defer l.connMutex.Unlock()
 	e, ok := l.reach(s, name)
 	if !ok || name == g.self.Name {
 		return nil, trace.NotFound("no limiter")
 	}
-	r, err := l.call(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.name})
+	r, err := l.call(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.nameHash})
 	if err != nil {
 		l.disconnect()
-		l.follow("")
+		l.setHint("")
 		return nil, trace.Wrap(err)
 	}
 	if len(r.GetGranted()) != len(wanted) {
@@ -99,7 +99,7 @@
 		if other == name {
 			other = ""
 		}
-		l.follow(other)
+		l.setHint(other)
 		return nil, trace.NotFound("%s is not the limiter", name)
 	}
 	return r.GetGranted(), nil
@@ -111,7 +111,7 @@
 	if i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == name }); i >= 0 {
 		return s.entries[i], true
 	}
-	return l.connTo, l.conn != nil && l.connTo.Name == name
+	return l.connEntry, l.conn != nil && l.connEntry.Name == name
 }
 
 // call asks an entry VM for tokens; calls is held.
@@ -135,13 +135,13 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.guess++
-	return all[l.guess%len(all)].Name
+	l.probes++
+	return all[l.probes%len(all)].Name
 }
 
 // connect returns a connection to an entry VM; calls is held.
 func (l *limiter) connect(ctx context.Context, e pafleet.Entry) (*drpcconn.Conn, error) {
-	if l.conn != nil && l.connTo.Peers == e.Peers {
+	if l.conn != nil && l.connEntry.Peers == e.Peers {
 		return l.conn, nil
 	}
 	l.disconnect()
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	l.conn, l.connTo = drpcconn.New(raw), e
+	l.conn, l.connEntry = drpcconn.New(raw), e
 	return l.conn, nil
 }
 
--- a/pagate/touch.go
+++ b/pagate/touch.go
@@ -51,14 +51,14 @@
 func (l *limiter) wasAlone() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.gate.uptime()-l.alone < aloneTime
+	return l.gate.uptime()-l.isolatedAt < aloneTime
 }
 
 // keeping says whether this entry VM is the limiter.
 func (l *limiter) keeping() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.gate.uptime() < l.until
+	return l.gate.uptime() < l.claimEnd
 }
 
 // samples returns one entry VM of each other zone, one that answers where there is one.
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -26,12 +26,12 @@
 func (g *Gate) keepWarm(ctx context.Context) {
 	var kept uint64
 	for g.sleep(ctx, warmPace) {
-		if g.leaving.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
+		if g.shuttingDown.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
 			continue
 		}
-		g.steering.Lock()
+		g.steerMutex.Lock()
 		notes, last := g.steer.Warm(warmMost, g.config.Clock.Now())
-		g.steering.Unlock()
+		g.steerMutex.Unlock()
 		if last == kept {
 			continue
 		}
@@ -49,9 +49,9 @@
 func (g *Gate) takeWarm(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
 		if k, ok := c.(pafleet.WarmKept); ok {
-			g.steering.Lock()
+			g.steerMutex.Lock()
 			g.steer.HearKept(k.Notes, now)
-			g.steering.Unlock()
+			g.steerMutex.Unlock()
 		}
 	}
 }
@@ -73,8 +73,8 @@
 		age := time.Duration(n.GetAgeMilliseconds()) * time.Millisecond
 		notes = append(notes, pafleet.WarmNote{Target: n.GetTarget(), Object: n.GetObject(), Age: age})
 	}
-	p.gate.steering.Lock()
-	defer p.gate.steering.Unlock()
+	p.gate.steerMutex.Lock()
+	defer p.gate.steerMutex.Unlock()
 	p.gate.steer.HearWarm(notes, p.gate.config.Clock.Now())
 }
 
@@ -82,9 +82,9 @@
 func (p *peers) warmAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
 	now := p.gate.config.Clock.Now()
 	most := p.notes.available(now)
-	p.gate.steering.Lock()
+	p.gate.steerMutex.Lock()
 	all, last := p.gate.steer.WarmNotes(after, most, now)
-	p.gate.steering.Unlock()
+	p.gate.steerMutex.Unlock()
 	p.notes.spend(len(all))
 	for _, n := range all {
 		out = append(out, &pawire.WarmNote{Target: n.Target, Object: n.Object, AgeMilliseconds: uint32(n.Age.Milliseconds())})
