--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -53,8 +53,8 @@
 func (g *Gate) answerNoTarget(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
 	switch {
 	case x.failedReply != nil:
-		g.writeReply(w, x, result{reply: x.failedReply, outcome: pasteer.Failed})
-	case x.mayHaveRun:
+		g.writeReply(w, x, attemptResult{reply: x.failedReply, outcome: pasteer.Failed})
+	case x.mayHaveExecuted:
 		g.writeError(w, x, http.StatusBadGateway, string(c.Reason))
 	default:
 		g.refuse(w, x, string(c.Reason), c.ComeBack)
@@ -62,13 +62,13 @@
 }
 
 // answerLastFailure answers a request whose last attempt brought no answer.
-func (g *Gate) answerLastFailure(w http.ResponseWriter, x *exchange, r result, room bool) {
+func (g *Gate) answerLastFailure(w http.ResponseWriter, x *exchange, r attemptResult, room bool) {
 	switch {
 	case x.failedReply != nil:
-		g.writeReply(w, x, result{reply: x.failedReply, outcome: pasteer.Failed})
-	case !x.mayHaveRun && room:
+		g.writeReply(w, x, attemptResult{reply: x.failedReply, outcome: pasteer.Failed})
+	case !x.mayHaveExecuted && room:
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterShedWithRoom)
-	case !x.mayHaveRun:
+	case !x.mayHaveExecuted:
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterTargetsFull)
 	case r.outcome == pasteer.Abandoned && g.requests.Err() != nil:
 		g.writeError(w, x, http.StatusGatewayTimeout, reasonShuttingDown)
@@ -80,9 +80,9 @@
 }
 
 // writeReply passes the target's writeReply on.
-func (g *Gate) writeReply(w http.ResponseWriter, x *exchange, r result) {
+func (g *Gate) writeReply(w http.ResponseWriter, x *exchange, r attemptResult) {
 	p := r.reply
-	g.beginAnswer(w, x, len(p.body))
+	g.beginResponse(w, x, len(p.body))
 	h := w.Header()
 	for name, values := range p.header {
 		h[name] = values
@@ -121,7 +121,7 @@
 
 // writeError gives an answer of the gate's own.
 func (g *Gate) writeError(w http.ResponseWriter, x *exchange, status int, reason string) {
-	g.beginAnswer(w, x, 0)
+	g.beginResponse(w, x, 0)
 	if x.id != "" {
 		w.Header().Set(g.config.Headers.RequestID, x.id)
 	}
@@ -137,13 +137,13 @@
 	if x.route != nil {
 		name = x.route.Name
 	}
-	g.meter.request(name, status, reason, took, x.pipelineWait)
+	g.meter.countRequest(name, status, reason, took, x.pipelineWait)
 	if reason == "" && status < http.StatusInternalServerError {
-		if !g.meter.sample() {
+		if !g.meter.sampleServed() {
 			return
 		}
 	} else if !g.endLog.take(g.config.Clock.Now()) {
-		g.meter.unlogged.Inc()
+		g.meter.unloggedEnds.Inc()
 		return
 	}
 	s := g.state.Load()
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -64,7 +64,7 @@
 	if len(near) == 0 {
 		near = live
 	}
-	if region == g.self.Region && len(near) > neighboursMost {
+	if region == g.self.Region && len(near) > maxNeighbours {
 		near = g.monitored(near)
 	}
 	var all []netip.AddrPort
--- a/pagate/elsewhere_test.go
+++ b/pagate/elsewhere_test.go
@@ -107,7 +107,7 @@
 	}
 	f.read(reader, false, 14, pafleet.TargetGone{ID: "t", Revision: 12})
 	f.read(restarted, true, 14)
-	follower.peers.call(context.Background(), restarted.self)
+	follower.peers.syncWith(context.Background(), restarted.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 14 }) {
 		t.Fatalf("the follower stands at %d", follower.state.Load().revision)
 	}
@@ -127,13 +127,13 @@
 	for _, g := range []*Gate{first, second} {
 		f.read(g, true, 14)
 	}
-	follower.peers.call(context.Background(), first.self)
+	follower.peers.syncWith(context.Background(), first.self)
 	if r := follower.state.Load().revision; r != 10 || first.toldWhole() || second.toldWhole() {
 		t.Fatalf("the follower stands at %d right away, or was told everything", r)
 	}
 	f.clock.Advance(maxAge + time.Second)
 	f.read(first, false, 15)
-	follower.peers.call(context.Background(), first.self)
+	follower.peers.syncWith(context.Background(), first.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 15 }) {
 		t.Errorf("the follower stands at %d", follower.state.Load().revision)
 	}
--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -23,7 +23,7 @@
 	watchesPerRevocation = 10
 	// maxAge is the age of what is known at which neighbours are asked for more, and the first of them reads the store
 	// in the place of those that should have: a watch, a call by which a neighbour asks, and the ways of both.
-	maxAge = maxWatchTime + syncPace + 500*time.Millisecond
+	maxAge = maxWatchTime + syncInterval + 500*time.Millisecond
 	// propagationMargin is how long before a change must be in force the last entry VM reads by itself.
 	propagationMargin = 300 * time.Millisecond
 	// storeTimeout bounds a call; the store answers in 4 ms, and a silent connection shows no error.
@@ -172,10 +172,10 @@
 	var r pafleet.Revision
 	since := g.state.Load().revision
 	if whole {
-		g.meter.storeCall("List")
+		g.meter.countStoreCall("List")
 		all, r, err = g.config.Registry.List(ctx)
 	} else {
-		g.meter.storeCall("Watch")
+		g.meter.countStoreCall("Watch")
 		all, r, err = g.config.Registry.Watch(ctx, since, wait)
 	}
 	if err != nil {
@@ -239,7 +239,7 @@
 }
 
 func (g *Gate) storeCall(ctx context.Context, name string, call func(ctx context.Context) error) error {
-	g.meter.storeCall(name)
+	g.meter.countStoreCall(name)
 	ctx, cancel := g.withTimeout(ctx, storeTimeout)
 	defer cancel()
 	return call(ctx)
--- a/pagate/follow_test.go
+++ b/pagate/follow_test.go
@@ -54,7 +54,7 @@
 // takeEvents stands in for the control loop.
 func (g *Gate) takeEvents(ctx context.Context) {
 	var v pafleet.View
-	knownAt := longAgo
+	knownAt := longBeforeStart
 	for {
 		select {
 		case e := <-g.events:
@@ -83,7 +83,7 @@
 		most = max(most, g.age(g.state.Load()))
 	}
 	// A neighbour asks within syncPace, over ways of some 150 ms.
-	if limit := maxAge - syncPace - 150*time.Millisecond; most > limit {
+	if limit := maxAge - syncInterval - 150*time.Millisecond; most > limit {
 		t.Errorf("what a reader knows was %v old, more than %v", most, limit)
 	}
 	r.mutex.Lock()
@@ -98,7 +98,7 @@
 func TestANeighbourThatKnowsNothingIsNoReading(t *testing.T) {
 	s := Settings{Name: "e", Seeds: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.9:1")}}
 	g := New(Config{Settings: s, Network: unused{}, Clock: clockwork.NewRealClock()})
-	g.state.Store(&state{knownAt: longAgo})
+	g.state.Store(&state{knownAt: longBeforeStart})
 	if g.syncedAtStart(context.Background()) {
 		t.Error("an answer without a revision counts as a reading")
 	}
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -41,7 +41,7 @@
 	deadline   time.Time
 	// tried are the targets that the request was sent to; mayHaveRun says that one may have run it.
 	tried      []string
-	mayHaveRun bool
+	mayHaveExecuted bool
 	failedReply     *reply
 	// lastChoice is the lastChoice decision, for the log.
 	lastChoice pasteer.Choice
@@ -53,14 +53,14 @@
 	pipelineWait time.Duration
 }
 
-func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= inlineMost }
+func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= maxInlineWrite }
 
 // serveCaller answers one request of a caller.
 func (g *Gate) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := g.newExchange(r)
-	s := g.configured(r.Context())
+	s := g.awaitConfig(r.Context())
 	if s.table == nil {
 		g.refuse(w, x, reasonNoConfig, retryAfterNoConfig)
 		return
@@ -84,11 +84,11 @@
 		return
 	}
 	x.deadline = g.deadlineOf(x, r)
-	if !g.mayFinish(x) {
+	if !g.canFinish(x) {
 		g.refuse(w, x, reasonShuttingDown, retryAfterShutdown)
 		return
 	}
-	if !g.mayRun(w, x) {
+	if !g.admitPipelined(w, x) {
 		return
 	}
 	if comeBack, ok := g.quotas.admit(x, s); !ok {
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(g.requests, cancel)()
-	g.serve(ctx, w, x)
+	g.forward(ctx, w, x)
 }
 
 // newExchange reads the head of a request.
@@ -145,7 +145,7 @@
 	if l.MaxBody > 0 {
 		body = http.MaxBytesReader(nil, r.Body, l.MaxBody)
 	}
-	held, err := io.ReadAll(io.LimitReader(body, bufferMost+1))
+	held, err := io.ReadAll(io.LimitReader(body, maxBuffered+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -154,7 +154,7 @@
 		return http.StatusBadRequest, reasonBadBody
 	}
 	x.buffered = held
-	if len(held) > bufferMost {
+	if len(held) > maxBuffered {
 		x.unbuffered = body
 	}
 	return 0, ""
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -32,9 +32,9 @@
 	// quotas are the own shares of rate quotas, limiter the pools where this entry VM keeps them.
 	quotas  *rateShares
 	limiter *limiter
-	pool    *pool
+	conns    *connPool
 	meter   *meter
-	logged   noted
+	logged   logState
 	// fleetPeak is how many entry VMs were registered; only the control loop uses it.
 	fleetPeak fleetPeak
 	// endLog bounds the lines on requests that were refused or failed.
@@ -59,7 +59,7 @@
 	shutdownAt    atomic.Int64
 	inFlight  atomic.Int64
 	reregister chan struct{}
-	traffic   traffic
+	traffic   controlTraffic
 	goroutines      sync.WaitGroup
 }
 
@@ -73,8 +73,8 @@
 			LinkMbps: s.LinkMbps,
 		},
 		events:    make(chan event, maxEvents),
-		logged:     noted{follows: tokenBucket{rate: followLines, burst: followBurst}},
-		endLog:      tokenBucket{rate: endLines, burst: endBurst},
+		logged:     logState{appliedLines: tokenBucket{rate: appliedLineRate, burst: appliedLineBurst}},
+		endLog:      tokenBucket{rate: endLineRate, burst: endLineBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
 		reregister: make(chan struct{}, 1),
 		steer: pasteer.New(pasteer.Config{
@@ -85,13 +85,13 @@
 	g.requests, g.cancelRequests = context.WithCancel(context.Background())
 	g.startUptime = g.uptime()
 	g.self.BornUp = g.startUptime.Milliseconds()
-	g.state.Store(&state{knownAt: longAgo})
+	g.state.Store(&state{knownAt: longBeforeStart})
 	g.meter = newMeter(g)
-	g.pool = &pool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*conn{}}
+	g.conns = &connPool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*targetConn{}}
 	g.peers = newPeers(g)
 	g.limiter = newLimiter(g)
 	g.quotas = newLimits(g)
-	g.countTraffic()
+	g.exportTraffic()
 	return g
 }
 
@@ -121,7 +121,7 @@
 	g.record(paevent.Started{Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String()})
 	g.spawn(func() { g.followStore(ctx) })
 	g.spawn(func() { g.keepRegistered(ctx) })
-	g.spawn(func() { g.keepWarm(ctx) })
+	g.spawn(func() { g.saveWarmNotes(ctx) })
 	g.spawn(func() { g.peers.run(ctx) })
 	g.spawn(func() { g.quotas.run(ctx) })
 	g.spawn(func() { g.limiter.run(ctx) })
@@ -133,7 +133,7 @@
 	front := &http.Server{
 		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.listener.Observe, ConnContext: palane.WithLane,
 	}
-	g.spawn(func() { g.loop(ctx) })
+	g.spawn(func() { g.controlLoop(ctx) })
 	g.spawn(func() { g.recordListenerError(g.listener.Run()) })
 	others := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
 	g.spawn(func() { g.recordListenerError(front.Serve(g.listener)) })
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -46,7 +46,7 @@
 		zones[region] = region
 		e := pafleet.Entry{Name: fmt.Sprint("e", i), Zone: region, Region: region}
 		index[e.Name] = i
-		o.budget[i] = &tokenBucket{rate: noteRate, burst: noteBurst}
+		o.budget[i] = &tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}
 		o.entries = append(o.entries, e)
 	}
 	v.Replace(changes, gossipTargets+2, gossipBegin)
@@ -55,7 +55,7 @@
 		g := New(Config{Settings: Settings{Name: e.Name, Zone: e.Zone, Region: e.Region, Regions: zones}, Network: unused{}, Clock: clockwork.NewFakeClock()})
 		g.state.Store(s)
 		var asks []int
-		for _, n := range g.noteSources(s) {
+		for _, n := range g.warmNoteSources(s) {
 			asks = append(asks, index[n.Name])
 		}
 		o.asks, o.after = append(o.asks, asks), append(o.after, make([]uint64, len(asks)))
@@ -68,13 +68,13 @@
 // run plays half seconds; use is called at the begin of each and may send requests.
 func (o *gossip) run(halves int, use func(half int, now time.Time)) {
 	for half := range halves {
-		at := gossipBegin.Add(time.Duration(half) * syncPace)
+		at := gossipBegin.Add(time.Duration(half) * syncInterval)
 		use(half, at)
 		if half%2 == 0 {
 			clear(o.second)
 		}
 		for _, i := range o.random.Perm(len(o.entries)) {
-			now := at.Add(time.Duration(o.random.Int64N(int64(syncPace))))
+			now := at.Add(time.Duration(o.random.Int64N(int64(syncInterval))))
 			for k, from := range o.asks[i] {
 				o.call(i, k, from, now)
 			}
@@ -123,7 +123,7 @@
 		}
 		perSecond := float64(sum) / float64(size[0]) / (halves / 2)
 		t.Logf("%d entry VMs: %.0f notes a second each, %d at most", size[0], perSecond, most/(halves/2))
-		if bound := noteBurst + noteRate*halves/2 + noteRate; most > bound {
+		if bound := maxNoteBurst + notesPerSecond*halves/2 + notesPerSecond; most > bound {
 			t.Errorf("%d entry VMs: one told %d notes in %d s, want at most %d", size[0], most, halves/2, bound)
 		}
 	}
@@ -156,8 +156,8 @@
 			edges += len(o.asks[i])
 			sum += o.told[i]
 		}
-		t.Logf("%d entry VMs: all know after %v, told %d times over %d edges", size[0], time.Duration(reached)*syncPace, sum, edges)
-		if reached == 0 || time.Duration(reached)*syncPace > 5*time.Second {
+		t.Logf("%d entry VMs: all know after %v, told %d times over %d edges", size[0], time.Duration(reached)*syncInterval, sum, edges)
+		if reached == 0 || time.Duration(reached)*syncInterval > 5*time.Second {
 			t.Errorf("%d entry VMs: all know after %d half seconds", size[0], reached)
 		}
 		if sum > edges {
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -133,11 +133,11 @@
 		return
 	}
 	switch fresh := g.keysFresh(s); {
-	case !fresh && g.logged.staleAt == 0:
-		g.logged.staleAt = g.uptime()
+	case !fresh && g.logged.staleSince == 0:
+		g.logged.staleSince = g.uptime()
 		g.record(paevent.ConfigurationStale{AgeMilliseconds: g.age(s).Milliseconds()})
-	case fresh && g.logged.staleAt != 0:
-		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.logged.staleAt).Milliseconds()})
-		g.logged.staleAt = 0
+	case fresh && g.logged.staleSince != 0:
+		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.logged.staleSince).Milliseconds()})
+		g.logged.staleSince = 0
 	}
 }
--- a/pagate/limit.go
+++ b/pagate/limit.go
@@ -58,7 +58,7 @@
 
 func newLimits(g *Gate) *rateShares {
 	return &rateShares{
-		gate: g, wakeUp: make(chan struct{}, 1), shares: map[string]*rateShare{}, fillFrom: g.startUptime + firstStartDelay, failedAt: longAgo,
+		gate: g, wakeUp: make(chan struct{}, 1), shares: map[string]*rateShare{}, fillFrom: g.startUptime + firstStartDelay, failedAt: longBeforeStart,
 	}
 }
 
@@ -77,7 +77,7 @@
 
 // division divides a workspace's limit as this entry VM sees the deployment.
 func (g *Gate) division(w *paroute.Workspace, s *state) paquota.Division {
-	d := paquota.Divide(paquota.Limit{Rate: w.Rate, Burst: w.Burst}, g.config.Settings.Quota, s.fleet)
+	d := paquota.Divide(paquota.Limit{Rate: w.Rate, Burst: w.Burst}, g.config.Settings.Quota, s.fleetPeak)
 	if !s.registered {
 		// The others do not count this one.
 		d.Share = paquota.Bucket{}
@@ -97,13 +97,13 @@
 	verdict := h.Take(now, l.reachable(now))
 	if verdict == paquota.Refuse {
 		defer l.mutex.Unlock()
-		l.gate.meter.limit("Refused")
+		l.gate.meter.countLimited("Refused")
 		return h.ComeBack(now), false
 	}
 	x.hasToken = true
 	if verdict == paquota.Run {
 		l.mutex.Unlock()
-		l.gate.meter.limit("Own")
+		l.gate.meter.countLimited("Own")
 		return 0, true
 	}
 	granted := make(chan bool, 1)
@@ -130,11 +130,11 @@
 		ok = l.cancelWait(h, granted)
 	}
 	if ok {
-		l.gate.meter.limit("Granted")
+		l.gate.meter.countLimited("Granted")
 		return 0, true
 	}
 	x.hasToken = false
-	l.gate.meter.limit(outcome)
+	l.gate.meter.countLimited(outcome)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return h.ComeBack(l.gate.uptime()), false
@@ -146,7 +146,7 @@
 // refused in the first second, though a token would come within the next, and find the same when they are back.
 func (l *rateShares) maxWait(usually time.Duration) time.Duration {
 	if l.gate.uptime()-l.gate.startUptime < startPeriod {
-		return startWait
+		return startConfigWait
 	}
 	return usually
 }
@@ -223,12 +223,12 @@
 			continue
 		}
 		begun := g.uptime()
-		granted, err := g.limiter.ask(ctx, s, wanted)
+		granted, err := g.limiter.takeTokens(ctx, s, wanted)
 		if g.uptime()-begun > paquota.CallTime {
 			granted = nil
 		}
 		l.distribute(wanted, granted, err)
-		g.sleep(ctx, max(minCallInterval, time.Duration(s.fleet)*callIntervalPerEntry))
+		g.sleep(ctx, max(minCallInterval, time.Duration(s.fleetPeak)*callIntervalPerEntry))
 	}
 }
 
@@ -271,7 +271,7 @@
 		}
 		return
 	}
-	l.failedAt = longAgo
+	l.failedAt = longBeforeStart
 	for i, w := range wanted {
 		h := l.shares[w.GetWorkspace()]
 		if h == nil {
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -74,7 +74,7 @@
 }
 
 func newLimiter(g *Gate) *limiter {
-	return &limiter{gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1), pools: map[string]*paquota.Pool{}, claimEnd: longAgo, isolatedAt: longAgo}
+	return &limiter{gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1), pools: map[string]*paquota.Pool{}, claimEnd: longBeforeStart, isolatedAt: longBeforeStart}
 }
 
 // run claims the pools when nobody keeps them, and keeps the claim.
@@ -128,8 +128,8 @@
 // claimDelay returns how long this entry VM leaves pools that nobody keeps to others.
 func (l *limiter) claimDelay(s *state) time.Duration {
 	turn := time.Duration(l.rank(s)) * claimStagger
-	if l.wasAlone() {
-		turn += aloneTurn
+	if l.recentlyIsolated() {
+		turn += isolatedClaimDelay
 	}
 	return turn
 }
@@ -162,7 +162,7 @@
 	}
 	l.mutex.Lock()
 	l.pools, l.fillFrom = map[string]*paquota.Pool{}, g.uptime()
-	if l.fillFrom-l.inheritedAt > leftLife {
+	if l.fillFrom-l.inheritedAt > inheritedTTL {
 		l.inherited = nil
 	}
 	if was > 0 && g.uptime()-g.startUptime < claimTTL {
@@ -190,15 +190,15 @@
 	fails, failedAt := 0, time.Duration(0)
 	for g.sleep(ctx, claimPollInterval) && !g.shuttingDown.Load() {
 		s, now := g.state.Load(), g.uptime()
-		if l.wasAlone() || l.inTouch(s) {
+		if l.recentlyIsolated() || l.reachesHalf(s) {
 			touched = now
 		}
 		switch {
-		case now-touched > touchTime:
-			l.giveUp(ctx, lease)
+		case now-touched > isolationTimeout:
+			l.abandonClaim(ctx, lease)
 			return
 		case fails > 0 && s.knownAt > failedAt && l.remaining(now) < handOverBefore:
-			l.offer(ctx, lease, l.endClaim("the store serves others"))
+			l.offerTakeOver(ctx, lease, l.endClaim("the store serves others"))
 			return
 		case now < next:
 			continue
@@ -244,7 +244,7 @@
 // endClaim stops giving out tokens and returns what the pools hold.
 func (l *limiter) endClaim(reason string) (left []*pawire.Left) {
 	l.mutex.Lock()
-	l.claimEnd = longAgo
+	l.claimEnd = longBeforeStart
 	for name, p := range l.pools {
 		if n := p.Leave(l.gate.uptime()); n > 0 {
 			left = append(left, &pawire.Left{Workspace: name, Tokens: uint32(n)})
--- a/pagate/limiter_test.go
+++ b/pagate/limiter_test.go
@@ -22,15 +22,15 @@
 	f := newFewGates(t, 5)
 	table := paroute.NewTable(&paroute.Config{Workspaces: []paroute.Workspace{{Name: "w", Rate: 100, Burst: 100}}})
 	for _, g := range f.gates {
-		g.state.Store(&state{entries: f.entries(), table: table, fleet: len(f.gates), registered: true})
+		g.state.Store(&state{entries: f.entries(), table: table, fleetPeak: len(f.gates), registered: true})
 	}
 	asks := f.gates[0]
 	second := asks.limiter.successors()[1].Name
 	limiter := f.gates[slices.IndexFunc(f.gates, func(g *Gate) bool { return g.self.Name == second })]
 	limiter.limiter.claimEnd = limiter.uptime() + claimTTL
 	var err error
-	for range successorsMost {
-		if _, err = asks.limiter.ask(context.Background(), asks.state.Load(), []*pawire.Wanted{{Workspace: "w", Waiting: 1}}); err == nil {
+	for range maxSuccessors {
+		if _, err = asks.limiter.takeTokens(context.Background(), asks.state.Load(), []*pawire.Wanted{{Workspace: "w", Waiting: 1}}); err == nil {
 			return
 		}
 	}
@@ -64,7 +64,7 @@
 		clock := clockwork.NewFakeClock()
 		g := New(Config{Settings: Settings{Name: "e", Peers: netip.MustParseAddrPort("10.0.0.1:1"), Quota: terms}, Network: unused{}, Clock: clock})
 		table := paroute.NewTable(&paroute.Config{Workspaces: []paroute.Workspace{{Name: "w", Rate: limit.Rate, Burst: limit.Burst}}})
-		g.state.Store(&state{entries: []pafleet.Entry{g.self}, table: table, fleet: 1, registered: true})
+		g.state.Store(&state{entries: []pafleet.Entry{g.self}, table: table, fleetPeak: 1, registered: true})
 		if _, err := g.limiter.TakeOver(context.Background(), &takeOver); err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +74,7 @@
 		g.limiter.fillFrom, g.limiter.claimEnd = g.uptime(), g.uptime()+claimTTL
 		granted := 0
 		for range 3 {
-			r := g.limiter.take(take.GetWanted(), take.GetFrom())
+			r := g.limiter.grant(take.GetWanted(), take.GetFrom())
 			if len(r.GetGranted()) != len(take.GetWanted()) {
 				t.Fatalf("%d answers to %d", len(r.GetGranted()), len(take.GetWanted()))
 			}
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// loop is the only goroutine that changes the view.
-func (g *Gate) loop(ctx context.Context) {
+// controlLoop is the only goroutine that changes the view.
+func (g *Gate) controlLoop(ctx context.Context) {
 	var v pafleet.View
-	knownAt := longAgo
+	knownAt := longBeforeStart
 	tick := g.config.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -87,8 +87,8 @@
 			now = g.config.Clock.Now()
 			g.logged.source = ""
 			changed = v.Expire(now)
-			g.pool.reap(now)
-			g.noteDropped()
+			g.conns.closeExpired(now)
+			g.logDroppedLines()
 			g.logStaleness(g.state.Load())
 			g.listener.Reap(now, g.callerLimits().IdleTimeout)
 		case e = <-g.events:
@@ -97,7 +97,7 @@
 		}
 		g.publish(&v, knownAt, changed, now)
 		if r, ok := e.(storeUpdate); ok && r.whole {
-			g.takeWarm(r.changes, now)
+			g.restoreWarmNotes(r.changes, now)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			*knownAt = max(*knownAt, e.verifiedAt)
 		}
 		if v.Revision > before {
-			g.noteFollowed(e, v.Revision, now)
+			g.logApplied(e, v.Revision, now)
 		}
 		return changed
 	case limiterClaimed:
@@ -157,17 +157,17 @@
 		return
 	}
 	next := &state{
-		table: old.table, revision: v.Revision, knownAt: knownAt, entries: old.entries, fleet: old.fleet,
+		table: old.table, revision: v.Revision, knownAt: knownAt, entries: old.entries, fleetPeak: old.fleetPeak,
 		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterAt,
 	}
 	if changed {
-		g.noteChanges(v, old, now)
+		g.logChanges(v, old, now)
 		next.entries = make([]pafleet.Entry, 0, len(v.Entries))
 		for _, e := range v.Entries {
 			next.entries = append(next.entries, e)
 		}
 		_, next.registered = v.Entries[g.self.Name]
-		next.fleet = g.fleetPeak.observe(len(v.Entries), g.uptime())
+		next.fleetPeak = g.fleetPeak.observe(len(v.Entries), g.uptime())
 		if v.Config != nil && (old.table == nil || old.table.Config != v.Config) {
 			next.table = paroute.NewTable(v.Config)
 			g.logKeyChanges(old.table, next.table)
@@ -175,7 +175,7 @@
 		g.steerMutex.Lock()
 		g.steer.Update(v, now)
 		g.steerMutex.Unlock()
-		g.pool.keepOnly(v)
+		g.conns.closeRemoved(v)
 	}
 	g.state.Store(next)
 	if old.table == nil && next.table != nil {
--- a/pagate/meter.go
+++ b/pagate/meter.go
@@ -13,34 +13,34 @@
 	"papayahead/pasteer"
 )
 
-// servedSample is how many requests that were served share one log line.
-const servedSample = 32
+// servedLogInterval is how many requests that were served share one log line.
+const servedLogInterval = 32
 
 // meter counts what the gate does.
 type meter struct {
 	set         *metrics.Set
-	connections *metrics.Counter
-	strays      *metrics.Counter
-	peerCloses  *metrics.Counter
+	targetConns *metrics.Counter
+	strayAnswers      *metrics.Counter
+	peerCloseErrors  *metrics.Counter
 	shifted     *metrics.Counter
 	held        *metrics.Counter
-	unlogged    *metrics.Counter
+	unloggedEnds    *metrics.Counter
 	served      atomic.Uint64
 }
 
 func newMeter(g *Gate) *meter {
 	m := &meter{set: metrics.NewSet()}
-	m.connections = m.set.NewCounter("papayahead_gate_target_connections_total")
-	m.strays = m.set.NewCounter("papayahead_gate_stray_answers_total")
-	m.peerCloses = m.set.NewCounter("papayahead_gate_peer_close_errors_total")
+	m.targetConns = m.set.NewCounter("papayahead_gate_target_connections_total")
+	m.strayAnswers = m.set.NewCounter("papayahead_gate_stray_answers_total")
+	m.peerCloseErrors = m.set.NewCounter("papayahead_gate_peer_close_errors_total")
 	m.shifted = m.set.NewCounter("papayahead_gate_shifted_requests_total")
 	m.held = m.set.NewCounter("papayahead_gate_held_requests_total")
-	m.unlogged = m.set.NewCounter("papayahead_gate_requests_unlogged_total")
-	for _, kind := range []string{wordNothing, wordChanges, wordWhole} {
-		m.wordTold(kind).Set(0)
-		m.wordFollowed(kind).Set(0)
+	m.unloggedEnds = m.set.NewCounter("papayahead_gate_requests_unlogged_total")
+	for _, kind := range []string{deltaNothing, deltaChanges, deltaWhole} {
+		m.deltasSent(kind).Set(0)
+		m.deltasApplied(kind).Set(0)
 	}
-	m.wordTold(wordNoHistory).Set(0)
+	m.deltasSent(deltaNoHistory).Set(0)
 	m.set.NewGauge("papayahead_gate_requests_in_flight", func() float64 { return float64(g.inFlight.Load()) })
 	m.set.NewGauge("papayahead_gate_configuration_version", func() float64 { return float64(g.state.Load().configVersion()) })
 	m.set.NewGauge("papayahead_gate_store_age_seconds", func() float64 { return g.age(g.state.Load()).Seconds() })
@@ -48,12 +48,12 @@
 	return m
 }
 
-func (m *meter) storeCall(name string) {
+func (m *meter) countStoreCall(name string) {
 	m.set.GetOrCreateCounter(`papayahead_gate_store_calls_total{call="` + name + `"}`).Inc()
 }
 
-// choice counts what a decision means for the traffic between regions.
-func (m *meter) choice(c pasteer.Choice) {
+// countChoice counts what a decision means for the traffic between regions.
+func (m *meter) countChoice(c pasteer.Choice) {
 	if c.Shifts {
 		m.shifted.Inc()
 	}
@@ -64,50 +64,50 @@
 
 // The kinds of what neighbours tell of changes in the store.
 const (
-	wordNothing   = "Nothing"
-	wordChanges   = "Changes"
-	wordWhole     = "Whole"
-	wordNoHistory = "NoHistory"
+	deltaNothing   = "Nothing"
+	deltaChanges   = "Changes"
+	deltaWhole     = "Whole"
+	deltaNoHistory = "NoHistory"
 )
 
-// wordOf returns the kind of a delta, which is nil where nothing changed.
-func wordOf(d *pafleet.Delta) string {
+// deltaKind returns the kind of a delta, which is nil where nothing changed.
+func deltaKind(d *pafleet.Delta) string {
 	switch {
 	case d == nil:
-		return wordNothing
+		return deltaNothing
 	case d.Whole:
-		return wordWhole
+		return deltaWhole
 	}
-	return wordChanges
+	return deltaChanges
 }
 
-// wordTold counts answers to neighbours that asked what changed.
-func (m *meter) wordTold(kind string) *metrics.Counter {
+// deltasSent counts answers to neighbours that asked what changed.
+func (m *meter) deltasSent(kind string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`papayahead_gate_told_total{kind="` + kind + `"}`)
 }
 
-// wordFollowed counts neighbours' words that raised the revision.
-func (m *meter) wordFollowed(kind string) *metrics.Counter {
+// deltasApplied counts neighbours' words that raised the revision.
+func (m *meter) deltasApplied(kind string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`papayahead_gate_followed_total{kind="` + kind + `"}`)
 }
 
-// limit counts a request of a workspace with a rate limit by what it got its token from, or why it got none.
-func (m *meter) limit(outcome string) {
+// countLimited counts a request of a workspace with a rate countLimited by what it got its token from, or why it got none.
+func (m *meter) countLimited(outcome string) {
 	m.set.GetOrCreateCounter(`papayahead_gate_limited_requests_total{outcome="` + outcome + `"}`).Inc()
 }
 
-func (m *meter) attempt(_ string, o pasteer.Outcome) {
+func (m *meter) countAttempt(_ string, o pasteer.Outcome) {
 	m.set.GetOrCreateCounter(`papayahead_gate_attempts_total{outcome="` + o.String() + `"}`).Inc()
 }
 
-func (m *meter) request(_ string, status int, reason string, took, behind time.Duration) {
+func (m *meter) countRequest(_ string, status int, reason string, took, behind time.Duration) {
 	m.set.GetOrCreateCounter(`papayahead_gate_requests_total{status="` + strconv.Itoa(status) + `",reason="` + reason + `"}`).Inc()
 	m.set.GetOrCreateHistogram("papayahead_gate_request_duration_seconds").Update(took.Seconds())
 	m.set.GetOrCreateHistogram("papayahead_gate_request_behind_seconds").Update(behind.Seconds())
 }
 
-// sample says whether a request that was served is logged.
-func (m *meter) sample() bool { return m.served.Add(1)%servedSample == 1 }
+// sampleServed says whether a request that was served is logged.
+func (m *meter) sampleServed() bool { return m.served.Add(1)%servedLogInterval == 1 }
 
 // WriteMetrics writes the counters in the text format of Prometheus.
 func (g *Gate) WriteMetrics(w io.Writer) { g.meter.set.WritePrometheus(w) }
@@ -119,8 +119,8 @@
 	g.meter.set.NewGauge("papayahead_gate_log_lines_dropped", func() float64 { return float64(n.Load()) })
 }
 
-// noteDropped logs that lines were dropped, once a tick at most.
-func (g *Gate) noteDropped() {
+// logDroppedLines logs that lines were dropped, once a tick at most.
+func (g *Gate) logDroppedLines() {
 	if g.droppedLines == nil {
 		return
 	}
--- a/pagate/neighbour_test.go
+++ b/pagate/neighbour_test.go
@@ -28,13 +28,13 @@
 			called[n.Name]++
 		}
 		asked[g.syncSource(s).Name]++
-		if named := len(g.lookUpAddresses(LookUp{Region: e.Region})); named != neighboursMost+1 {
+		if named := len(g.lookUpAddresses(LookUp{Region: e.Region})); named != maxNeighbours+1 {
 			t.Fatalf("%s names %d entry VMs of 100 in its region, want those that it watches", e.Name, named)
 		}
 	}
 	for _, e := range s.entries {
-		if called[e.Name] != neighboursMost {
-			t.Errorf("%s is called by %d others, want %d", e.Name, called[e.Name], neighboursMost)
+		if called[e.Name] != maxNeighbours {
+			t.Errorf("%s is called by %d others, want %d", e.Name, called[e.Name], maxNeighbours)
 		}
 	}
 	for name, n := range asked {
--- a/pagate/note_test.go
+++ b/pagate/note_test.go
@@ -33,16 +33,16 @@
 		for _, c := range all[i*215 : (i+1)*215] {
 			v.Apply(c, clock.Now())
 		}
-		g.noteChanges(v, &state{}, clock.Now())
+		g.logChanges(v, &state{}, clock.Now())
 		clock.Advance(100 * time.Millisecond)
 	}
-	if n := strings.Count(out.String(), "\n"); n > 8+fleetLines {
+	if n := strings.Count(out.String(), "\n"); n > 8+changeLineRate {
 		t.Errorf("%d lines at a start", n)
 	}
 	clock.Advance(time.Minute)
 	out.Reset()
 	v.Apply(pafleet.TargetGone{ID: "t3", Revision: 3000}, clock.Now())
-	g.noteChanges(v, &state{}, clock.Now())
+	g.logChanges(v, &state{}, clock.Now())
 	if !strings.Contains(out.String(), `"Target":"t3"`) {
 		t.Errorf("no line on a target that left: %s", out.String())
 	}
@@ -54,16 +54,16 @@
 	clock := clockwork.NewFakeClock()
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
 	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
-	for range 10 * endBurst {
+	for range 10 * endLineBurst {
 		g.recordEnd(&exchange{arrived: clock.Now()}, 503, "Full")
 		clock.Advance(time.Millisecond)
 	}
 	lines := strings.Count(out.String(), "\n")
-	if lines > endBurst+10*endBurst*endLines/1000+1 || lines < endBurst {
-		t.Errorf("%d lines on %d refused requests", lines, 10*endBurst)
+	if lines > endLineBurst+10*endLineBurst*endLineRate/1000+1 || lines < endLineBurst {
+		t.Errorf("%d lines on %d refused requests", lines, 10*endLineBurst)
 	}
-	if left := g.meter.unlogged.Get(); int(left)+lines != 10*endBurst {
-		t.Errorf("%d lines and %d left out of %d", lines, left, 10*endBurst)
+	if left := g.meter.unloggedEnds.Get(); int(left)+lines != 10*endLineBurst {
+		t.Errorf("%d lines and %d left out of %d", lines, left, 10*endLineBurst)
 	}
 }
 
@@ -74,7 +74,7 @@
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
 	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
 	v := pafleet.View{Revision: 4}
-	knownAt := longAgo
+	knownAt := longBeforeStart
 	say := func(born int64, since, revision pafleet.Revision) string {
 		out.Reset()
 		said := peerUpdate{from: pafleet.Entry{Name: "r", Born: born}, since: since, revision: revision, requested: true, verifiedAt: g.uptime()}
--- a/pagate/pack.go
+++ b/pagate/pack.go
@@ -11,13 +11,13 @@
 	"papayahead/pafleet"
 )
 
-// maxDelta bounds an unpacked delta: the store's values are at most a megabyte, and a whole view holds one
+// maxDeltaBytes bounds an unpacked delta: the store's values are at most a megabyte, and a whole view holds one
 // large one and a few hundred bytes for each target.
-const maxDelta = 16 << 20
+const maxDeltaBytes = 16 << 20
 
-// pack writes a delta for a neighbour. A configuration of hundreds of routes shrinks to a tenth, and links of
+// encodeDelta writes a delta for a neighbour. A configuration of hundreds of routes shrinks to a tenth, and links of
 // entry VMs are as narrow as 10 Mbit/s.
-func pack(d *pafleet.Delta) ([]byte, error) {
+func encodeDelta(d *pafleet.Delta) ([]byte, error) {
 	var out bytes.Buffer
 	z, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
@@ -32,11 +32,11 @@
 	return out.Bytes(), nil
 }
 
-// unpack reads what pack wrote.
-func unpack(b []byte, into *pafleet.Delta) error {
+// decodeDelta reads what pack wrote.
+func decodeDelta(b []byte, into *pafleet.Delta) error {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return trace.Wrap(json.NewDecoder(io.LimitReader(z, maxDelta)).Decode(into))
+	return trace.Wrap(json.NewDecoder(io.LimitReader(z, maxDeltaBytes)).Decode(into))
 }
--- a/pagate/pack_test.go
+++ b/pagate/pack_test.go
@@ -24,7 +24,7 @@
 
 func TestADeltaSurvivesItsWay(t *testing.T) {
 	d := &pafleet.Delta{Revision: 7, Config: wide(), ConfigAt: 7, Left: []pafleet.EntryGone{{Name: "e", Revision: 6}}}
-	b, err := pack(d)
+	b, err := encodeDelta(d)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	var got pafleet.Delta
-	if err := unpack(b, &got); err != nil {
+	if err := decodeDelta(b, &got); err != nil {
 		t.Fatal(err)
 	}
 	if got.Revision != 7 || len(got.Config.Routes) != 400 || len(got.Left) != 1 {
@@ -42,7 +42,7 @@
 	if len(b) > len(plain)/8 {
 		t.Errorf("%d bytes packed, %d plain", len(b), len(plain))
 	}
-	if unpack([]byte("no gzip"), &got) == nil || unpack(nil, &got) == nil {
+	if decodeDelta([]byte("no gzip"), &got) == nil || decodeDelta(nil, &got) == nil {
 		t.Error("bytes that are no delta were read")
 	}
 }
@@ -60,7 +60,7 @@
 	g.state.Store(s)
 	asked := 0
 	for _, e := range s.entries {
-		if g.peers.source(e) {
+		if g.peers.wantsChanges(e) {
 			asked++
 		}
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("%d of 12 neighbours are asked, want 1", asked)
 	}
 	clock.Advance(maxAge * 2)
-	if !g.peers.source(s.entries[5]) {
+	if !g.peers.wantsChanges(s.entries[5]) {
 		t.Error("no other neighbour is asked while what is known is too old")
 	}
 }
--- a/pagate/peers.go
+++ b/pagate/peers.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// syncPace is the time between two calls to a neighbour: a dead one is avoided after two.
-	syncPace = 500 * time.Millisecond
+	// syncInterval is the time between two calls to a neighbour: a dead one is avoided after two.
+	syncInterval = 500 * time.Millisecond
 	// syncTimeout bounds a call; the longest way between regions takes 70 ms there and back.
 	syncTimeout = 400 * time.Millisecond
-	// deadAfter is how many calls in a row must fail before a neighbour counts as dead.
-	deadAfter = 2
-	// forgetAfter is how long a neighbour that the store does not name is remembered.
-	forgetAfter = 5 * time.Second
+	// maxSyncFailures is how many calls in a row must fail before a neighbour counts as dead.
+	maxSyncFailures = 2
+	// unlistedPeerTTL is how long a neighbour that the store does not name is remembered.
+	unlistedPeerTTL = 5 * time.Second
 )
 
 // peers exchanges what is known with neighbours.
@@ -30,10 +30,10 @@
 	mutex sync.Mutex
 	known map[string]*peer
 	conns map[netip.AddrPort]*peerConn
-	// notes is what may be told of warm objects now.
-	notes tokenBucket
-	// wholeAsked says that a neighbour is being asked for everything, for want of history.
-	wholeAsked atomic.Bool
+	// noteBudget is what may be told of warm objects now.
+	noteBudget tokenBucket
+	// fullSyncRunning says that a neighbour is being asked for everything, for want of history.
+	fullSyncRunning atomic.Bool
 }
 
 // peer is what calls to a neighbour showed.
@@ -41,7 +41,7 @@
 	entry    pafleet.Entry
 	failures int
 	leaving  bool
-	heardAt  time.Time
+	contactAt  time.Time
 }
 
 // peerConn is the connection to a neighbour; one call runs on it at a time.
@@ -50,34 +50,34 @@
 	conn *drpcconn.Conn
 	// entry is what the neighbour said of itself on this connection; warm is its last note that came.
 	entry pafleet.Entry
-	warm  uint64
+	lastNote  uint64
 }
 
-// drop closes the connection after a failed call; the next call opens another.
-func (c *peerConn) drop(g *Gate) {
+// close closes the connection after a failed call; the next call opens another.
+func (c *peerConn) close(g *Gate) {
 	if err := c.conn.Close(); err != nil {
-		g.meter.peerCloses.Inc()
+		g.meter.peerCloseErrors.Inc()
 	}
 	c.conn = nil
 }
 
 func newPeers(g *Gate) *peers {
-	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, notes: tokenBucket{rate: noteRate, burst: noteBurst}}
+	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, noteBudget: tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}}
 }
 
 // run calls the neighbours in turn.
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, e := range p.targets() {
-			p.gate.spawn(func() { p.call(ctx, e) })
+		for _, e := range p.callees() {
+			p.gate.spawn(func() { p.syncWith(ctx, e) })
 		}
-		p.gate.sleep(ctx, syncPace)
+		p.gate.sleep(ctx, syncInterval)
 	}
 }
 
-// targets returns whom to call: neighbours of the own region, one of those that read the store for all, as the limiter
+// callees returns whom to call: neighbours of the own region, one of those that read the store for all, as the limiter
 // one of each zone, and the seeds as long as nothing is known.
-func (p *peers) targets() []pafleet.Entry {
+func (p *peers) callees() []pafleet.Entry {
 	g := p.gate
 	s := g.state.Load()
 	all := map[netip.AddrPort]pafleet.Entry{}
@@ -87,11 +87,11 @@
 	if r := g.syncSource(s); r.Name != "" {
 		all[r.Peers] = r
 	}
-	for _, e := range g.farHeralds(s) {
+	for _, e := range g.remoteSources(s) {
 		all[e.Peers] = e
 	}
-	if g.limiter.keeping() {
-		for _, e := range g.limiter.samples(s) {
+	if g.limiter.isLimiter() {
+		for _, e := range g.limiter.zoneSamples(s) {
 			all[e.Peers] = e
 		}
 	}
@@ -115,7 +115,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	k := p.known[name]
-	return k == nil || k.failures < deadAfter && !k.leaving
+	return k == nil || k.failures < maxSyncFailures && !k.leaving
 }
 
 // unlisted returns neighbours that answer though the store does not name them: their registration
@@ -130,35 +130,35 @@
 	var all []pafleet.Entry
 	now := p.gate.config.Clock.Now()
 	for name, k := range p.known {
-		if !names[name] && k.failures == 0 && !k.leaving && now.Sub(k.heardAt) < forgetAfter {
+		if !names[name] && k.failures == 0 && !k.leaving && now.Sub(k.contactAt) < unlistedPeerTTL {
 			all = append(all, k.entry)
 		}
 	}
 	return all
 }
 
-// heard notes that a neighbour lives.
-func (p *peers) heard(e pafleet.Entry, leaving bool) {
+// recordContact notes that a neighbour lives.
+func (p *peers) recordContact(e pafleet.Entry, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.known[e.Name] = &peer{entry: e, leaving: leaving, heardAt: p.gate.config.Clock.Now()}
+	p.known[e.Name] = &peer{entry: e, leaving: leaving, contactAt: p.gate.config.Clock.Now()}
 }
 
-// failed notes that a neighbour did not answer.
-func (p *peers) failed(e pafleet.Entry) {
+// recordFailure notes that a neighbour did not answer.
+func (p *peers) recordFailure(e pafleet.Entry) {
 	if e.Name == "" {
 		return
 	}
 	p.mutex.Lock()
 	k := p.known[e.Name]
 	if k == nil {
-		k = &peer{entry: e, heardAt: p.gate.config.Clock.Now()}
+		k = &peer{entry: e, contactAt: p.gate.config.Clock.Now()}
 		p.known[e.Name] = k
 	}
 	k.failures++
 	n := k.failures
 	p.mutex.Unlock()
-	if n == deadAfter {
+	if n == maxSyncFailures {
 		p.gate.record(paevent.NeighbourLost{Entry: e.Name, Failures: n})
 	}
 }
@@ -174,11 +174,11 @@
 	return c
 }
 
-// heardAgain notes that a neighbour lives that told its registration before.
-func (p *peers) heardAgain(name string, leaving bool) {
+// refreshContact notes that a neighbour lives that told its registration before.
+func (p *peers) refreshContact(name string, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if k := p.known[name]; k != nil {
-		k.failures, k.leaving, k.heardAt = 0, leaving, p.gate.config.Clock.Now()
+		k.failures, k.leaving, k.contactAt = 0, leaving, p.gate.config.Clock.Now()
 	}
 }
--- a/pagate/ring.go
+++ b/pagate/ring.go
@@ -10,25 +10,25 @@
 	"papayahead/pafleet"
 )
 
-// neighboursMost is how many entry VMs of its region an entry VM calls.
+// maxNeighbours is how many entry VMs of its region an entry VM calls.
 //
 // Load: hundreds of entry VMs in a region, each calling all the others twice a second. Harm prevented: the calls
 // grow with the square of the region, and take the links between zones and the processors from callers.
-const neighboursMost = 8
+const maxNeighbours = 8
 
 // neighbours returns those of the own region that an entry VM calls: at growing distances in the order of
 // hashes, so that each is called by as many as it calls, and news reaches all over few calls.
 func (g *Gate) neighbours(entries []pafleet.Entry) []pafleet.Entry {
-	ring := ringAfter(g.self, entries)
+	ring := hashRing(g.self, entries)
 	var all []pafleet.Entry
-	for _, d := range ringSteps(len(ring)) {
+	for _, d := range ringDistances(len(ring)) {
 		all = append(all, ring[d-1])
 	}
 	return all
 }
 
-// ringAfter returns the other entry VMs of the region, in the order of hashes from the given one on.
-func ringAfter(self pafleet.Entry, entries []pafleet.Entry) []pafleet.Entry {
+// hashRing returns the other entry VMs of the region, in the order of hashes from the given one on.
+func hashRing(self pafleet.Entry, entries []pafleet.Entry) []pafleet.Entry {
 	own := xxhash.Sum64String(self.Name)
 	all := slices.DeleteFunc(slices.Clone(entries), func(e pafleet.Entry) bool {
 		return e.Region != self.Region || e.Name == self.Name
@@ -39,11 +39,11 @@
 	return all
 }
 
-// ringSteps returns the distances from 1 to n, at most neighboursMost, each about the same multiple of the one before.
-func ringSteps(n int) []int {
+// ringDistances returns the distances from 1 to n, at most neighboursMost, each about the same multiple of the one before.
+func ringDistances(n int) []int {
 	var all []int
-	for i := range min(n, neighboursMost) {
-		step := int(math.Pow(float64(n+1), float64(i)/neighboursMost))
+	for i := range min(n, maxNeighbours) {
+		step := int(math.Pow(float64(n+1), float64(i)/maxNeighbours))
 		if i > 0 {
 			step = max(step, all[i-1]+1)
 		}
@@ -52,10 +52,10 @@
 	return all
 }
 
-// noteSources returns whom an entry VM asks what is warm: every other one of its neighbours, and those that it
+// warmNoteSources returns whom an entry VM asks what is warm: every other one of its neighbours, and those that it
 // calls in other regions.
-func (g *Gate) noteSources(s *state) []pafleet.Entry {
-	all := g.farHeralds(s)
+func (g *Gate) warmNoteSources(s *state) []pafleet.Entry {
+	all := g.remoteSources(s)
 	for i, e := range g.neighbours(s.entries) {
 		if i%2 == 0 {
 			all = append(all, e)
@@ -64,21 +64,21 @@
 	return all
 }
 
-// asksForNotes says whether the neighbour is asked what is warm.
-func (g *Gate) asksForNotes(e pafleet.Entry) bool {
-	return slices.ContainsFunc(g.noteSources(g.state.Load()), func(o pafleet.Entry) bool { return o.Name == e.Name })
+// wantsNotes says whether the neighbour is asked what is warm.
+func (g *Gate) wantsNotes(e pafleet.Entry) bool {
+	return slices.ContainsFunc(g.warmNoteSources(g.state.Load()), func(o pafleet.Entry) bool { return o.Name == e.Name })
 }
 
-// farHeraldsMost is how many entry VMs of other regions are asked what is warm.
-const farHeraldsMost = 4
+// maxRemoteSources is how many entry VMs of other regions are asked what is warm.
+const maxRemoteSources = 4
 
-// farHeralds returns whom the first entry VM of a region calls in the regions that follow in the order of their
+// remoteSources returns whom the first entry VM of a region calls in the regions that follow in the order of their
 // names, and nobody at the others.
 //
 // Load: the last entry VM of a region is stopped, and its callers are sent to other regions. Harm prevented: the
 // entry VMs there do not know where the callers' objects are warm, and each runs cold once more. One entry VM asks
 // for its region, so that notes cross the links between regions once and not once for each entry VM.
-func (g *Gate) farHeralds(s *state) []pafleet.Entry {
+func (g *Gate) remoteSources(s *state) []pafleet.Entry {
 	first := map[string]pafleet.Entry{}
 	for _, e := range g.liveEntries(s) {
 		if f, ok := first[e.Region]; !ok || xxhash.Sum64String(e.Name) < xxhash.Sum64String(f.Name) {
@@ -101,5 +101,5 @@
 	slices.SortFunc(before, byRegion)
 	slices.SortFunc(behind, byRegion)
 	all := append(behind, before...)
-	return all[:min(len(all), farHeraldsMost)]
+	return all[:min(len(all), maxRemoteSources)]
 }
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// bufferMost is the most bytes of a request or an answer that are held whole. An answer that is
+	// maxBuffered is the most bytes of a request or an answer that are held whole. An answer that is
 	// held can be checked to its end before its first byte goes to the caller.
-	bufferMost = 256 << 10
-	// inlineMost is the most bytes of a request that are written before the answer is awaited; more
+	maxBuffered = 256 << 10
+	// maxInlineWrite is the most bytes of a request that are written before the answer is awaited; more
 	// could block on a target that answers before it reads.
-	inlineMost = 2 << 10
-	// strayMost is how many answers to other requests are skipped on a connection.
-	strayMost = 3
-	// answerSlack is how long after the deadline an answer is still awaited: the target gives its own
+	maxInlineWrite = 2 << 10
+	// maxStrayAnswers is how many answers to other requests are skipped on a connection.
+	maxStrayAnswers = 3
+	// deadlineSlack is how long after the deadline an answer is still awaited: the target gives its own
 	// answer at the deadline, and what is ready is delivered.
-	answerSlack = 120 * time.Millisecond
+	deadlineSlack = 120 * time.Millisecond
 )
 
 // reply is an answer of a target.
@@ -50,81 +50,81 @@
 	gate   *Gate
 	x      *exchange
 	choice pasteer.Choice
-	conn   *conn
-	// wrote says that a byte of the request may have left.
-	wrote bool
-	sent  chan error
-	begun time.Time
+	conn   *targetConn
+	// mayHaveSent says that a byte of the request may have left.
+	mayHaveSent bool
+	writeErr  chan error
+	startedAt time.Time
 }
 
-// result is how an attempt ended.
-type result struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	reply   *reply
 	outcome pasteer.Outcome
-	// notRun says that the target certainly did not run the request.
-	notRun bool
+	// notExecuted says that the target certainly did not run the request.
+	notExecuted bool
 	err    error
 	report pasteer.Report
 }
 
 // send sends the request to the chosen target, once.
-func (g *Gate) send(ctx context.Context, x *exchange, c pasteer.Choice) result {
-	a := &attempt{gate: g, x: x, choice: c, begun: g.config.Clock.Now()}
-	maxIdle := idleMost
+func (g *Gate) send(ctx context.Context, x *exchange, c pasteer.Choice) attemptResult {
+	a := &attempt{gate: g, x: x, choice: c, startedAt: g.config.Clock.Now()}
+	maxIdle := maxConnIdle
 	if !x.route.Idempotent {
-		maxIdle = proofOfLife
+		maxIdle = maxNonIdempotentIdle
 	}
 	var err error
-	a.conn, err = g.pool.take(ctx, c.Address, c.Target, c.Born, maxIdle)
+	a.conn, err = g.conns.get(ctx, c.Address, c.Target, c.Born, maxIdle)
 	if err != nil {
-		return a.failed(ctx, err)
+		return a.fail(ctx, err)
 	}
 	if !a.conn.reused {
-		g.meter.connections.Inc()
+		g.meter.targetConns.Inc()
 	}
 	stop := context.AfterFunc(ctx, func() { a.conn.Close() })
-	r := a.exchange(ctx)
+	r := a.roundTrip(ctx)
 	if r.reply == nil || r.reply.rest == nil {
 		stop()
 	}
 	return r
 }
 
-// exchange writes the request and reads the answer.
-func (a *attempt) exchange(ctx context.Context) result {
-	limit := a.x.deadline.Add(answerSlack)
+// roundTrip writes the request and reads the answer.
+func (a *attempt) roundTrip(ctx context.Context) attemptResult {
+	limit := a.x.deadline.Add(deadlineSlack)
 	if err := a.conn.SetDeadline(limit); err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+		return a.fail(ctx, trace.Wrap(err))
 	}
-	request := a.request()
-	a.wrote = true
-	a.sent = make(chan error, 1)
+	request := a.newRequest()
+	a.mayHaveSent = true
+	a.writeErr = make(chan error, 1)
 	if a.x.inline() {
-		err := a.write(request)
-		a.sent <- err
+		err := a.writeRequest(request)
+		a.writeErr <- err
 		if err != nil {
-			return a.failed(ctx, trace.Wrap(err))
+			return a.fail(ctx, trace.Wrap(err))
 		}
 	} else {
-		go func() { a.sent <- a.write(request) }()
+		go func() { a.writeErr <- a.writeRequest(request) }()
 	}
-	response, err := a.read(request) //nolint:bodyclose // take reads it, and the connection's end ends it
+	response, err := a.readResponse(request) //nolint:bodyclose // take reads it, and the connection's end ends it
 	if err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+		return a.fail(ctx, trace.Wrap(err))
 	}
-	return a.take(ctx, response)
+	return a.readReply(ctx, response)
 }
 
-func (a *attempt) write(r *http.Request) error {
-	w := bufio.NewWriterSize(a.conn, readBuffer)
+func (a *attempt) writeRequest(r *http.Request) error {
+	w := bufio.NewWriterSize(a.conn, connBufferSize)
 	if err := r.Write(w); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(w.Flush())
 }
 
-// request returns the request as the target gets it.
-func (a *attempt) request() *http.Request {
+// newRequest returns the newRequest as the target gets it.
+func (a *attempt) newRequest() *http.Request {
 	names := a.gate.config.Headers
 	h := a.x.header.Clone()
 	left := max(1, a.x.deadline.Sub(a.gate.config.Clock.Now()).Milliseconds())
@@ -152,11 +152,11 @@
 // errStray says that a connection holds answers to other requests only.
 var errStray = errors.New("the connection carries answers to other requests")
 
-// read returns the answer to this request. Answers to others, which arrive late or twice, are told
+// readResponse returns the answer to this request. Answers to others, which arrive late or twice, are told
 // by their identity and skipped.
-func (a *attempt) read(r *http.Request) (*http.Response, error) {
+func (a *attempt) readResponse(r *http.Request) (*http.Response, error) {
 	names := a.gate.config.Headers
-	for range strayMost {
+	for range maxStrayAnswers {
 		response, err := http.ReadResponse(a.conn.reader, r)
 		if err != nil {
 			return nil, err
@@ -168,53 +168,53 @@
 		if id == a.x.id || id == "" && !a.conn.reused {
 			return response, nil
 		}
-		a.gate.meter.strays.Inc()
+		a.gate.meter.strayAnswers.Inc()
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 			return nil, errStray
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, bufferMost)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBuffered)); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errStray
 }
 
-// take reads the answer's body and says what the answer means.
-func (a *attempt) take(ctx context.Context, response *http.Response) result {
-	r := a.result(response)
+// readReply reads the answer's body and says what the answer means.
+func (a *attempt) readReply(ctx context.Context, response *http.Response) attemptResult {
+	r := a.classify(response)
 	if r.outcome == pasteer.Shed || r.outcome == pasteer.Moved {
-		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, bufferMost))
-		a.finish(response, err == nil)
+		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBuffered))
+		a.releaseConn(response, err == nil)
 		return r
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, bufferMost+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered+1))
 	if err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+		return a.fail(ctx, trace.Wrap(err))
 	}
 	p := &reply{status: response.StatusCode, header: paheader.EndToEnd(response.Header), body: body, length: response.ContentLength}
 	r.reply = p
-	if len(body) <= bufferMost {
-		a.finish(response, true)
+	if len(body) <= maxBuffered {
+		a.releaseConn(response, true)
 		return r
 	}
 	p.rest = response.Body
-	p.done = func(whole bool) { a.finish(response, whole) }
+	p.done = func(whole bool) { a.releaseConn(response, whole) }
 	return r
 }
 
-// result reads the answer's head.
-func (a *attempt) result(response *http.Response) result {
+// classify reads the answer's head.
+func (a *attempt) classify(response *http.Response) attemptResult {
 	names := a.gate.config.Headers
-	r := result{outcome: pasteer.Answered, report: a.report()}
-	r.report.Told, r.report.Running, r.report.Waiting = readLoad(response.Header.Get(names.Load))
+	r := attemptResult{outcome: pasteer.Answered, report: a.report()}
+	r.report.Told, r.report.Running, r.report.Waiting = parseLoad(response.Header.Get(names.Load))
 	if n, err := strconv.ParseFloat(response.Header.Get(names.WarmUp), 64); err == nil {
 		r.report.Cold = time.Duration(n * float64(time.Millisecond))
 	}
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
-		r.outcome, r.notRun = pasteer.Moved, true
+		r.outcome, r.notExecuted = pasteer.Moved, true
 	case response.Header.Get(names.NotExecuted) != "":
-		r.outcome, r.notRun = pasteer.Shed, true
+		r.outcome, r.notExecuted = pasteer.Shed, true
 	case response.StatusCode >= http.StatusInternalServerError:
 		r.outcome = pasteer.Failed
 	}
@@ -224,25 +224,25 @@
 
 func (a *attempt) report() pasteer.Report {
 	return pasteer.Report{
-		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Took: a.gate.config.Clock.Since(a.begun),
+		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Took: a.gate.config.Clock.Since(a.startedAt),
 		Warm: a.choice.Warm,
 	}
 }
 
-// readLoad reads "running,waiting,slots"; a value that cannot be read tells nothing.
-func readLoad(v string) (told bool, running, waiting int) {
+// parseLoad reads "running,waiting,slots"; a value that cannot be read tells nothing.
+func parseLoad(v string) (told bool, running, waiting int) {
 	n, err := fmt.Sscanf(v, "%d,%d", &running, &waiting)
 	return err == nil && n == 2, running, waiting
 }
 
-// finish gives the connection back if both sides are done with it, or closes it.
+// releaseConn gives the connection back if both sides are done with it, or closes it.
 //
 // A target may answer before it has read the whole request; what it reads on later must not be the
 // next request, so that a connection whose request is not written yet is never used again.
-func (a *attempt) finish(response *http.Response, whole bool) {
+func (a *attempt) releaseConn(response *http.Response, whole bool) {
 	written := false
 	select {
-	case err := <-a.sent:
+	case err := <-a.writeErr:
 		written = err == nil
 	default:
 	}
@@ -251,14 +251,14 @@
 		a.conn.Close()
 		return
 	}
-	if life, ok := keepAlive(response.Header.Get("Keep-Alive")); ok {
-		a.conn.life = max(0, min(idleMost, life-idleMargin))
+	if life, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
+		a.conn.idleLimit = max(0, min(maxConnIdle, life-idleMargin))
 	}
-	a.gate.pool.keep(a.conn)
+	a.gate.conns.put(a.conn)
 }
 
-// keepAlive reads the timeout of a Keep-Alive header.
-func keepAlive(v string) (time.Duration, bool) {
+// parseKeepAlive reads the timeout of a Keep-Alive header.
+func parseKeepAlive(v string) (time.Duration, bool) {
 	for _, p := range strings.Split(v, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(p), "=")
 		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -270,9 +270,9 @@
 	return 0, false
 }
 
-// failed closes the connection of an attempt without a whole answer.
-func (a *attempt) failed(ctx context.Context, err error) result {
-	r := result{outcome: pasteer.Lost, err: err, report: a.report(), notRun: !a.wrote}
+// fail closes the connection of an attempt without a whole answer.
+func (a *attempt) fail(ctx context.Context, err error) attemptResult {
+	r := attemptResult{outcome: pasteer.Lost, err: err, report: a.report(), notExecuted: !a.mayHaveSent}
 	if a.conn != nil {
 		a.conn.Close()
 	} else {
--- a/pagate/series.go
+++ b/pagate/series.go
@@ -4,18 +4,18 @@
 	"net/http"
 )
 
-// mayRun waits until a request that stands behind others on its connection may be sent to a target, and says
+// admitPipelined waits until a request that stands behind others on its connection may be sent to a target, and says
 // whether it may.
 //
 // Load: callers that send request after request without awaiting the answers. An idempotent request runs beside
 // those ahead. One that must run once, or has a body, waits for its turn: an answer ahead may close the
 // connection, and its caller then takes it as not read and sends it again. So do all, once answers that wait
 // for their turn fill their bounds.
-func (g *Gate) mayRun(w http.ResponseWriter, x *exchange) bool {
+func (g *Gate) admitPipelined(w http.ResponseWriter, x *exchange) bool {
 	if !x.lane.Behind() || x.route.Idempotent && x.size == 0 && x.lane.RunsAhead() {
 		return true
 	}
-	g.awaitTurn(x)
+	g.awaitPipeline(x)
 	if g.config.Clock.Now().After(x.deadline) {
 		g.refuse(w, x, reasonBehindOthers, retryAfterBehindOthers)
 		return false
@@ -23,8 +23,8 @@
 	return true
 }
 
-// awaitTurn waits until the answers ahead on the caller's connection are out.
-func (g *Gate) awaitTurn(x *exchange) {
+// awaitPipeline waits until the answers ahead on the caller's connection are out.
+func (g *Gate) awaitPipeline(x *exchange) {
 	if !x.lane.Behind() {
 		return
 	}
@@ -37,11 +37,11 @@
 	}
 }
 
-// beginAnswer waits for the answer's turn, and closes the connection behind the last request of one that ends.
-func (g *Gate) beginAnswer(w http.ResponseWriter, x *exchange, bytes int) {
+// beginResponse waits for the answer's turn, and closes the connection behind the last request of one that ends.
+func (g *Gate) beginResponse(w http.ResponseWriter, x *exchange, bytes int) {
 	x.lane.Hold(bytes)
-	g.awaitTurn(x)
-	if g.closing() && x.lane.CloseAfter() {
+	g.awaitPipeline(x)
+	if g.closesConns() && x.lane.CloseAfter() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/pagate/serve.go
+++ b/pagate/serve.go
@@ -7,8 +7,8 @@
 	"papayahead/pasteer"
 )
 
-// serve sends the request until there is an answer.
-func (g *Gate) serve(ctx context.Context, w http.ResponseWriter, x *exchange) {
+// forward sends the request until there is an answer.
+func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	g.steerMutex.Lock()
 	x.service = g.steer.Part(x.route, x.arrived)
 	g.steerMutex.Unlock()
@@ -19,9 +19,9 @@
 			return
 		}
 		r := g.send(ctx, x, c)
-		g.finished(x, r)
+		g.reportAttempt(x, r)
 		switch {
-		case r.reply != nil && !g.again(x, r):
+		case r.reply != nil && !g.takeRetry(x, r):
 			g.writeReply(w, x, r)
 			return
 		case x.caller.Err() != nil:
@@ -31,15 +31,15 @@
 		if r.reply != nil {
 			x.failedReply = r.reply
 		}
-		x.mayHaveRun = x.mayHaveRun || !r.notRun
+		x.mayHaveExecuted = x.mayHaveExecuted || !r.notExecuted
 		if r.outcome == pasteer.Refused {
-			if dials++; dials < dialsMost {
+			if dials++; dials < maxRefusedDials {
 				x.tried = append(x.tried, c.Target)
 				continue
 			}
 		}
 		room := g.shedWithRoom(r)
-		if r.reply == nil && (room && sheds >= shedsMost || !g.again(x, r)) {
+		if r.reply == nil && (room && sheds >= maxSheds || !g.takeRetry(x, r)) {
 			g.answerLastFailure(w, x, r, room)
 			return
 		}
@@ -52,15 +52,15 @@
 	}
 }
 
-// dialsMost is how many targets are tried to which no connection opens. Nothing reached them, so that
+// maxRefusedDials is how many targets are tried to which no connection opens. Nothing reached them, so that
 // they are no attempts; a zone that just went dark has a handful of targets a service.
-const dialsMost = 4
+const maxRefusedDials = 4
 
-// shedsMost is how many times a request is sent again to a target that has room and turns it away.
-const shedsMost = 2
+// maxSheds is how many times a request is sent again to a target that has room and turns it away.
+const maxSheds = 2
 
 // shedWithRoom says that a target with a free slot turned the request away.
-func (g *Gate) shedWithRoom(r result) bool {
+func (g *Gate) shedWithRoom(r attemptResult) bool {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
 	return g.steer.ShedWithRoom(r.report)
@@ -74,36 +74,36 @@
 	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions()}
 	c := g.steer.Choose(q, now)
 	x.lastChoice = c
-	g.meter.choice(c)
+	g.meter.countChoice(c)
 	if c.Target != "" {
 		g.steer.Start(c, q, now)
 	}
 	return c
 }
 
-// finished tells the steering how an attempt ended.
-func (g *Gate) finished(x *exchange, r result) {
+// reportAttempt tells the steering how an attempt ended.
+func (g *Gate) reportAttempt(x *exchange, r attemptResult) {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
 	g.steer.Finish(r.report, g.config.Clock.Now())
-	g.meter.attempt(x.route.Name, r.outcome)
+	g.meter.countAttempt(x.route.Name, r.outcome)
 }
 
-// again says whether the request may be sent once more, and takes it from the budget.
+// takeRetry says whether the request may be sent once more, and takes it from the budget.
 //
-// Only a request that may run twice, or that did not run, is sent again. A streamed body cannot be.
-func (g *Gate) again(x *exchange, r result) bool {
+// Only a request that may run twice, or that did not run, is sent takeRetry. A streamed body cannot be.
+func (g *Gate) takeRetry(x *exchange, r attemptResult) bool {
 	if r.reply != nil && r.outcome == pasteer.Answered {
 		return false
 	}
-	if x.unbuffered != nil || r.outcome == pasteer.Abandoned || !x.route.Idempotent && !r.notRun {
+	if x.unbuffered != nil || r.outcome == pasteer.Abandoned || !x.route.Idempotent && !r.notExecuted {
 		return false
 	}
 	if len(x.tried)+1 >= x.route.MaxAttempts {
 		return false
 	}
 	now := g.config.Clock.Now()
-	if x.deadline.Sub(now) < x.route.TargetLatency/retryShare {
+	if x.deadline.Sub(now) < x.route.TargetLatency/retryLatencyDivisor {
 		return false
 	}
 	g.steerMutex.Lock()
@@ -111,6 +111,6 @@
 	return g.steer.TakeRetry(x.service, now)
 }
 
-// retryShare is the part of the target latency that must be left for another attempt: warm work takes
+// retryLatencyDivisor is the part of the target latency that must be left for another attempt: warm work takes
 // about that.
-const retryShare = 3
+const retryLatencyDivisor = 3
--- a/pagate/state.go
+++ b/pagate/state.go
@@ -15,8 +15,8 @@
 	// knownAt is the uptime at which it was last known that nothing newer was in the store.
 	knownAt time.Duration
 	entries []pafleet.Entry
-	// fleet is the most entry VMs that were registered lately; rate limits are divided among them.
-	fleet int
+	// fleetPeak is the most entry VMs that were registered lately; rate limits are divided among them.
+	fleetPeak int
 	// registered says that this entry VM is one of them.
 	registered bool
 	// limiter keeps the pools of rate limits, as of limiterAt.
@@ -24,8 +24,8 @@
 	limiterAt pafleet.Revision
 }
 
-// longAgo is an uptime before the machine's start.
-const longAgo = -time.Hour
+// longBeforeStart is an uptime before the machine's start.
+const longBeforeStart = -time.Hour
 
 // age returns how long ago it was known that nothing newer than the state was in the store. Load the state first: what
 // passes between the two counts.
@@ -40,18 +40,18 @@
 	return g.config.Clock.Since(time.Unix(0, 0))
 }
 
-// startWait is how long after its start a process lets requests wait for its first configuration: a reading of
+// startConfigWait is how long after its start a process lets requests wait for its first configuration: a reading of
 // the store over a link that all that start use at once.
-const startWait = time.Second
+const startConfigWait = time.Second
 
-// configured returns the state, and waits for the first configuration while the process starts.
+// awaitConfig returns the state, and waits for the first configuration while the process starts.
 //
 // Load: all entry VMs lose power and come back under full load, and callers ask each as soon as it listens. Harm
 // prevented: they are refused within the half second before anything is known, come back once, and many are refused
 // again.
-func (g *Gate) configured(ctx context.Context) *state {
+func (g *Gate) awaitConfig(ctx context.Context) *state {
 	s := g.state.Load()
-	left := startWait - g.config.Clock.Since(g.startedAt)
+	left := startConfigWait - g.config.Clock.Since(g.startedAt)
 	if s.table != nil || left <= 0 {
 		return s
 	}
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// successorsMost is how many are told to follow a limiter, one after the other.
-	successorsMost = 3
-	// leftLife is how long what a limiter left may be claimed. A claim of somebody else in between has given it out; it
+	// maxSuccessors is how many are told to follow a limiter, one after the other.
+	maxSuccessors = 3
+	// inheritedTTL is how long what a limiter left may be claimed. A claim of somebody else in between has given it out; it
 	// cannot begin and lapse in that time.
-	leftLife = time.Second
+	inheritedTTL = time.Second
 )
 
 // handOver gives up the claim and tells the entry VM that comes first to claim it.
@@ -28,17 +28,17 @@
 // the limiter, and one claims it, requests beyond the shares are refused.
 func (l *limiter) handOver(ctx context.Context, lease paplatform.LeaseID) {
 	left := l.endClaim("shutdown")
-	if l.release(ctx, lease) {
-		l.offer(ctx, "", left)
+	if l.revokeClaim(ctx, lease) {
+		l.offerTakeOver(ctx, "", left)
 	}
 }
 
-// offer tells those that come first, one after the other, to follow, until one does, and what the pools hold. One that
+// offerTakeOver tells those that come first, one after the other, to follow, until one does, and what the pools hold. One that
 // is given a lease ends it in the store; of several that heard, one can claim.
 //
 // Load: the store refuses the limiter and serves others. Harm prevented: nobody may claim the pools until its claim has
 // lapsed, seconds after it stopped.
-func (l *limiter) offer(ctx context.Context, lease paplatform.LeaseID, left []*pawire.Left) {
+func (l *limiter) offerTakeOver(ctx context.Context, lease paplatform.LeaseID, left []*pawire.Left) {
 	g := l.gate
 	l.connMutex.Lock()
 	defer l.connMutex.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// release ends a claim in the store, and says whether it has ended.
-func (l *limiter) release(ctx context.Context, lease paplatform.LeaseID) bool {
+// revokeClaim ends a claim in the store, and says whether it has ended.
+func (l *limiter) revokeClaim(ctx context.Context, lease paplatform.LeaseID) bool {
 	err := l.gate.storeCall(ctx, "End", func(ctx context.Context) error { return l.gate.config.Registry.RevokeLease(ctx, lease) })
 	if err != nil {
 		l.gate.record(paevent.StoreUnreachable{Reason: err.Error()})
@@ -66,13 +66,13 @@
 	return err == nil
 }
 
-// giveUp leaves the pools to an entry VM that reaches more others.
-func (l *limiter) giveUp(ctx context.Context, lease paplatform.LeaseID) {
+// abandonClaim leaves the pools to an entry VM that reaches more others.
+func (l *limiter) abandonClaim(ctx context.Context, lease paplatform.LeaseID) {
 	l.endClaim("out of touch")
 	l.mutex.Lock()
 	l.isolatedAt = l.gate.uptime()
 	l.mutex.Unlock()
-	l.release(ctx, lease)
+	l.revokeClaim(ctx, lease)
 }
 
 // successors returns the first of the other entry VMs.
@@ -80,7 +80,7 @@
 	g := l.gate
 	all := slices.DeleteFunc(g.liveEntries(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	slices.SortFunc(all, byBandwidth)
-	return all[:min(len(all), successorsMost)]
+	return all[:min(len(all), maxSuccessors)]
 }
 
 // TakeOver answers the limiter that leaves.
@@ -89,7 +89,7 @@
 	if !l.mayClaim(s) {
 		return nil, trace.AccessDenied("%s may not be the limiter", l.gate.self.Name)
 	}
-	if lease := paplatform.LeaseID(q.GetLease()); lease != "" && !l.release(ctx, lease) {
+	if lease := paplatform.LeaseID(q.GetLease()); lease != "" && !l.revokeClaim(ctx, lease) {
 		return nil, trace.ConnectionProblem(nil, "the store does not serve %s", l.gate.self.Name)
 	}
 	l.mutex.Lock()
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -14,25 +14,25 @@
 	"papayahead/pawire"
 )
 
-// call exchanges with one neighbour.
-func (p *peers) call(ctx context.Context, e pafleet.Entry) {
+// syncWith exchanges with one neighbour.
+func (p *peers) syncWith(ctx context.Context, e pafleet.Entry) {
 	s := p.gate.state.Load()
-	if r := p.ask(ctx, e, s.revision, p.source(e)); r.GetNoHistory() {
-		p.askElsewhere(ctx, e, s)
+	if r := p.syncSince(ctx, e, s.revision, p.wantsChanges(e)); r.GetNoHistory() {
+		p.syncElsewhere(ctx, e, s)
 	}
 }
 
-// askElsewhere asks the others that read the store for what a neighbour has no history of. It asks that neighbour for
+// syncElsewhere asks the others that read the store for what a neighbour has no history of. It asks that neighbour for
 // everything only where what is known is older than an own reading of the store would have left it.
 //
 // Load: an entry VM that reads the store starts again, and half a hundred others that follow it stand before its first
 // reading. Harm prevented: it sends each of them everything, over a link of 10 Mbit/s that carries callers' requests too.
-func (p *peers) askElsewhere(ctx context.Context, e pafleet.Entry, s *state) {
+func (p *peers) syncElsewhere(ctx context.Context, e pafleet.Entry, s *state) {
 	g := p.gate
 	if g.age(s) > max(maxAge, g.config.Settings.MaxPropagation) {
-		if p.wholeAsked.CompareAndSwap(false, true) {
-			p.ask(ctx, e, 0, true)
-			p.wholeAsked.Store(false)
+		if p.fullSyncRunning.CompareAndSwap(false, true) {
+			p.syncSince(ctx, e, 0, true)
+			p.fullSyncRunning.Store(false)
 		}
 		return
 	}
@@ -40,15 +40,15 @@
 		if r.Name == g.self.Name || r.Name == e.Name {
 			continue
 		}
-		if a := p.ask(ctx, r, s.revision, true); a != nil && !a.GetNoHistory() {
+		if a := p.syncSince(ctx, r, s.revision, true); a != nil && !a.GetNoHistory() {
 			return
 		}
 	}
 }
 
-// ask asks a neighbour for what changed since a revision, 0 for everything, or only whether it lives, and returns its
+// syncSince asks a neighbour for what changed since a revision, 0 for everything, or only whether it lives, and returns its
 // answer, or nil.
-func (p *peers) ask(ctx context.Context, e pafleet.Entry, since pafleet.Revision, asked bool) *pawire.SyncReply {
+func (p *peers) syncSince(ctx context.Context, e pafleet.Entry, since pafleet.Revision, asked bool) *pawire.SyncReply {
 	c := p.conn(e.Peers)
 	if !c.busy.TryLock() {
 		return nil
@@ -57,55 +57,55 @@
 	ctx, cancel := p.gate.withTimeout(ctx, syncTimeout)
 	defer cancel()
 	sent := p.gate.uptime()
-	r, err := p.exchange(ctx, c, e, since, asked)
+	r, err := p.roundTrip(ctx, c, e, since, asked)
 	if err != nil {
 		if c.conn != nil {
-			c.drop(p.gate)
+			c.close(p.gate)
 		}
-		p.failed(e)
+		p.recordFailure(e)
 		return nil
 	}
-	p.take(ctx, c, r, peerUpdate{verifiedAt: sent, since: since, requested: asked})
+	p.applyReply(ctx, c, r, peerUpdate{verifiedAt: sent, since: since, requested: asked})
 	return r
 }
 
-// nothingNew is the revision of a caller that wants to hear of no change.
-const nothingNew = math.MaxUint64
+// noChangesRevision is the revision of a caller that wants to hear of no change.
+const noChangesRevision = math.MaxUint64
 
-// source says whether the neighbour is asked for what is new, rather than only whether it lives: the
+// wantsChanges says whether the neighbour is asked for what is new, rather than only whether it lives: the
 // nearest reader is, and everyone while what is known is too old.
 //
 // Load: a configuration of hundreds of routes changes under a burst, and each entry VM has a dozen
 // neighbours. Harm prevented: all of them send it the whole configuration at once, over a link of 10 Mbit/s
 // that carries callers' requests too, and word of targets that leave comes seconds late.
-func (p *peers) source(e pafleet.Entry) bool {
+func (p *peers) wantsChanges(e pafleet.Entry) bool {
 	s := p.gate.state.Load()
 	return e.Name == "" || e.Name == p.gate.syncSource(s).Name || p.gate.age(s) > maxAge
 }
 
-func (p *peers) exchange(ctx context.Context, c *peerConn, e pafleet.Entry, since pafleet.Revision, asked bool) (*pawire.SyncReply, error) {
+func (p *peers) roundTrip(ctx context.Context, c *peerConn, e pafleet.Entry, since pafleet.Revision, asked bool) (*pawire.SyncReply, error) {
 	if c.conn == nil {
 		raw, err := p.gate.dialCounted(ctx, e.Peers, &p.gate.traffic.neighbours)
 		if err != nil {
 			return nil, trace.Wrap(err)
 		}
-		c.conn, c.entry, c.warm = drpcconn.New(raw), pafleet.Entry{}, 0
+		c.conn, c.entry, c.lastNote = drpcconn.New(raw), pafleet.Entry{}, 0
 	}
 	q := &pawire.SyncRequest{
 		Name: p.gate.self.Name, Revision: uint64(since), Leaving: p.gate.shuttingDown.Load(),
-		WarmAfter: c.warm, WarmWanted: p.gate.asksForNotes(e),
+		WarmAfter: c.lastNote, WarmWanted: p.gate.wantsNotes(e),
 	}
 	if !asked {
-		q.Revision = nothingNew
+		q.Revision = noChangesRevision
 	}
 	if c.entry.Name == "" {
-		q.Entry = p.self()
+		q.Entry = p.ownEntryJSON()
 	}
 	r, err := pawire.NewDRPCSyncingClient(c.conn).Sync(ctx, q)
 	return r, trace.Wrap(err)
 }
 
-func (p *peers) self() []byte {
+func (p *peers) ownEntryJSON() []byte {
 	b, err := json.Marshal(p.gate.self)
 	if err != nil {
 		panic("pagate: an entry cannot be written as JSON: " + err.Error())
@@ -113,19 +113,19 @@
 	return b
 }
 
-// take hands a neighbour's reply to the control loop and to the steering; said holds what was asked, and as knownAt when.
-func (p *peers) take(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerUpdate) {
+// applyReply hands a neighbour's reply to the control loop and to the steering; said holds what was asked, and as knownAt when.
+func (p *peers) applyReply(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerUpdate) {
 	if len(r.GetEntry()) > 0 {
 		if err := json.Unmarshal(r.GetEntry(), &c.entry); err != nil {
 			p.gate.record(paevent.NeighbourUnreadable{Reason: err.Error()})
 			return
 		}
 	}
-	p.heard(c.entry, r.GetLeaving())
+	p.recordContact(c.entry, r.GetLeaving())
 	if r.GetWarmLast() > 0 {
-		p.gate.traffic.notes.Add(sizeOf(r.GetWarm()))
-		p.hearWarm(r.GetWarm())
-		c.warm = r.GetWarmLast()
+		p.gate.traffic.notes.Add(notesSize(r.GetWarm()))
+		p.receiveNotes(r.GetWarm())
+		c.lastNote = r.GetWarmLast()
 	}
 	if r.GetNoHistory() {
 		return
@@ -137,7 +137,7 @@
 	if len(r.GetDelta()) > 0 {
 		p.gate.traffic.changes.Add(uint64(len(r.GetDelta())))
 		said.delta = &pafleet.Delta{}
-		if err := unpack(r.GetDelta(), said.delta); err != nil {
+		if err := decodeDelta(r.GetDelta(), said.delta); err != nil {
 			p.gate.record(paevent.NeighbourUnreadable{Reason: err.Error()})
 			return
 		}
@@ -157,13 +157,13 @@
 		if err := json.Unmarshal(q.GetEntry(), &e); err != nil {
 			return nil, trace.Wrap(err)
 		}
-		p.heard(e, q.GetLeaving())
-		r.Entry = p.self()
+		p.recordContact(e, q.GetLeaving())
+		r.Entry = p.ownEntryJSON()
 	} else {
-		p.heardAgain(q.GetName(), q.GetLeaving())
+		p.refreshContact(q.GetName(), q.GetLeaving())
 	}
 	if q.GetWarmWanted() {
-		r.Warm, r.WarmLast = p.warmAfter(q.GetWarmAfter())
+		r.Warm, r.WarmLast = p.notesAfter(q.GetWarmAfter())
 	}
 	if uint64(s.revision) <= q.GetRevision() {
 		return r, nil
@@ -172,16 +172,16 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	kind := wordOf(t.delta)
+	kind := deltaKind(t.delta)
 	switch {
 	case t.noHistory:
-		kind = wordNoHistory
+		kind = deltaNoHistory
 		r.NoHistory, r.Revision = true, 0
 	case t.delta != nil:
 		r.Revision = uint64(t.delta.Revision)
-		r.Delta, err = pack(t.delta)
+		r.Delta, err = encodeDelta(t.delta)
 	}
-	p.gate.meter.wordTold(kind).Inc()
+	p.gate.meter.deltasSent(kind).Inc()
 	return r, trace.Wrap(err)
 }
 
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -15,17 +15,17 @@
 
 // Take answers an entry VM that asks for tokens.
 func (l *limiter) Take(_ context.Context, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
-	return l.take(q.GetWanted(), q.GetFrom()), nil
+	return l.grant(q.GetWanted(), q.GetFrom()), nil
 }
 
-// take gives out tokens of the pools; the reply is empty where this entry VM does not keep them.
-func (l *limiter) take(all []*pawire.Wanted, from uint32) *pawire.TakeReply {
+// grant gives out tokens of the pools; the reply is empty where this entry VM does not keep them.
+func (l *limiter) grant(all []*pawire.Wanted, from uint32) *pawire.TakeReply {
 	s := l.gate.state.Load()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.gate.uptime()
 	if now >= l.claimEnd || s.table == nil {
-		return &pawire.TakeReply{Limiter: l.follows(s, now)}
+		return &pawire.TakeReply{Limiter: l.currentLimiter(s, now)}
 	}
 	r := &pawire.TakeReply{Limiter: l.gate.self.Name}
 	for _, w := range all {
@@ -58,37 +58,37 @@
 	return p
 }
 
-// follows returns whom this entry VM takes for the limiter; mutex is held. Once hintEnd is past the store's word goes
+// currentLimiter returns whom this entry VM takes for the limiter; mutex is held. Once hintEnd is past the store's word goes
 // first, unless it names nobody, or this entry VM itself, which knows better.
-func (l *limiter) follows(s *state, now time.Duration) string {
+func (l *limiter) currentLimiter(s *state, now time.Duration) string {
 	if l.hint != "" && (now < l.hintUntil || s.limiter == "" || s.limiter == l.gate.self.Name) {
 		return l.hint
 	}
 	return s.limiter
 }
 
-// ask takes tokens from the pools, wherever they are kept.
-func (l *limiter) ask(ctx context.Context, s *state, wanted []*pawire.Wanted) ([]*pawire.Granted, error) {
+// takeTokens takes tokens from the pools, wherever they are kept.
+func (l *limiter) takeTokens(ctx context.Context, s *state, wanted []*pawire.Wanted) ([]*pawire.Granted, error) {
 	g := l.gate
 	l.mutex.Lock()
 	now := g.uptime()
-	here, name := now < l.claimEnd, l.follows(s, now)
+	here, name := now < l.claimEnd, l.currentLimiter(s, now)
 	l.mutex.Unlock()
 	if here {
-		return l.take(wanted, l.nameHash).GetGranted(), nil
+		return l.grant(wanted, l.nameHash).GetGranted(), nil
 	}
 	if name == "" {
-		name = l.likely()
+		name = l.nextCandidate()
 	}
 	ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
 	defer cancel()
 	l.connMutex.Lock()
 	defer l.connMutex.Unlock()
-	e, ok := l.reach(s, name)
+	e, ok := l.findEntry(s, name)
 	if !ok || name == g.self.Name {
 		return nil, trace.NotFound("no limiter")
 	}
-	r, err := l.call(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.nameHash})
+	r, err := l.callTake(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.nameHash})
 	if err != nil {
 		l.disconnect()
 		l.setHint("")
@@ -105,17 +105,17 @@
 	return r.GetGranted(), nil
 }
 
-// reach returns the entry VM of a name; calls is held. The one that was asked last counts also when its registration has
+// findEntry returns the entry VM of a name; calls is held. The one that was asked last counts also when its registration has
 // lapsed: the store may have lost its renewals.
-func (l *limiter) reach(s *state, name string) (pafleet.Entry, bool) {
+func (l *limiter) findEntry(s *state, name string) (pafleet.Entry, bool) {
 	if i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == name }); i >= 0 {
 		return s.entries[i], true
 	}
 	return l.connEntry, l.conn != nil && l.connEntry.Name == name
 }
 
-// call asks an entry VM for tokens; calls is held.
-func (l *limiter) call(ctx context.Context, e pafleet.Entry, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
+// callTake asks an entry VM for tokens; calls is held.
+func (l *limiter) callTake(ctx context.Context, e pafleet.Entry, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
 	c, err := l.connect(ctx, e)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -124,11 +124,11 @@
 	return r, trace.Wrap(err)
 }
 
-// likely returns, in turn, who is the limiter if anybody is: it answers, or says whom it follows.
+// nextCandidate returns, in turn, who is the limiter if anybody is: it answers, or says whom it follows.
 //
 // Load: the limiter's end is known and who followed it is not yet, as the store serves few readers. Harm prevented: all
 // requests beyond the own few tokens are refused until the next word of the store, though there is a limiter.
-func (l *limiter) likely() string {
+func (l *limiter) nextCandidate() string {
 	all := l.successors()
 	if len(all) == 0 {
 		return ""
@@ -159,7 +159,7 @@
 		return
 	}
 	if err := l.conn.Close(); err != nil {
-		l.gate.meter.peerCloses.Inc()
+		l.gate.meter.peerCloseErrors.Inc()
 	}
 	l.conn = nil
 }
--- a/pagate/touch.go
+++ b/pagate/touch.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// heardTime is how long ago an entry VM that can be reached was heard at the most: it is called at each syncPace.
-	heardTime = 2*syncPace + 100*time.Millisecond
-	// touchTime is how long the limiter keeps the pools while it reaches too few others: it calls one of each zone only
+	// contactWindow is how long ago an entry VM that can be reached was heard at the most: it is called at each syncPace.
+	contactWindow = 2*syncInterval + 100*time.Millisecond
+	// isolationTimeout is how long the limiter keeps the pools while it reaches too few others: it calls one of each zone only
 	// from its claim on, and hears nobody right after it stood still.
-	touchTime = syncPace + syncTimeout
-	// aloneTurn is how much later than others an entry VM claims pools that it gave up because it reached too few, for
+	isolationTimeout = syncInterval + syncTimeout
+	// isolatedClaimDelay is how much later than others an entry VM claims pools that it gave up because it reached too few, for
 	// aloneTime. After that nobody else wants them, and it keeps them.
-	aloneTurn = time.Second
-	aloneTime = 10 * time.Second
-	// fewOthers is how many other entry VMs tell that this one is cut off; fewer may as well have died.
-	fewOthers = 3
+	isolatedClaimDelay = time.Second
+	isolatedClaimTime = 10 * time.Second
+	// minPeersForIsolation is how many other entry VMs tell that this one is cut off; fewer may as well have died.
+	minPeersForIsolation = 3
 )
 
-// inTouch says whether at least half of the other entry VMs can be reached: all of each zone of which one was heard.
+// reachesHalf says whether at least half of the other entry VMs can be reached: all of each zone of which one was heard.
 //
 // Load: the limiter is cut off from the others and still reaches the store. Harm prevented: it renews its claim for as
 // long as the cut lasts, and all requests beyond the others' own few tokens are refused.
-func (l *limiter) inTouch(s *state) bool {
+func (l *limiter) reachesHalf(s *state) bool {
 	g := l.gate
 	others, heard := map[string]int{}, map[string]bool{}
 	total := 0
@@ -36,7 +36,7 @@
 		}
 		others[e.Zone]++
 		total++
-		heard[e.Zone] = heard[e.Zone] || g.peers.heardLately(e.Name)
+		heard[e.Zone] = heard[e.Zone] || g.peers.recentlyHeard(e.Name)
 	}
 	reached := 0
 	for zone, n := range others {
@@ -44,29 +44,29 @@
 			reached += n
 		}
 	}
-	return total < fewOthers || 2*reached >= total
+	return total < minPeersForIsolation || 2*reached >= total
 }
 
-// wasAlone says whether the pools were given up lately for want of others.
-func (l *limiter) wasAlone() bool {
+// recentlyIsolated says whether the pools were given up lately for want of others.
+func (l *limiter) recentlyIsolated() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.gate.uptime()-l.isolatedAt < aloneTime
+	return l.gate.uptime()-l.isolatedAt < isolatedClaimTime
 }
 
-// keeping says whether this entry VM is the limiter.
-func (l *limiter) keeping() bool {
+// isLimiter says whether this entry VM is the limiter.
+func (l *limiter) isLimiter() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.gate.uptime() < l.claimEnd
 }
 
-// samples returns one entry VM of each other zone, one that answers where there is one.
-func (l *limiter) samples(s *state) []pafleet.Entry {
+// zoneSamples returns one entry VM of each other zone, one that answers where there is one.
+func (l *limiter) zoneSamples(s *state) []pafleet.Entry {
 	first := map[string]pafleet.Entry{}
 	for _, e := range s.entries {
 		f, ok := first[e.Zone]
-		if e.Zone == l.gate.self.Zone || ok && !l.gate.before(e, f) {
+		if e.Zone == l.gate.self.Zone || ok && !l.gate.calledBefore(e, f) {
 			continue
 		}
 		first[e.Zone] = e
@@ -78,18 +78,18 @@
 	return all
 }
 
-// before says whether an entry VM is rather called than another.
-func (g *Gate) before(a, b pafleet.Entry) bool {
+// calledBefore says whether an entry VM is rather called than another.
+func (g *Gate) calledBefore(a, b pafleet.Entry) bool {
 	if x, y := g.peers.usable(a.Name), g.peers.usable(b.Name); x != y {
 		return x
 	}
 	return xxhash.Sum64String(a.Name) < xxhash.Sum64String(b.Name)
 }
 
-// heardLately says whether a neighbour was heard within heardTime.
-func (p *peers) heardLately(name string) bool {
+// recentlyHeard says whether a neighbour was heard within heardTime.
+func (p *peers) recentlyHeard(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	k := p.known[name]
-	return k != nil && k.failures == 0 && p.gate.config.Clock.Now().Sub(k.heardAt) < heardTime
+	return k != nil && k.failures == 0 && p.gate.config.Clock.Now().Sub(k.contactAt) < contactWindow
 }
--- a/pagate/traffic.go
+++ b/pagate/traffic.go
@@ -14,12 +14,12 @@
 	"papayahead/pawire"
 )
 
-// trafficPause is the time between two log lines on the bytes of the control connections.
-const trafficPause = 20 * time.Second
+// trafficLogInterval is the time between two log lines on the bytes of the control connections.
+const trafficLogInterval = 20 * time.Second
 
-// traffic counts the bytes of the control connections that this entry VM opened, by what they are for. Those that
+// controlTraffic counts the bytes of the control connections that this entry VM opened, by what they are for. Those that
 // others opened are in their counts.
-type traffic struct {
+type controlTraffic struct {
 	neighbours, limiter pasocket.Traffic
 	// changes and notes are the payload of the neighbours' answers.
 	changes, notes atomic.Uint64
@@ -33,8 +33,8 @@
 	return t.Count(c), nil
 }
 
-// countTraffic adds the counts to the metrics.
-func (g *Gate) countTraffic() {
+// exportTraffic adds the counts to the metrics.
+func (g *Gate) exportTraffic() {
 	for part, t := range map[string]*pasocket.Traffic{
 		"Neighbours": &g.traffic.neighbours, "Limiter": &g.traffic.limiter, "Store": g.config.StoreTraffic,
 	} {
@@ -51,22 +51,22 @@
 
 // logTraffic logs the counts from time to time.
 func (g *Gate) logTraffic(ctx context.Context) {
-	for g.sleep(ctx, trafficPause) {
+	for g.sleep(ctx, trafficLogInterval) {
 		e := paevent.ControlTraffic{
-			Neighbours: total(&g.traffic.neighbours), Limiter: total(&g.traffic.limiter),
+			Neighbours: totalBytes(&g.traffic.neighbours), Limiter: totalBytes(&g.traffic.limiter),
 			Changes: g.traffic.changes.Load(), Notes: g.traffic.notes.Load(),
 		}
 		if t := g.config.StoreTraffic; t != nil {
-			e.Store = total(t)
+			e.Store = totalBytes(t)
 		}
 		g.record(e)
 	}
 }
 
-func total(t *pasocket.Traffic) uint64 { return t.Sent.Load() + t.Received.Load() }
+func totalBytes(t *pasocket.Traffic) uint64 { return t.Sent.Load() + t.Received.Load() }
 
-// sizeOf is about how long notes are as a message.
-func sizeOf(all []*pawire.WarmNote) uint64 {
+// notesSize is about how long notes are as a message.
+func notesSize(all []*pawire.WarmNote) uint64 {
 	n := 0
 	for _, w := range all {
 		n += proto.Size(w)
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// warmPace is how often what is warm is kept in the store. An object moves to another target a few times an
+	// warmSaveInterval is how often what is warm is kept in the store. An object moves to another target a few times an
 	// hour on ordinary days; what moved in the last seconds before all entry VMs lose power is run cold once more.
-	warmPace = 5 * time.Second
-	// warmMost is how many objects are kept, those that moved before others: packed, some 8 KB a second.
-	warmMost = 4096
+	warmSaveInterval = 5 * time.Second
+	// maxSavedNotes is how many objects are kept, those that moved before others: packed, some 8 KB a second.
+	maxSavedNotes = 4096
 )
 
-// keepWarm keeps in the store which target is warm for which object, if this entry VM is the first that reads it.
+// saveWarmNotes keeps in the store which target is warm for which object, if this entry VM is the first that reads it.
 //
 // Load: all entry VMs lose power at once and come back under full load. Harm prevented: nobody knows which objects
 // had moved from the first target of their ranking, and each of them runs cold once more while callers who
 // were cut off ask again.
-func (g *Gate) keepWarm(ctx context.Context) {
+func (g *Gate) saveWarmNotes(ctx context.Context) {
 	var kept uint64
-	for g.sleep(ctx, warmPace) {
+	for g.sleep(ctx, warmSaveInterval) {
 		if g.shuttingDown.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
 			continue
 		}
 		g.steerMutex.Lock()
-		notes, last := g.steer.Warm(warmMost, g.config.Clock.Now())
+		notes, last := g.steer.Warm(maxSavedNotes, g.config.Clock.Now())
 		g.steerMutex.Unlock()
 		if last == kept {
 			continue
@@ -45,8 +45,8 @@
 	}
 }
 
-// takeWarm hands what the store kept to the steering, once the targets are known.
-func (g *Gate) takeWarm(all []pafleet.Change, now time.Time) {
+// restoreWarmNotes hands what the store kept to the steering, once the targets are known.
+func (g *Gate) restoreWarmNotes(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
 		if k, ok := c.(pafleet.WarmKept); ok {
 			g.steerMutex.Lock()
@@ -57,14 +57,14 @@
 }
 
 const (
-	// noteRate is how many notes of warm objects an entry VM tells a second, to all neighbours together: each takes
+	// notesPerSecond is how many notes of warm objects an entry VM tells a second, to all neighbours together: each takes
 	// some 30 bytes, and control may take 10 KB a second. Where more become known, neighbours hear of them later.
-	noteRate = 200
-	// noteBurst is how many may be told at once, as after a start.
-	noteBurst = 2048
+	notesPerSecond = 200
+	// maxNoteBurst is how many may be told at once, as after a start.
+	maxNoteBurst = 2048
 )
 
-func (p *peers) hearWarm(all []*pawire.WarmNote) {
+func (p *peers) receiveNotes(all []*pawire.WarmNote) {
 	if len(all) == 0 {
 		return
 	}
@@ -78,14 +78,14 @@
 	p.gate.steer.HearWarm(notes, p.gate.config.Clock.Now())
 }
 
-// warmAfter returns the notes after one that the neighbour has, as far as the budget lasts.
-func (p *peers) warmAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
+// notesAfter returns the notes after one that the neighbour has, as far as the budget lasts.
+func (p *peers) notesAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
 	now := p.gate.config.Clock.Now()
-	most := p.notes.available(now)
+	most := p.noteBudget.available(now)
 	p.gate.steerMutex.Lock()
 	all, last := p.gate.steer.WarmNotes(after, most, now)
 	p.gate.steerMutex.Unlock()
-	p.notes.spend(len(all))
+	p.noteBudget.spend(len(all))
 	for _, n := range all {
 		out = append(out, &pawire.WarmNote{Target: n.Target, Object: n.Object, AgeMilliseconds: uint32(n.Age.Milliseconds())})
 	}
