--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -10,46 +10,48 @@
 	"papayahead/pasteer"
 )
 
-// The reasons of answers of the gate's own, beside those of pasteer.
+// Reasons for responses that the gate generates itself; pasteer defines further ones.
 const (
-	reasonNoConfig  = "NoConfiguration"
-	reasonNoRoute   = "NoRoute"
-	reasonTooLarge  = "TooLarge"
-	reasonHeaderTooLarge    = "HeaderTooLarge"
-	reasonBadBody   = "BodyUnreadable"
-	reasonTargetLost      = "TargetLost"
-	reasonDeadline  = "DeadlinePassed"
+	reasonNoConfig       = "NoConfiguration"
+	reasonNoRoute        = "NoRoute"
+	reasonTooLarge       = "TooLarge"
+	reasonHeaderTooLarge = "HeaderTooLarge"
+	reasonBadBody        = "BodyUnreadable"
+	reasonTargetLost     = "TargetLost"
+	reasonDeadline       = "DeadlinePassed"
 	reasonShuttingDown   = "ShuttingDown"
 	reasonAttemptsSpent  = "AttemptsSpent"
-	reasonCallerGone      = "CallerGone"
-	reasonAnswerCut = "AnswerCut"
-	reasonBehindOthers    = "BehindOthers"
-	reasonNoCredential     = "NoCredential"
-	reasonMalformedKey    = "CredentialMalformed"
-	reasonUnknownKey       = "KeyUnknown"
-	reasonStale     = "ConfigurationStale"
-	reasonNoCommonRegion   = "NoCommonRegion"
-	reasonRateLimit     = "RateLimit"
+	reasonCallerGone     = "CallerGone"
+	reasonAnswerCut      = "AnswerCut"
+	reasonBehindOthers   = "BehindOthers"
+	reasonNoCredential   = "NoCredential"
+	reasonMalformedKey   = "CredentialMalformed"
+	reasonUnknownKey     = "KeyUnknown"
+	reasonStale          = "ConfigurationStale"
+	reasonNoCommonRegion = "NoCommonRegion"
+	reasonRateLimit      = "RateLimit"
 )
 
 const (
-	// retryAfterNoConfig is when a caller should try again at an entry VM that has no configuration yet.
+	// retryAfterNoConfig applies at an entry VM that has no configuration yet.
 	retryAfterNoConfig = 300 * time.Millisecond
-	// retryAfterTargetsFull is when a caller should try again whose request found full targets only: a slot
-	// comes free within a warm run.
+	// retryAfterTargetsFull applies when all targets that were tried were full: a slot frees up within the run
+	// time of a warm request.
 	retryAfterTargetsFull = 300 * time.Millisecond
-	// retryAfterShedWithRoom sends a caller back at once to targets that turned it away though they had room.
+	// retryAfterShedWithRoom applies when targets shed the request although they had free slots, so that a retry
+	// is likely to succeed at once.
 	retryAfterShedWithRoom = 30 * time.Millisecond
-	// retryAfterShutdown sends callers of a process that shuts down to another one at once.
+	// retryAfterShutdown sends clients of a process that shuts down to another entry VM at once.
 	retryAfterShutdown = 50 * time.Millisecond
-	// retryAfterBehindOthers sends a caller back at once whose request waited behind others on its connection.
+	// retryAfterBehindOthers applies to a request whose deadline passed while it waited behind others on its
+	// connection.
 	retryAfterBehindOthers = 30 * time.Millisecond
-	// retryAfterJitter is the part of a time to come back by which it varies, so that callers that were
-	// refused together do not return together.
+	// retryAfterJitter is the fraction by which a Retry-After is lengthened at random at most, so that clients
+	// that were refused together do not return together.
 	retryAfterJitter = 0.5
 )
 
-// answerNoTarget answers a request for which there is no target.
+// answerNoTarget responds to a request for which pasteer found no target.
 func (g *Gate) answerNoTarget(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
 	switch {
 	case x.failedReply != nil:
@@ -61,7 +63,8 @@
 	}
 }
 
-// answerLastFailure answers a request whose last attempt brought no answer.
+// answerLastFailure responds to a request whose last attempt got no reply. room says that the last target shed the
+// request although it had free slots.
 func (g *Gate) answerLastFailure(w http.ResponseWriter, x *exchange, r attemptResult, room bool) {
 	switch {
 	case x.failedReply != nil:
@@ -79,7 +82,7 @@
 	}
 }
 
-// writeReply passes the target's writeReply on.
+// writeReply passes the target's reply on to the client.
 func (g *Gate) writeReply(w http.ResponseWriter, x *exchange, r attemptResult) {
 	p := r.reply
 	g.beginResponse(w, x, len(p.body))
@@ -105,12 +108,13 @@
 	g.recordEnd(x, p.status, "")
 }
 
-// refuse answers that the request has not run, and when to come back.
+// refuse responds 503 with a Retry-After to a request that was not executed. comeBack is the Retry-After before
+// jitter.
 func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, comeBack time.Duration) {
 	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, comeBack)
 }
 
-// refuseWithStatus is refuse with a status that says why.
+// refuseWithStatus is refuse with another status code. It returns the request's rate limit token.
 func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
 	g.quotas.returnToken(x)
 	spread := 1 + retryAfterJitter*g.random()
@@ -119,7 +123,7 @@
 	g.writeError(w, x, status, reason)
 }
 
-// writeError gives an answer of the gate's own.
+// writeError writes a response of the gate's own, with the reason as its body.
 func (g *Gate) writeError(w http.ResponseWriter, x *exchange, status int, reason string) {
 	g.beginResponse(w, x, 0)
 	if x.id != "" {
@@ -129,8 +133,8 @@
 	g.recordEnd(x, status, reason)
 }
 
-// recordEnd logs and counts the end of a request; refusals and failures as far as there is room, and one in servedSample
-// of the others.
+// recordEnd counts the end of a request and logs it. Log lines on refusals and failures are bounded by endLog; of
+// other requests one in servedLogInterval is logged.
 func (g *Gate) recordEnd(x *exchange, status int, reason string) {
 	took := g.config.Clock.Since(x.arrived)
 	name := ""
--- a/pagate/budget.go
+++ b/pagate/budget.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// tokenBucket bounds how much of something is done: rate a second after burst at once.
+// tokenBucket limits the rate of an action: at most burst at once, and rate per second after that.
 type tokenBucket struct {
 	rate, burst float64
 
-	mutex sync.Mutex
-	tokens  float64
-	refilledAt    time.Time
+	mutex      sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-// available returns how many may be done now.
+// available returns how many tokens there are; it is negative after a debt.
 func (b *tokenBucket) available(now time.Time) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.refill(now)
 }
 
-// refill adds what has come back since the last call; the mutex is held.
+// refill adds the tokens since the last refill and returns how many there are. The mutex must be held.
 func (b *tokenBucket) refill(now time.Time) int {
 	if b.refilledAt.IsZero() {
 		b.tokens = b.burst
@@ -32,14 +32,14 @@
 	return int(b.tokens)
 }
 
-// spend takes some, which may be more than there are.
+// spend takes n tokens, even if there are fewer; the balance may become negative.
 func (b *tokenBucket) spend(n int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tokens -= float64(n)
 }
 
-// take takes one if there is one, and says whether there was.
+// take takes a token if there is one, and reports whether it did.
 func (b *tokenBucket) take(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/pagate/config.go
+++ b/pagate/config.go
@@ -18,76 +18,81 @@
 	"papayahead/pasteer"
 )
 
-// Settings is the checked settings of an entry VM.
+// Settings are the validated settings of an entry VM.
 type Settings struct {
 	Name, Zone, Region string
-	// Regions tells the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Front is where callers connect, Ready where the platform asks whether the process is ready,
-	// Directory where callers look up entry VMs, and Peers where other entry VMs connect.
+	// Front is the listen address for client requests, Ready for the platform's readiness checks, Directory for
+	// look-ups of entry VM addresses, and Peers for other entry VMs.
 	Front, Ready, Directory, Peers netip.AddrPort
-	// Seeds are peer addresses of some entry VMs; they may be out of date.
+	// Seeds are peer addresses of some entry VMs to contact first; they may be out of date.
 	Seeds []netip.AddrPort
-	// Store is the address of the platform's store.
 	Store string
-	// GracePeriod is how long after SIGTERM the process is killed.
+	// GracePeriod is the time between SIGTERM and the kill of the process.
 	GracePeriod time.Duration
-	// MaxPropagation is how soon what the store holds must be in force: a version of the configuration, or a target's word
-	// that it leaves.
+	// MaxPropagation is how soon after a write to the store a change must be in force at every entry VM: a
+	// version of the configuration, or the notice of a target that it is draining.
 	MaxPropagation time.Duration
 	// Bootstrap says that the whole deployment starts for the first time.
 	Bootstrap bool
-	// MaxLookUpTTL is the longest time that callers keep the answer of a look-up.
+	// MaxLookUpTTL is the longest time that clients may cache the response to a look-up.
 	MaxLookUpTTL time.Duration
-	// RetryRatio, RetryWindow and RetryFloor bound further attempts; see pasteer.Config.
+	// RetryRatio, RetryWindow and RetryFloor are the retry budget; see pasteer.Config.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetryFloor  float64
-	// MaxShift bounds how much of a region's traffic changes its region; see pasteer.Config.
+	// MaxShift bounds the fraction of a region's traffic that is sent to other regions; see pasteer.Config.
 	MaxShift float64
 	// MinLeaseTTL is the shortest lease that the store grants.
 	MinLeaseTTL time.Duration
-	// MaxRevocation is how soon a key that was taken away must be out of force everywhere, whatever is cut off; 0 is no bound.
+	// MaxRevocation is how soon a revoked API key must be rejected by every entry VM, even one that is
+	// partitioned from the store; 0 means no bound.
 	MaxRevocation time.Duration
-	// Quota are the platform's terms for rate limits.
+	// Quota are the platform's terms of rate limits.
 	Quota paquota.Terms
-	// LinkMbps is the bandwidth of the own link; 0 is not known.
+	// LinkMbps is the bandwidth of the VM's own link in Mbit/s; 0 means unknown.
 	LinkMbps float64
 }
 
-// Headers are the names of the headers that callers and targets use.
+// Headers are the names of the headers exchanged with clients and targets.
 type Headers struct {
-	// RequestID names a request; targets repeat it in their answers.
+	// RequestID identifies a request; targets repeat it in their responses.
 	RequestID string
-	// Deadline is how many milliseconds the caller, or the entry VM, will wait.
+	// Deadline is how many milliseconds the client, or the entry VM, will wait for the response.
 	Deadline string
-	// ObjectCookie is the cookie that names the object of a request.
+	// ObjectCookie is the cookie that names the object of a request, the key of its affinity.
 	ObjectCookie string
-	// ExpectedInstance is the target that a request is for; any other refuses it.
+	// ExpectedInstance names the target that a request is meant for; any other target refuses it.
 	ExpectedInstance string
-	// Instance names the target that answers.
+	// Instance names the target that responds.
 	Instance string
-	// NotExecuted is present where a target did not run the request.
+	// NotExecuted is present if a target did not execute the request.
 	NotExecuted string
-	// Load is a target's running requests, waiting requests and slots, separated by commas.
+	// Load holds a target's running requests, queued requests and slots, separated by commas.
 	Load string
-	// WarmUp is how many milliseconds a target stays cold.
+	// WarmUp is how many more milliseconds a target takes to warm up.
 	WarmUp string
-	// Workspace names the workspace whose key the request carried.
+	// Workspace names the workspace whose API key the request carried.
 	Workspace string
 }
 
-// LookUp is a caller's question where to connect.
+// LookUp is a client's query for entry VM addresses, with the client's zone and region if it knows them.
 type LookUp struct{ Host, Zone, Region string }
 
-// Codec reads and answers the calls of callers and of the platform.
+// Codec parses and answers the calls of clients and of the platform that do not go to a target. ParseLookUp returns
+// false if the request is no look-up.
 type Codec interface {
 	ParseLookUp(r *http.Request) (LookUp, bool)
 	WriteLookUp(w http.ResponseWriter, all []netip.AddrPort, life time.Duration) error
 	IsReadyCheck(r *http.Request) bool
 }
 
-// Registry is what a Gate reads and writes in the platform's store; errors are those of paplatform.
+// Registry reads and writes the platform's store; its errors are those of paplatform.
+//
+// List returns the whole content and its revision, Watch the changes after a revision, waiting for the first of them.
+// Register writes the entry VM's registration under a lease. ClaimLimiter makes the named entry VM the limiter if the
+// key is still at revision was, 0 if it must not exist, and returns the new revision.
 type Registry interface {
 	List(ctx context.Context) ([]pafleet.Change, pafleet.Revision, error)
 	Watch(ctx context.Context, after pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error)
@@ -95,17 +100,18 @@
 	RenewLease(ctx context.Context, l paplatform.LeaseID) error
 	RevokeLease(ctx context.Context, l paplatform.LeaseID) error
 	Register(ctx context.Context, e pafleet.Entry, l paplatform.LeaseID) error
+	// SaveWarmNotes replaces the saved notes on which target is warm for which object.
 	SaveWarmNotes(ctx context.Context, notes []pafleet.WarmNote) error
 	ClaimLimiter(ctx context.Context, name string, was pafleet.Revision, l paplatform.LeaseID) (pafleet.Revision, error)
 }
 
-// Network opens connections and listens.
+// Network dials and listens.
 type Network interface {
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 	Listen(address netip.AddrPort) (net.Listener, error)
 }
 
-// Config is what a Gate needs.
+// Config is what a Gate needs. Recorder may be nil.
 type Config struct {
 	Settings Settings
 	Headers  Headers
@@ -113,14 +119,14 @@
 	Registry Registry
 	Network  Network
 	Clock    clockwork.Clock
-	// Uptime is the time since the machine started, suspended time included; nil is the Clock's time, which may not
-	// count that.
+	// Uptime is the time since the machine started, including suspended time; if nil, the Clock is used, which
+	// may not count suspended time.
 	Uptime   func() time.Duration
 	Random   *rand.Rand
 	Recorder *paevent.Recorder
-	// Off are the mechanisms of the steering that are switched off.
+	// Off are the steering mechanisms that are switched off.
 	Off pasteer.Off
-	// StoreTraffic counts the bytes of the connections to the store; nil is not counted.
+	// StoreTraffic counts the bytes of the connections to the store; it may be nil.
 	StoreTraffic *pasocket.Traffic
 	// Version is the program's version, for the log.
 	Version string
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -13,12 +13,12 @@
 	"papayahead/pafleet"
 )
 
-// lookUpTTL is how long callers keep the answer of a look-up; some keep it three times as long.
-// A short life lets a planned stop end soon and a dead entry VM be avoided; each look-up costs an
-// entry VM well under a millisecond.
+// lookUpTTL is how long clients may cache the response to a look-up; some keep it three times as long. A short TTL
+// lets a planned stop finish soon and moves clients away from a dead entry VM; a look-up costs an entry VM well under
+// a millisecond.
 const lookUpTTL = time.Second
 
-// serveReady answers the platform's question whether the process is ready.
+// serveReady answers the platform's readiness checks.
 func (g *Gate) serveReady(w http.ResponseWriter, r *http.Request) {
 	if !g.config.Codec.IsReadyCheck(r) {
 		http.NotFound(w, r)
@@ -29,7 +29,7 @@
 	}
 }
 
-// serveLookUp tells a caller where to connect.
+// serveLookUp answers a client's query for entry VM addresses.
 func (g *Gate) serveLookUp(w http.ResponseWriter, r *http.Request) {
 	q, ok := g.config.Codec.ParseLookUp(r)
 	if !ok {
@@ -46,11 +46,12 @@
 	}
 }
 
-// lookUpAddresses returns the entry VMs of the caller's region that live, or all where there are none; of more than callers
-// take, each entry VM names others.
+// lookUpAddresses returns the addresses of live entry VMs in the client's region, or of all live ones if there are
+// none.
 //
-// Load: callers of a region of a hundred entry VMs that ask those of another region. Harm prevented: the same ones are
-// named to all of them, and the last in the list get nothing.
+// A client uses only the first maxAddresses, so that each entry VM starts its list at a different one. Otherwise a
+// region with a hundred entry VMs that serves clients of another region would get all of their traffic on the same
+// ones, and none on the last in the list.
 func (g *Gate) lookUpAddresses(q LookUp) []netip.AddrPort {
 	region := q.Region
 	if r := g.config.Settings.Regions[q.Zone]; r != "" {
@@ -75,11 +76,11 @@
 	return all
 }
 
-// maxAddresses is how many addresses callers take of an answer.
+// maxAddresses is how many addresses clients use of a response.
 const maxAddresses = 64
 
-// monitored returns this entry VM, unless it leaves, and the neighbours that it calls: of the others it would learn
-// late that they died.
+// monitored returns this entry VM, unless it shuts down, and the neighbours that it calls. The failure of any other
+// entry VM would be noticed late here.
 func (g *Gate) monitored(near []pafleet.Entry) []pafleet.Entry {
 	all := g.neighbours(near)
 	if !g.shuttingDown.Load() {
@@ -88,7 +89,7 @@
 	return all
 }
 
-// liveEntries returns the entry VMs that run as far as is known, this one included, in the order of their names.
+// liveEntries returns the entry VMs believed to be alive, including this one, ordered by name.
 func (g *Gate) liveEntries(s *state) []pafleet.Entry {
 	all := []pafleet.Entry{g.self}
 	for _, e := range s.entries {
@@ -105,7 +106,8 @@
 	return all
 }
 
-// liveByHash returns the entry VMs that run as far as is known in the order of hashes: the first of them read the store.
+// liveByHash returns the entry VMs believed to be alive ordered by the hash of their names. The first of them are the
+// store readers.
 func (g *Gate) liveByHash(s *state) []pafleet.Entry {
 	all := g.liveEntries(s)
 	slices.SortFunc(all, func(a, b pafleet.Entry) int {
@@ -114,7 +116,7 @@
 	return all
 }
 
-// storeReaders returns the entry VMs that read the store for all.
+// storeReaders returns the entry VMs that read the store on behalf of all others.
 func (g *Gate) storeReaders(s *state) []pafleet.Entry {
 	all := g.liveByHash(s)
 	return all[:min(max(minStoreReaders, len(all)/entriesPerReader), len(all))]
@@ -124,9 +126,9 @@
 	return slices.ContainsFunc(g.storeReaders(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 }
 
-// syncSource returns another reader, one of the own region before others, or else any other entry VM.
-// One is enough to keep up, and each further one costs bytes between regions. A reader asks one too: the
-// store may refuse it and serve the others.
+// syncSource returns the store reader that this entry VM asks for changes, in its own region if there is one; without
+// another store reader it is any other entry VM. One source is enough to keep up, and each further one costs traffic
+// between regions. A store reader has a source too, as the store may refuse it and serve the others.
 func (g *Gate) syncSource(s *state) pafleet.Entry {
 	all := g.storeReaders(s)
 	if len(all) == 1 && all[0].Name == g.self.Name {
@@ -140,6 +142,6 @@
 	if len(near) == 0 {
 		return pafleet.Entry{}
 	}
-	// Each entry VM takes one by its own name, so that those who ask are spread over those who read.
+	// The choice by the hash of the own name spreads the entry VMs over the readers.
 	return near[xxhash.Sum64String(g.self.Name)%uint64(len(near))]
 }
--- a/pagate/fleet.go
+++ b/pagate/fleet.go
@@ -3,20 +3,22 @@
 import "time"
 
 const (
-	// fleetPeakWindow is how long an entry VM that is no longer registered counts: one that is cut off goes on with its part
-	// of each rate limit, which the others must not take.
+	// fleetPeakWindow is how long an entry VM that is no longer registered still counts. One that is partitioned
+	// from the store goes on using its share of each rate limit, which the others must not use too.
 	fleetPeakWindow = 10 * time.Minute
-	// fleetPeakBuckets is the number of parts of that time.
+	// fleetPeakBuckets is the number of buckets of the sliding window.
 	fleetPeakBuckets = 10
 )
 
-// fleetPeak is the most entry VMs that were registered at once within fleetMemory. The zero value is ready.
+// fleetPeak is the maximum number of entry VMs registered at once within fleetPeakWindow. The zero value is ready to
+// use.
 type fleetPeak struct {
 	buckets [fleetPeakBuckets]int
-	newest  int64
+	// newest is the number of the newest bucket since uptime 0.
+	newest int64
 }
 
-// observe notes a number of entry VMs and returns the observe.
+// observe records the current number of entry VMs and returns the maximum. now is the uptime.
 func (f *fleetPeak) observe(n int, now time.Duration) int {
 	slot := int64(now / (fleetPeakWindow / fleetPeakBuckets))
 	for f.newest < slot {
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -15,7 +15,7 @@
 	"papayahead/pasteer"
 )
 
-// exchange is one request of a caller on its way.
+// exchange is a client request in progress.
 type exchange struct {
 	id     string
 	method string
@@ -23,39 +23,42 @@
 	host   string
 	header http.Header
 	route  *paroute.Route
-	// workspace is whose key the request carried; nil for none.
+	// workspace is the owner of the request's API key; nil if there is none.
 	workspace *paroute.Workspace
-	// hasToken says that the request has a hasToken of the workspace's rate limit.
+	// hasToken says that the request holds a token of the workspace's rate limit.
 	hasToken bool
-	// limitWait is how long it waited for that.
+	// limitWait is how long the request waited for the token.
 	limitWait time.Duration
-	service string
-	object  string
-	version int64
-	// size is the length of the body, or -1; body is what is held of it, stream what follows.
-	size   int64
+	service   string
+	object    string
+	version   int64
+	// size is the body's length, or -1 if unknown. buffered is the part of the body held in memory, unbuffered
+	// the rest.
+	size       int64
 	buffered   []byte
 	unbuffered io.Reader
-	// arrived is when the head was read, limit when the answer is due: by the route, or as the caller leaves.
-	arrived time.Time
-	deadline   time.Time
-	// tried are the targets that the request was sent to; mayHaveRun says that one may have run it.
-	tried      []string
+	// arrived is when the header was read, deadline when the response is due.
+	arrived  time.Time
+	deadline time.Time
+	// tried are the targets that the request was sent to; mayHaveExecuted says that one of them may have executed
+	// it. failedReply is the last reply that reported a failure.
+	tried           []string
 	mayHaveExecuted bool
 	failedReply     *reply
-	// lastChoice is the lastChoice decision, for the log.
+	// lastChoice is the last choice of a target, for the log.
 	lastChoice pasteer.Choice
-	// caller ends when the caller leaves.
+	// caller is done when the client disconnects.
 	caller context.Context
-	// lane knows of the requests ahead on the caller's connection; behind is how long the answer was ready, or
-	// the request waited, behind theirs.
-	lane   *palane.Lane
+	// lane tracks the requests ahead on the client's connection; pipelineWait is how long the request, or its
+	// response, waited for them.
+	lane         *palane.Lane
 	pipelineWait time.Duration
 }
 
+// inline reports whether the request is small enough to be written before its response is awaited.
 func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= maxInlineWrite }
 
-// serveCaller answers one request of a caller.
+// serveCaller handles one client request.
 func (g *Gate) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -101,7 +104,7 @@
 	g.forward(ctx, w, x)
 }
 
-// newExchange reads the head of a request.
+// newExchange takes what is needed from the request's header.
 func (g *Gate) newExchange(r *http.Request) *exchange {
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
@@ -119,10 +122,10 @@
 	return p
 }
 
-// headerLineOverhead is what a header line has besides its name and value: a colon, a space and the line's end.
+// headerLineOverhead is the size of a header line besides its name and value: a colon, a space and CRLF.
 const headerLineOverhead = 4
 
-// headerSize returns the size of a request's head, in bytes.
+// headerSize returns the size of the request line and header in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + headerLineOverhead + len("Host") + len(r.Host) + headerLineOverhead
 	for name, values := range r.Header {
@@ -133,7 +136,8 @@
 	return n
 }
 
-// readBody reads the body as far as it is held; a status is the answer to a request that is refused for it.
+// readBody reads up to maxBuffered bytes of the body. A status other than 0 is the response to a request whose body
+// is refused.
 func (g *Gate) readBody(x *exchange, r *http.Request, l paroute.Limits) (status int, reason string) {
 	if l.MaxBody > 0 && r.ContentLength > l.MaxBody {
 		return http.StatusRequestEntityTooLarge, reasonTooLarge
@@ -161,23 +165,23 @@
 }
 
 const (
-	// maxDiscardedBody and readOnTime bound what is read of a body that is refused.
+	// maxDiscardedBody and discardTimeout bound what is read of a refused body.
 	maxDiscardedBody = 4 << 20
-	discardTimeout = time.Second
+	discardTimeout   = time.Second
 )
 
-// discardBody reads a refused body on for a while. A connection that is closed with unread bytes is reset,
-// and the caller, still writing, loses the answer that tells it why.
+// discardBody reads a refused body for a while. Closing a connection with unread bytes resets it, and a client that
+// is still writing would lose the response that says why.
 func (g *Gate) discardBody(w http.ResponseWriter, r *http.Request) {
 	if err := http.NewResponseController(w).SetReadDeadline(g.config.Clock.Now().Add(discardTimeout)); err != nil {
 		return
 	}
 	if _, err := io.CopyN(io.Discard, r.Body, maxDiscardedBody); err != nil {
-		return // The body ended, or its caller is too slow; the answer is the same.
+		return // The body ended, or the client is too slow; the response is the same.
 	}
 }
 
-// deadlineOf returns when the answer is due: by the route's timeout, or when the caller leaves.
+// deadlineOf returns when the response is due: by the route's timeout, or by the client's deadline header if sooner.
 func (g *Gate) deadlineOf(x *exchange, r *http.Request) time.Time {
 	wait := x.route.Timeout
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.config.Headers.Deadline), 64); err == nil && ms > 0 {
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// comeBackStale is when a caller should try again, at another entry VM: one of them may be in touch.
-	comeBackStale = 200 * time.Millisecond
-	// maxLoggedWorkspaces is how many workspaces a line on changed keys names.
+	// retryAfterStaleConfig applies at an entry VM whose state is too old to check keys; another one may reach
+	// the store.
+	retryAfterStaleConfig = 200 * time.Millisecond
+	// maxLoggedWorkspaces is how many workspaces a log line on changed keys names.
 	maxLoggedWorkspaces = 32
 )
 
-// keysFresh says whether what is known may decide on keys: until a watch before a key that was taken away must be out of force
-// everywhere. A watch that ended early makes what is known look younger by as much as it waits.
+// keysFresh reports whether the state is recent enough to check API keys: until a watch before MaxRevocation. The
+// watch is subtracted because one that ended early makes the state look younger by up to its length.
 //
-// Failure prevented: an entry VM is cut off from the store and from all that read it, and serves a key that an operator
-// took away for as long as the cut lasts.
+// Without the bound an entry VM that is partitioned from the store and from all store readers would accept a revoked
+// key for as long as the partition lasts.
 func (g *Gate) keysFresh(s *state) bool {
 	bound := g.config.Settings.MaxRevocation
 	return bound <= 0 || g.age(s) <= max(0, bound-g.watchDuration())
 }
 
-// authenticate takes the credential off a request and finds whose it is; a status is the answer to one that is refused.
-// Nothing that the caller says of its workspace reaches a target.
+// authenticate removes the API key from a request and looks up its workspace. A status other than 0 is the response
+// to a request that is refused. The workspace header that a client sent never reaches a target.
 func (g *Gate) authenticate(x *exchange, s *state) (status int, reason string) {
 	if !s.table.Config.Keyed {
 		return 0, ""
@@ -41,7 +42,7 @@
 		return 0, ""
 	}
 	if !g.keysFresh(s) {
-		// A key that is unknown here may have been added since.
+		// The response is not 401, as a key that is unknown here may have been added since.
 		return http.StatusServiceUnavailable, reasonStale
 	}
 	key, err := pakey.Parse(fields)
@@ -58,18 +59,18 @@
 	return 0, ""
 }
 
-// refuseAuthentication answers a request that admitKey refused.
+// refuseAuthentication responds to a request that authenticate refused.
 func (g *Gate) refuseAuthentication(w http.ResponseWriter, x *exchange, status int, reason string) {
 	if status == http.StatusServiceUnavailable {
-		g.refuse(w, x, reason, comeBackStale)
+		g.refuse(w, x, reason, retryAfterStaleConfig)
 		return
 	}
 	w.Header().Set("WWW-Authenticate", "Bearer")
 	g.writeError(w, x, status, reason)
 }
 
-// stripCredentials removes the credential, and what the caller says of its workspace in any spelling that a target could take
-// for the header's name.
+// stripCredentials removes the Authorization header and the workspace header, in every spelling that a target could
+// take for these names: servers may treat underscores as hyphens.
 func (x *exchange) stripCredentials(workspace string) {
 	for name := range x.header {
 		plain := strings.ReplaceAll(name, "_", "-")
@@ -79,7 +80,7 @@
 	}
 }
 
-// workspaceName returns the name of the request's workspace, or nothing.
+// workspaceName returns the name of the request's workspace, or "".
 func (x *exchange) workspaceName() string {
 	if x.workspace == nil {
 		return ""
@@ -87,7 +88,7 @@
 	return x.workspace.Name
 }
 
-// allowedRegions returns the only allowedRegions that the request's workspace allows.
+// allowedRegions returns the regions that the request's workspace is restricted to; nil means all.
 func (x *exchange) allowedRegions() []string {
 	if x.workspace == nil {
 		return nil
@@ -95,7 +96,7 @@
 	return x.workspace.AllowedRegions
 }
 
-// logKeyChanges logs which workspaces' keys a new version changed.
+// logKeyChanges logs which workspaces' keys differ between two versions of the configuration.
 func (g *Gate) logKeyChanges(old, next *paroute.Table) {
 	if old == nil {
 		return
@@ -126,8 +127,8 @@
 	g.record(e)
 }
 
-// logStaleness logs when requests with a key begin to be refused for the age of what is known, and when that ends.
-// Only the control loop calls it, at each tick and change.
+// logStaleness logs when requests with a key begin to be refused because the state is too old, and when that ends.
+// The control loop calls it at each tick.
 func (g *Gate) logStaleness(s *state) {
 	if s.table == nil || !s.table.Config.Keyed {
 		return
