--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -13,33 +13,37 @@
 )
 
 const (
-	// minReadInterval is the least time between two readings of the store: changes that come together, as in a
-	// roll-out of targets, share one call.
+	// minReadInterval is the least time between two reads of the store: changes that come together, as in a
+	// rolling update of targets, then share one call.
 	minReadInterval = 600 * time.Millisecond
-	// maxWatchTime is how long the store is known to have had no change at the most: a watch that waits costs one call
-	// however long it is, but one whose connection went silent hears nothing for that time.
+	// maxWatchTime bounds how long a watch waits. Each watch costs one call whatever its length, but one whose
+	// connection went silent learns nothing for that time.
 	maxWatchTime = time.Second
-	// watchesPerRevocation is how many watches a bound on the age of what is known has room for.
+	// watchesPerRevocation is how many watches fit into the time within which a revoked key must be rejected.
 	watchesPerRevocation = 10
-	// maxAge is the age of what is known at which neighbours are asked for more, and the first of them reads the store
-	// in the place of those that should have: a watch, a call by which a neighbour asks, and the ways of both.
+	// maxAge is the age of the state from which an entry VM asks further neighbours, and the first of them reads
+	// the store in place of the store readers. It covers a watch, the interval of calls to neighbours, and the
+	// network delays of both.
 	maxAge = maxWatchTime + syncInterval + 500*time.Millisecond
-	// propagationMargin is how long before a change must be in force the last entry VM reads by itself.
+	// propagationMargin is how long before MaxPropagation the last entry VM reads the store itself.
 	propagationMargin = 300 * time.Millisecond
-	// storeTimeout bounds a call; the store answers in 4 ms, and a silent connection shows no error.
+	// storeTimeout bounds a call to the store. The store responds within 4 ms; a connection that went silent
+	// reports no error.
 	storeTimeout = maxWatchTime + 500*time.Millisecond
-	// minStoreReaders is how many entry VMs read the store for all, at the least, and entriesPerReader how many ask one
-	// of them in a large deployment: twice a second each, about a hundredth of a core.
-	minStoreReaders          = 2
+	// minStoreReaders is the least number of entry VMs that read the store for all. In a large deployment there
+	// is one for every entriesPerReader entry VMs: each asks twice a second, which costs the reader about a
+	// hundredth of a core.
+	minStoreReaders  = 2
 	entriesPerReader = 50
-	// registrationTTL is how long a registration outlives its entry VM; a look-up must not name a dead one
+	// registrationTTL is how long a registration outlives its entry VM; look-ups must not name a dead entry VM
 	// for more than 7 s.
 	registrationTTL = 5 * time.Second
-	// registrationRenewInterval is how often the lease is renewed: two renewals may fail.
+	// registrationRenewInterval is the time between renewals of the lease, so that two in a row may fail.
 	registrationRenewInterval = 1700 * time.Millisecond
 )
 
-// followStore keeps up with the store.
+// followStore keeps the state up to date with the store: with a full read first, unless a neighbour sent its state,
+// and then by watches while this entry VM should read the store.
 func (g *Gate) followStore(ctx context.Context) {
 	var lostAt time.Time
 	whole := !g.syncedAtStart(ctx)
@@ -79,20 +83,18 @@
 	}
 }
 
-// watchOffset is how much later than the first reader of the store this one begins its watches, so that theirs end in watchOffset.
-//
-// Load: the store goes away, and all know what the last watch that ended said. Harm prevented: all readers' watches end
-// together, and the last one was a whole watch ago.
+// watchOffset is how much later than the first store reader this one starts its watches, so that the watches of all
+// readers end evenly spread. When the store fails, the state is as old as the last watch that ended; if all watches
+// ended together, it would be up to a full watch old for everyone.
 func (g *Gate) watchOffset(watch time.Duration) time.Duration {
 	all := g.storeReaders(g.state.Load())
 	rank := slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	return watch * time.Duration(max(0, rank)) / time.Duration(max(1, len(all)))
 }
 
-// readDelay is the time to the next reading of the store after a number of failures.
-//
-// Load: the store is away, and a hundred entry VMs find what they know too old. Harm prevented: each asks it again
-// twice a second. The readers do; for the others it is enough to ask before a change must be in force.
+// readDelay returns the time to wait before the next read of the store after a number of failures in a row. Only
+// store readers retry at minReadInterval during an outage; a hundred others would add two calls a second each, though
+// it is enough for them to ask within MaxPropagation.
 func (g *Gate) readDelay(fails int) time.Duration {
 	if g.isStoreReader() {
 		return minReadInterval
@@ -102,18 +104,18 @@
 }
 
 const (
-	// bootstrapSyncWait is how long a process waits at the first start of a deployment for a neighbour to tell what the
-	// store holds, which is next to nothing.
+	// bootstrapSyncWait is how long a process waits at the first start of a deployment for a neighbour to send
+	// its state; the store holds next to nothing then.
 	bootstrapSyncWait = 2 * time.Second
-	// restartSyncWait is how long it waits at any other start: a neighbour of its own region tells all in a twentieth of
-	// the bytes of a reading, and where all have just started there is none that could.
+	// restartSyncWait is how long it waits at any other start. A neighbour in its own region sends the state in a
+	// twentieth of the bytes of a full read; where all have just started, no neighbour can.
 	restartSyncWait = 60 * time.Millisecond
-	// startSyncPoll is the time between two looks for it.
+	// startSyncPoll is the interval of checks for that state.
 	startSyncPoll = 5 * time.Millisecond
 )
 
-// syncedAtStart waits for a neighbour to tell what the store holds, and says whether one did. Entry VMs that others ask
-// at a start do not wait.
+// syncedAtStart waits for a neighbour to send its state and reports whether one did. Seeds do not wait, as others get
+// their state from them.
 func (g *Gate) syncedAtStart(ctx context.Context) bool {
 	s := g.config.Settings
 	if len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers) {
@@ -132,8 +134,8 @@
 	return false
 }
 
-// shouldReadStore says whether this entry VM reads the store now: as one of those that do so for all, or
-// because what it heard from them is too old.
+// shouldReadStore reports whether this entry VM should read the store now: because it is a store reader, or because
+// its state is too old.
 func (g *Gate) shouldReadStore() bool {
 	s := g.state.Load()
 	if g.isStoreReader() {
@@ -144,18 +146,19 @@
 	return g.age(s) > maxAgeOfRank(rank, len(all), g.config.Settings.MaxPropagation)
 }
 
-// maxAgeOfRank returns the age of what is known at which the entry VM with a rank among n reads the store by itself.
+// maxAgeOfRank returns the age of the state at which the entry VM with a rank among n reads the store itself,
+// although it is no store reader.
 //
-// Load: the readers are gone or cut off, and a hundred entry VMs find what they know too old at the same moment. Harm
-// prevented: all of them read the store at once. They come one after the other, and most have heard of what the
-// first ones read before their turn; the last one's is before a change must be in force.
+// If the store readers fail or are partitioned, a hundred entry VMs find their state too old at the same moment. The
+// staggered ages keep them from reading the store all at once: most get the changes from the first ones before their
+// own turn, and the last one still reads before MaxPropagation.
 func maxAgeOfRank(rank, n int, change time.Duration) time.Duration {
 	last := max(maxAge, change-propagationMargin)
 	return maxAge + (last-maxAge)*time.Duration(rank)/time.Duration(max(1, n))
 }
 
-// watchDuration is how long a watch of the store waits. Keys are out of use once what is known is older than a revocation
-// may take, less a watch: short ones leave more of that time for an outage of the store.
+// watchDuration returns how long a watch of the store waits. API keys are rejected once the state is older than
+// MaxRevocation less a watch, so that shorter watches leave more time to ride out an outage of the store.
 func (g *Gate) watchDuration() time.Duration {
 	if bound := g.config.Settings.MaxRevocation; bound > 0 {
 		return min(maxWatchTime, bound/watchesPerRevocation)
@@ -163,7 +166,8 @@
 	return maxWatchTime
 }
 
-// readStore reads the store once, waiting for a change if it is no whole reading, and says whether there was one.
+// readStore reads the store once, by a full read or by a watch of at most the time wait, and reports whether there
+// were changes. A full read always counts as a change.
 func (g *Gate) readStore(ctx context.Context, whole bool, wait time.Duration) (changed bool, err error) {
 	at, begun := g.uptime(), g.config.Clock.Now()
 	ctx, cancel := g.withTimeout(ctx, storeTimeout)
@@ -182,14 +186,14 @@
 		return false, trace.Wrap(err)
 	}
 	if !whole && len(all) == 0 && g.config.Clock.Since(begun) >= wait {
-		// Nothing had changed when the watch ended.
+		// The watch ended without a change, so that the state was current at its end.
 		at += wait
 	}
 	g.post(ctx, storeUpdate{changes: all, since: since, revision: r, whole: whole, verifiedAt: at})
 	return whole || len(all) > 0, nil
 }
 
-// keepRegistered keeps the registration in the store.
+// keepRegistered keeps this entry VM registered in the store until it shuts down, and then revokes the lease.
 func (g *Gate) keepRegistered(ctx context.Context) {
 	var l paplatform.LeaseID
 	written := false
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -29,38 +29,40 @@
 	state  atomic.Pointer[state]
 	events chan event
 	peers  *peers
-	// quotas are the own shares of rate quotas, limiter the pools where this entry VM keeps them.
+	// quotas holds this entry VM's shares of the rate limits, limiter the shared pools while this entry VM is the
+	// limiter.
 	quotas  *rateShares
 	limiter *limiter
-	conns    *connPool
+	conns   *connPool
 	meter   *meter
-	logged   logState
-	// fleetPeak is how many entry VMs were registered; only the control loop uses it.
+	logged  logState
+	// fleetPeak is the peak number of registered entry VMs; only the control loop uses it.
 	fleetPeak fleetPeak
-	// endLog bounds the lines on requests that were refused or failed.
+	// endLog bounds the log lines on requests that were refused or failed.
 	endLog tokenBucket
-	// startedAt is when the process began, and firstConfig is closed when a configuration came into force.
+	// startedAt and startUptime are when the process started; firstConfig is closed when it has a configuration.
 	startedAt   time.Time
-	startUptime   time.Duration
+	startUptime time.Duration
 	firstConfig chan struct{}
-	// droppedLines counts log lines that were droppedLines; nil where nobody counts.
+	// droppedLines counts log lines that were dropped; nil if it is not counted.
 	droppedLines *atomic.Uint64
 
-	// steerMutex guards steer, which all requests share.
+	// steerMutex guards steer and the random source, which all requests share.
 	steerMutex sync.Mutex
-	steer    *pasteer.Steer
-
-	// requests ends shortly before the process is killed; requests that still run then get an answer.
-	requests context.Context
-	cancelRequests    context.CancelFunc
-
-	listener   *palane.Listener
-	shuttingDown   atomic.Bool
-	shutdownAt    atomic.Int64
-	inFlight  atomic.Int64
-	reregister chan struct{}
-	traffic   controlTraffic
-	goroutines      sync.WaitGroup
+	steer      *pasteer.Steer
+
+	// requests is canceled shortly before the process is killed, so that requests in progress still get a
+	// response.
+	requests       context.Context
+	cancelRequests context.CancelFunc
+
+	listener     *palane.Listener
+	shuttingDown atomic.Bool
+	shutdownAt   atomic.Int64
+	inFlight     atomic.Int64
+	reregister   chan struct{}
+	traffic      controlTraffic
+	goroutines   sync.WaitGroup
 }
 
 // New returns a Gate that is not running yet.
@@ -73,8 +75,8 @@
 			LinkMbps: s.LinkMbps,
 		},
 		events:    make(chan event, maxEvents),
-		logged:     logState{appliedLines: tokenBucket{rate: appliedLineRate, burst: appliedLineBurst}},
-		endLog:      tokenBucket{rate: endLineRate, burst: endLineBurst},
+		logged:    logState{appliedLines: tokenBucket{rate: appliedLineRate, burst: appliedLineBurst}},
+		endLog:    tokenBucket{rate: endLineRate, burst: endLineBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
 		reregister: make(chan struct{}, 1),
 		steer: pasteer.New(pasteer.Config{
@@ -85,7 +87,7 @@
 	g.requests, g.cancelRequests = context.WithCancel(context.Background())
 	g.startUptime = g.uptime()
 	g.self.BornUp = g.startUptime.Milliseconds()
-	g.state.Store(&state{knownAt: longBeforeStart})
+	g.state.Store(&state{verifiedAt: longBeforeStart})
 	g.meter = newMeter(g)
 	g.conns = &connPool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*targetConn{}}
 	g.peers = newPeers(g)
@@ -95,21 +97,22 @@
 	return g
 }
 
-// maxEvents bounds the events that wait for the control loop. Load: answers of a few dozen
-// neighbours and the store at once; each takes microseconds.
+// maxEvents bounds the queue of the control loop. The replies of a few dozen neighbours and of the store may come at
+// once; each takes microseconds to handle.
 const maxEvents = 256
 
 const (
-	// maxHeader bounds the memory that a request's header takes; the configuration's own limit, which may
-	// change, is checked for each request.
+	// maxHeader bounds the memory for a request's header; the configured limit, which may change, is checked for
+	// each request.
 	maxHeader = 256 << 10
-	// headerTimeout and idleTimeout bound slow and silent callers where no configuration is known yet, and those
-	// who ask for look-ups or readiness.
+	// headerTimeout and idleTimeout bound slow and silent clients while there is no configuration, and on the
+	// ports for look-ups and readiness checks.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// Run serves until soft ends, then shuts down gracefully; hard ends it at once.
+// Run serves until soft is done, and then shuts down gracefully; hard ends it at once. It returns an error if it
+// cannot listen.
 func (g *Gate) Run(soft, hard context.Context) error {
 	ctx, cancel := context.WithCancel(hard)
 	defer cancel()
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// listen opens the ports for callers, ready checks, look-ups and peers, in this order.
+// listen opens the ports for clients, readiness checks, look-ups and peers, in this order.
 func (g *Gate) listen() ([]net.Listener, error) {
 	s := g.config.Settings
 	var all []net.Listener
@@ -205,7 +208,7 @@
 	}
 }
 
-// sleep waits and says whether the context still lasts.
+// sleep waits for a time and reports whether ctx is not done yet.
 func (g *Gate) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-g.config.Clock.After(d):
@@ -220,15 +223,15 @@
 	return paclock.WithTimeout(ctx, g.config.Clock, d)
 }
 
-// random returns a random number from 0 to 1.
+// random returns a random number in [0, 1).
 func (g *Gate) random() float64 {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
 	return g.config.Random.Float64()
 }
 
-// Reload takes new settings. The bounds of retries change at once; places and addresses are those of
-// the process's start.
+// Reload applies new settings to a running Gate. Only the retry budget and MaxShift change; zones and addresses stay
+// those of the start.
 func (g *Gate) Reload(s Settings) {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -8,61 +8,65 @@
 	"papayahead/paroute"
 )
 
-// event is something that the control loop hears of.
+// event is an input of the control loop.
 type event interface{ isEvent() }
 
-// storeUpdate is what a reading of the store gave.
+// storeUpdate is the result of a read of the store.
 type storeUpdate struct {
 	changes []pafleet.Change
-	// The changes are those after since and up to revision.
+	// since and revision are the range of the changes, which are after since and up to revision.
 	since, revision pafleet.Revision
-	whole           bool
-	// verifiedAt is the uptime verifiedAt which nothing newer was in the store.
+	// whole says that changes is the whole content of the store.
+	whole bool
+	// verifiedAt is the uptime at which the store held nothing newer.
 	verifiedAt time.Duration
 }
 
-// storeFailure says that the store did not answer.
+// storeFailure says that the store did not respond.
 type storeFailure struct{ at time.Time }
 
-// peerUpdate is a neighbour's delta; nil where nothing is new.
+// peerUpdate is a neighbour's reply on changes in the store.
 type peerUpdate struct {
-	// from is the neighbour, and since the revision that it was asked from.
+	// from is the neighbour, and since the revision after which it was asked for changes.
 	from  pafleet.Entry
 	since pafleet.Revision
+	// delta is nil if nothing changed.
 	delta *pafleet.Delta
 	// verifiedAt is the uptime at which the neighbour knew that nothing newer was in the store.
-	verifiedAt  time.Duration
-	revision pafleet.Revision
-	// requested says that the neighbour was requested for what is new; without it, no delta means nothing.
+	verifiedAt time.Duration
+	revision   pafleet.Revision
+	// requested says that changes were requested; otherwise the lack of a delta does not mean that nothing
+	// changed.
 	requested bool
 }
 
 // limiterClaimed says that this entry VM became the limiter.
 type limiterClaimed struct{ at pafleet.Revision }
 
-// deltaRequest asks for what changed after a revision.
+// deltaRequest asks for the changes after a revision.
 type deltaRequest struct {
 	since pafleet.Revision
-	reply    chan<- deltaReply
+	reply chan<- deltaReply
 }
 
-// deltaReply is what a neighbour is deltaReply of the changes after its revision: a delta, nil where nothing changed.
+// deltaReply holds the changes for a neighbour; delta is nil if nothing changed.
 type deltaReply struct {
 	delta *pafleet.Delta
-	// noHistory says that not every removal since then is known here.
+	// noHistory says that some removals since the revision are not known here, so that there is no complete
+	// delta.
 	noHistory bool
 }
 
-func (storeUpdate) isEvent()      {}
-func (storeFailure) isEvent()    {}
-func (peerUpdate) isEvent()       {}
-func (deltaRequest) isEvent()    {}
+func (storeUpdate) isEvent()    {}
+func (storeFailure) isEvent()   {}
+func (peerUpdate) isEvent()     {}
+func (deltaRequest) isEvent()   {}
 func (limiterClaimed) isEvent() {}
 
-// tickInterval is how often the loop looks at what only time changes.
+// tickInterval is how often the loop checks what depends on time alone.
 const tickInterval = 250 * time.Millisecond
 
-// post hands an event to the control loop.
+// post sends an event to the control loop.
 func (g *Gate) post(ctx context.Context, e event) {
 	select {
 	case g.events <- e:
@@ -73,7 +77,7 @@
 // controlLoop is the only goroutine that changes the view.
 func (g *Gate) controlLoop(ctx context.Context) {
 	var v pafleet.View
-	knownAt := longBeforeStart
+	verifiedAt := longBeforeStart
 	tick := g.config.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -93,17 +97,17 @@
 			g.listener.Reap(now, g.callerLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
-			changed = g.handleEvent(&v, e, &knownAt, now)
+			changed = g.handleEvent(&v, e, &verifiedAt, now)
 		}
-		g.publish(&v, knownAt, changed, now)
+		g.publish(&v, verifiedAt, changed, now)
 		if r, ok := e.(storeUpdate); ok && r.whole {
 			g.restoreWarmNotes(r.changes, now)
 		}
 	}
 }
 
-// handleEvent takes one event and says whether the view changed.
-func (g *Gate) handleEvent(v *pafleet.View, e event, knownAt *time.Duration, now time.Time) bool {
+// handleEvent applies an event and reports whether the view changed.
+func (g *Gate) handleEvent(v *pafleet.View, e event, verifiedAt *time.Duration, now time.Time) bool {
 	g.logged.source = ""
 	switch e := e.(type) {
 	case storeUpdate:
@@ -115,7 +119,7 @@
 			changed = v.Follow(e.changes, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.verifiedAt)
+			*verifiedAt = max(*verifiedAt, e.verifiedAt)
 		}
 		return changed
 	case storeFailure:
@@ -132,7 +136,7 @@
 			v.Follow(nil, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.verifiedAt)
+			*verifiedAt = max(*verifiedAt, e.verifiedAt)
 		}
 		if v.Revision > before {
 			g.logApplied(e, v.Revision, now)
@@ -150,14 +154,14 @@
 	return false
 }
 
-// publish makes the view's state visible to requests.
-func (g *Gate) publish(v *pafleet.View, knownAt time.Duration, changed bool, now time.Time) {
+// publish stores a new snapshot of the view for the requests.
+func (g *Gate) publish(v *pafleet.View, verifiedAt time.Duration, changed bool, now time.Time) {
 	old := g.state.Load()
-	if !changed && old.revision == v.Revision && old.knownAt == knownAt {
+	if !changed && old.revision == v.Revision && old.verifiedAt == verifiedAt {
 		return
 	}
 	next := &state{
-		table: old.table, revision: v.Revision, knownAt: knownAt, entries: old.entries, fleetPeak: old.fleetPeak,
+		table: old.table, revision: v.Revision, verifiedAt: verifiedAt, entries: old.entries, fleetPeak: old.fleetPeak,
 		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterAt,
 	}
 	if changed {
@@ -187,7 +191,7 @@
 	}
 }
 
-// requestRegistration asks for the registration to be written anew.
+// requestRegistration has keepRegistered write the registration again, or end it at a shutdown.
 func (g *Gate) requestRegistration() {
 	select {
 	case g.reregister <- struct{}{}:
--- a/pagate/meter.go
+++ b/pagate/meter.go
@@ -13,19 +13,19 @@
 	"papayahead/pasteer"
 )
 
-// servedLogInterval is how many requests that were served share one log line.
+// servedLogInterval is how many served requests there are to one log line.
 const servedLogInterval = 32
 
-// meter counts what the gate does.
+// meter holds the metrics of a Gate.
 type meter struct {
-	set         *metrics.Set
-	targetConns *metrics.Counter
-	strayAnswers      *metrics.Counter
-	peerCloseErrors  *metrics.Counter
-	shifted     *metrics.Counter
-	held        *metrics.Counter
+	set             *metrics.Set
+	targetConns     *metrics.Counter
+	strayAnswers    *metrics.Counter
+	peerCloseErrors *metrics.Counter
+	shifted         *metrics.Counter
+	held            *metrics.Counter
 	unloggedEnds    *metrics.Counter
-	served      atomic.Uint64
+	served          atomic.Uint64
 }
 
 func newMeter(g *Gate) *meter {
@@ -52,7 +52,7 @@
 	m.set.GetOrCreateCounter(`papayahead_gate_store_calls_total{call="` + name + `"}`).Inc()
 }
 
-// countChoice counts what a decision means for the traffic between regions.
+// countChoice counts a choice that sends a request to another region, or that was held back from that.
 func (m *meter) countChoice(c pasteer.Choice) {
 	if c.Shifts {
 		m.shifted.Inc()
@@ -62,7 +62,7 @@
 	}
 }
 
-// The kinds of what neighbours tell of changes in the store.
+// Kinds of neighbours' replies on changes in the store.
 const (
 	deltaNothing   = "Nothing"
 	deltaChanges   = "Changes"
@@ -70,7 +70,7 @@
 	deltaNoHistory = "NoHistory"
 )
 
-// deltaKind returns the kind of a delta, which is nil where nothing changed.
+// deltaKind returns the kind of a delta; nil is for no changes.
 func deltaKind(d *pafleet.Delta) string {
 	switch {
 	case d == nil:
@@ -81,17 +81,17 @@
 	return deltaChanges
 }
 
-// deltasSent counts answers to neighbours that asked what changed.
+// deltasSent counts replies to neighbours that asked for changes.
 func (m *meter) deltasSent(kind string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`papayahead_gate_told_total{kind="` + kind + `"}`)
 }
 
-// deltasApplied counts neighbours' words that raised the revision.
+// deltasApplied counts neighbours' replies that raised the revision.
 func (m *meter) deltasApplied(kind string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(`papayahead_gate_followed_total{kind="` + kind + `"}`)
 }
 
-// countLimited counts a request of a workspace with a rate countLimited by what it got its token from, or why it got none.
+// countLimited counts a request of a rate-limited workspace by the source of its token, or by why it got none.
 func (m *meter) countLimited(outcome string) {
 	m.set.GetOrCreateCounter(`papayahead_gate_limited_requests_total{outcome="` + outcome + `"}`).Inc()
 }
@@ -106,20 +106,20 @@
 	m.set.GetOrCreateHistogram("papayahead_gate_request_behind_seconds").Update(behind.Seconds())
 }
 
-// sampleServed says whether a request that was served is logged.
+// sampleServed reports whether to log a request that was served.
 func (m *meter) sampleServed() bool { return m.served.Add(1)%servedLogInterval == 1 }
 
-// WriteMetrics writes the counters in the text format of Prometheus.
+// WriteMetrics writes the metrics in the Prometheus text format.
 func (g *Gate) WriteMetrics(w io.Writer) { g.meter.set.WritePrometheus(w) }
 
-// CountDroppedLines adds the number of log lines that a slow reader made the log drop to the metrics, and
-// logs that number when it grows. Call it before Run.
+// CountDroppedLines exports n, the number of log lines dropped because the log's reader was slow, as a metric, and
+// logs it when it grows. It must be called before Run.
 func (g *Gate) CountDroppedLines(n *atomic.Uint64) {
 	g.droppedLines = n
 	g.meter.set.NewGauge("papayahead_gate_log_lines_dropped", func() float64 { return float64(n.Load()) })
 }
 
-// logDroppedLines logs that lines were dropped, once a tick at most.
+// logDroppedLines logs the number of dropped lines if it grew; it is called once a tick.
 func (g *Gate) logDroppedLines() {
 	if g.droppedLines == nil {
 		return
--- a/pagate/note.go
+++ b/pagate/note.go
@@ -7,7 +7,7 @@
 	"papayahead/pafleet"
 )
 
-// The states of a target in the log.
+// States of a target in the log.
 const (
 	targetReady    = "Ready"
 	targetDraining = "Draining"
@@ -16,46 +16,47 @@
 )
 
 const (
-	// changeLineRate and fleetBurst bound the lines on single targets and entry VMs, a second and at once. What is known
-	// at a start, or changes together, is a sum.
-	changeLineRate = 10
+	// changeLineRate and changeLineBurst bound the log lines on single targets and entry VMs, per second and at
+	// once. FleetChanged sums up what is known at a start, or changes at once.
+	changeLineRate  = 10
 	changeLineBurst = 100
-	// appliedLineRate and followBurst bound the lines on the revisions that neighbours' words led to.
-	appliedLineRate = 2
+	// appliedLineRate and appliedLineBurst bound the lines on revisions learned from neighbours.
+	appliedLineRate  = 2
 	appliedLineBurst = 20
-	// endLineRate and endBurst bound the lines on requests that were refused or failed.
-	endLineRate = 50
+	// endLineRate and endLineBurst bound the lines on requests that were refused or failed.
+	endLineRate  = 50
 	endLineBurst = 500
 )
 
-// logState is what the log last said of the deployment. Only the control loop uses it.
+// logState is what was last logged on the deployment. Only the control loop uses it.
 type logState struct {
 	targets map[string]paevent.TargetKnown
 	entries map[string]string
-	// dropped is the number of log lines that were dropped.
+	// dropped is the number of dropped log lines.
 	dropped uint64
-	// staleSince is the uptime since when requests with a key are refused; 0 while they are not.
+	// staleSince is the uptime since which requests with a key are refused; 0 while they are accepted.
 	staleSince time.Duration
-	// changeLines bounds the changeLines on single targets and entry VMs; unlisted counts those left out of the next sum.
-	changeLines    tokenBucket
-	suppressed int
-	// source is whom the change that is looked at came from: sourceStore, a neighbour's name, or nobody.
+	// changeLines bounds the lines on single targets and entry VMs; suppressed counts those left out since the
+	// last FleetChanged.
+	changeLines tokenBucket
+	suppressed  int
+	// source is where the current change came from: sourceStore, a neighbour's name, or "".
 	source string
-	// lastApplied is the process whose word last raised the revision, and follows bounds the lines on that.
-	lastApplied processRun
-	appliedLines  tokenBucket
+	// lastApplied is the process whose reply last raised the revision; appliedLines bounds the lines on that.
+	lastApplied  processRun
+	appliedLines tokenBucket
 }
 
-// processRun is one run of an entry VM's process.
+// processRun identifies one run of an entry VM's process.
 type processRun struct {
 	name string
 	born int64
 }
 
-// sourceStore names the platform's store as the source of a change.
+// sourceStore is the source of changes read from the platform's store.
 const sourceStore = "Store"
 
-// logChange logs what is known of one target or entry VM if there is room for the line.
+// logChange logs a change of one target or entry VM, unless changeLines is used up.
 func (g *Gate) logChange(e paevent.Event, now time.Time) {
 	if g.logged.changeLines.take(now) {
 		g.record(e)
@@ -64,13 +65,13 @@
 	g.logged.suppressed++
 }
 
-// logChanges logs what the process now believes, one line for each change.
+// logChanges logs how the view differs from what was last logged.
 func (g *Gate) logChanges(v *pafleet.View, old *state, now time.Time) {
 	if v.Config != nil && v.Config.Version != old.configVersion() {
 		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigAt)})
 	}
 	if g.logged.targets == nil {
-		// A start: what is known by then counts as known.
+		// At the start there is no burst, so that the first view is logged as a sum.
 		g.logged.changeLines = tokenBucket{rate: changeLineRate, burst: changeLineBurst, refilledAt: now}
 		g.logged.targets, g.logged.entries = map[string]paevent.TargetKnown{}, map[string]string{}
 	}
@@ -83,7 +84,7 @@
 	g.logged.suppressed = 0
 }
 
-// logTargetChanges logs changes of targets and returns how many drain.
+// logTargetChanges logs changes of targets and returns how many of them drain.
 func (g *Gate) logTargetChanges(v *pafleet.View, now time.Time) (draining int) {
 	for id, m := range v.Targets {
 		e := paevent.TargetKnown{Target: id, Service: m.Service, Zone: m.Zone, State: targetReady, Born: m.Born}
@@ -111,7 +112,7 @@
 	return draining
 }
 
-// logEntryChanges logs changes of the registered entry VMs.
+// logEntryChanges logs entry VMs that were registered or removed.
 func (g *Gate) logEntryChanges(v *pafleet.View, now time.Time) {
 	for name, e := range v.Entries {
 		if _, ok := g.logged.entries[name]; !ok {
@@ -127,8 +128,8 @@
 	}
 }
 
-// logApplied logs that a neighbour's word raised the revision, if it named something or comes from another process than
-// the last such word.
+// logApplied logs that a neighbour's reply raised the revision, if it had changes or came from another process than
+// the last such reply.
 func (g *Gate) logApplied(p peerUpdate, r pafleet.Revision, now time.Time) {
 	from := processRun{name: p.from.Name, born: p.from.Born}
 	e := paevent.NeighbourFollowed{Entry: from.name, Born: from.born, Since: uint64(p.since), Revision: uint64(r)}
--- a/pagate/state.go
+++ b/pagate/state.go
@@ -8,18 +8,18 @@
 	"papayahead/paroute"
 )
 
-// state is what requests and the other goroutines read; it is never changed.
+// state is an immutable snapshot for requests and other goroutines.
 type state struct {
 	table    *paroute.Table
 	revision pafleet.Revision
-	// knownAt is the uptime at which it was last known that nothing newer was in the store.
-	knownAt time.Duration
-	entries []pafleet.Entry
-	// fleetPeak is the most entry VMs that were registered lately; rate limits are divided among them.
+	// verifiedAt is the uptime at which the store was last known to hold nothing newer.
+	verifiedAt time.Duration
+	entries    []pafleet.Entry
+	// fleetPeak is the peak number of registered entry VMs; rate limits are divided by it.
 	fleetPeak int
-	// registered says that this entry VM is one of them.
+	// registered says that this entry VM is registered.
 	registered bool
-	// limiter keeps the pools of rate limits, as of limiterAt.
+	// limiter is the entry VM that keeps the token pools of rate limits, as of the store's revision limiterAt.
 	limiter   string
 	limiterAt pafleet.Revision
 }
@@ -27,12 +27,12 @@
 // longBeforeStart is an uptime before the machine's start.
 const longBeforeStart = -time.Hour
 
-// age returns how long ago it was known that nothing newer than the state was in the store. Load the state first: what
-// passes between the two counts.
-func (g *Gate) age(s *state) time.Duration { return g.uptime() - s.knownAt }
+// age returns how long ago the state was known to be current. The state must be loaded first, so that time passing
+// between the two counts.
+func (g *Gate) age(s *state) time.Duration { return g.uptime() - s.verifiedAt }
 
-// uptime is the time since the machine started. A suspended machine's steady clock stands still, and what is known
-// would seem fresh when it wakes.
+// uptime is the time since the machine started. It includes suspended time, unlike the monotonic clock, by which the
+// state would seem fresh when the machine resumes.
 func (g *Gate) uptime() time.Duration {
 	if g.config.Uptime != nil {
 		return g.config.Uptime()
@@ -40,15 +40,14 @@
 	return g.config.Clock.Since(time.Unix(0, 0))
 }
 
-// startConfigWait is how long after its start a process lets requests wait for its first configuration: a reading of
-// the store over a link that all that start use at once.
+// startConfigWait is how long after its start a process lets requests wait for the first configuration: a read of the
+// store over a link that all entry VMs that start use at once.
 const startConfigWait = time.Second
 
-// awaitConfig returns the state, and waits for the first configuration while the process starts.
+// awaitConfig returns the state; shortly after the start it waits for the first configuration.
 //
-// Load: all entry VMs lose power and come back under full load, and callers ask each as soon as it listens. Harm
-// prevented: they are refused within the half second before anything is known, come back once, and many are refused
-// again.
+// After a power failure of all entry VMs under full load, clients connect to each as soon as it listens. Refused
+// within the half second before there is a configuration, they would return once, and many would be refused again.
 func (g *Gate) awaitConfig(ctx context.Context) *state {
 	s := g.state.Load()
 	left := startConfigWait - g.config.Clock.Since(g.startedAt)
@@ -64,7 +63,7 @@
 	return g.state.Load()
 }
 
-// configVersion returns the version in force, or 0.
+// configVersion returns the configuration's version, or 0 if there is none.
 func (s *state) configVersion() int64 {
 	if s.table == nil {
 		return 0
@@ -72,7 +71,7 @@
 	return s.table.Config.Version
 }
 
-// callerLimits returns what callers may send and how long they may take.
+// callerLimits returns the limits on clients' requests, with defaults for the timeouts.
 func (g *Gate) callerLimits() paroute.Limits {
 	l := paroute.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	s := g.state.Load()
