--- a/pagate/limit.go
+++ b/pagate/limit.go
@@ -13,46 +13,51 @@
 )
 
 const (
-	// callIntervalPerEntry is the least time between two calls to the limiter for each entry VM of the deployment, so that it hears
-	// about as many calls however many they are, and askLeast the least at all.
-	callIntervalPerEntry  = 700 * time.Microsecond
-	minCallInterval = 15 * time.Millisecond
-	// spareCallInterval is the time between two calls for requests to come only.
+	// callIntervalPerEntry times the number of entry VMs is the least time between two calls to the limiter,
+	// which thus gets about the same number of calls in a deployment of any size. minCallInterval is the least
+	// time in a small one.
+	callIntervalPerEntry = 700 * time.Microsecond
+	minCallInterval      = 15 * time.Millisecond
+	// spareCallInterval is the time between calls that only fetch tokens for later requests.
 	spareCallInterval = 60 * time.Millisecond
-	// limiterWait is the longest that a request waits for the limiter: a call between regions, and the one before it.
+	// limiterWait is the longest time that a request waits for the limiter: a call between regions, and the one
+	// before it.
 	limiterWait = 350 * time.Millisecond
-	// emptyPoolWait is how long it waits on for a limiter that has nothing: a refused caller takes longer to be back.
+	// emptyPoolWait is how long a request waits on if the pool is empty; a client that is refused takes longer to
+	// return.
 	emptyPoolWait = 150 * time.Millisecond
-	// startPeriod is how long after its start requests wait longer: the shares are empty, and the limiter may have
-	// started too.
+	// startPeriod is how long after its start an entry VM lets requests wait longer: its shares are empty, and
+	// the limiter may have just started too.
 	startPeriod = 2 * time.Second
-	// callFailureBackoff is how long after a call that failed no request waits for the limiter.
+	// callFailureBackoff is how long after a failed call requests are not queued for the limiter.
 	callFailureBackoff = 250 * time.Millisecond
-	// restartClockMargin is how far the clocks of two lifetimes of a process may differ.
+	// restartClockMargin is how far the clocks of two runs of the process may differ.
 	restartClockMargin = time.Second
-	// firstStartDelay is how long after the first start of an entry VM its shares stay empty: until all others know of it.
+	// firstStartDelay is how long after its first start the shares of an entry VM stay empty, until all others
+	// count it.
 	firstStartDelay = 3 * time.Second
 )
 
-// rateShares are the own shares of rate rateShares.
+// rateShares holds this entry VM's shares of the workspaces' rate limits, and gets further tokens from the limiter.
 type rateShares struct {
 	gate *Gate
-	// wakeUp wakes the calls to the limiter.
+	// wakeUp requests a call to the limiter.
 	wakeUp chan struct{}
 
 	mutex  sync.Mutex
 	shares map[string]*rateShare
-	// fillFrom is the uptime fillFrom which shares fill; again says that they have something at once then.
+	// fillFrom is the uptime from which shares fill. restarted says that they start with some tokens, as the
+	// entry VM was registered before.
 	fillFrom  time.Duration
 	restarted bool
-	// failedAt is the uptime of the last call that failed, unless one succeeded since.
+	// failedAt is the uptime of the last failed call, unless one succeeded since.
 	failedAt time.Duration
 }
 
-// rateShare is the own rateShare of a workspace's limit and the requests that wait for more.
+// rateShare is the share of one workspace's limit and the requests that wait for a token.
 type rateShare struct {
 	*paquota.Share
-	// waiters hear whether they may run, in the order in which they came.
+	// waiters receive whether the request may run, in order of arrival.
 	waiters []chan bool
 }
 
@@ -62,8 +67,8 @@
 	}
 }
 
-// start takes the first state. An entry VM that is registered already has only started anew: the others count it, and
-// if it ran for longer than a window before, its shares have something at once.
+// start initializes the shares from the first state. An entry VM that is already registered has restarted and is
+// counted by the others; if its former run lasted longer than a quota window, its shares start with some tokens.
 func (l *rateShares) start(s *state) {
 	i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 	if i < 0 {
@@ -75,17 +80,17 @@
 	l.fillFrom, l.restarted = l.gate.startUptime, ran > l.gate.config.Settings.Quota.Window+restartClockMargin
 }
 
-// division divides a workspace's limit as this entry VM sees the deployment.
+// division divides a workspace's limit into shares and pool by the number of entry VMs in the state.
 func (g *Gate) division(w *paroute.Workspace, s *state) paquota.Division {
 	d := paquota.Divide(paquota.Limit{Rate: w.Rate, Burst: w.Burst}, g.config.Settings.Quota, s.fleetPeak)
 	if !s.registered {
-		// The others do not count this one.
+		// The others do not count this entry VM yet.
 		d.Share = paquota.Bucket{}
 	}
 	return d
 }
 
-// admit takes a token for the request, waiting for the limiter if need be, or returns when one may be there.
+// admit takes a token for the request, waiting for the limiter if need be. Otherwise it returns the Retry-After.
 func (l *rateShares) admit(x *exchange, s *state) (comeBack time.Duration, ok bool) {
 	w := x.workspace
 	if w == nil || !w.Limited() {
@@ -113,7 +118,7 @@
 	return l.awaitGrant(x, h, granted)
 }
 
-// awaitGrant waits for the limiter's answer.
+// awaitGrant waits for the limiter's reply to a request in the queue.
 func (l *rateShares) awaitGrant(x *exchange, h *rateShare, granted chan bool) (comeBack time.Duration, ok bool) {
 	patience := min(l.maxWait(limiterWait), x.deadline.Sub(l.gate.config.Clock.Now()))
 	timer := l.gate.config.Clock.NewTimer(max(0, patience))
@@ -140,10 +145,10 @@
 	return h.ComeBack(l.gate.uptime()), false
 }
 
-// maxWait returns how long a request waits for a token, where it is usually a time.
+// maxWait returns how long a request waits for a token: the given time, or longer in the start period.
 //
-// Load: all entry VMs lose power and come back under full load, with every bucket empty. Harm prevented: callers are
-// refused in the first second, though a token would come within the next, and find the same when they are back.
+// After a power failure of all entry VMs under full load every bucket is empty. With the usual wait clients would be
+// refused in the first second, although a token would come within the next, and be refused again when they return.
 func (l *rateShares) maxWait(usually time.Duration) time.Duration {
 	if l.gate.uptime()-l.gate.startUptime < startPeriod {
 		return startConfigWait
@@ -151,7 +156,7 @@
 	return usually
 }
 
-// cancelWait ends the wait of a request, and says whether it was granted in the same moment.
+// cancelWait removes a request from the queue, and reports whether it had been granted a token by then.
 func (l *rateShares) cancelWait(h *rateShare, granted chan bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -163,7 +168,7 @@
 	return <-granted
 }
 
-// returnToken returns the token of a request that did not run.
+// returnToken returns the token of a request that was not executed.
 func (l *rateShares) returnToken(x *exchange) {
 	if !x.hasToken {
 		return
@@ -176,7 +181,7 @@
 	}
 }
 
-// shareOf returns the share of a workspace as the state divides it.
+// shareOf returns the share of a workspace, sized by the state. The mutex must be held.
 func (l *rateShares) shareOf(w *paroute.Workspace, s *state) *rateShare {
 	division := l.gate.division(w, s)
 	h := l.shares[w.Name]
@@ -192,10 +197,10 @@
 	return h
 }
 
-// reachable says whether the limiter is worth waiting for.
+// reachable reports whether requests should be queued for the limiter.
 func (l *rateShares) reachable(now time.Duration) bool { return now-l.failedAt > callFailureBackoff }
 
-// wake makes the next call to the limiter come as soon as it may.
+// wake requests a call to the limiter without waiting for spareCallInterval.
 func (l *rateShares) wake() {
 	select {
 	case l.wakeUp <- struct{}{}:
@@ -203,7 +208,7 @@
 	}
 }
 
-// run asks the limiter for what the shares want.
+// run calls the limiter whenever a share needs tokens.
 func (l *rateShares) run(ctx context.Context) {
 	g := l.gate
 	for ctx.Err() == nil {
@@ -232,7 +237,7 @@
 	}
 }
 
-// prune drops the shares of workspaces that are gone or have no limit any more.
+// prune drops the shares of workspaces that are gone or no longer limited.
 func (l *rateShares) prune(s *state) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -243,7 +248,7 @@
 	}
 }
 
-// wanted returns what to ask for.
+// wanted returns the tokens to request from the limiter.
 func (l *rateShares) wanted(s *state) []*pawire.Wanted {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -260,7 +265,8 @@
 	return all
 }
 
-// distribute hands out what the limiter gave; where it gave no answer, requests wait on until their patience ends.
+// distribute hands the granted tokens to shares and waiting requests. After a failed call the requests wait until
+// their time is up.
 func (l *rateShares) distribute(wanted []*pawire.Wanted, granted []*pawire.Granted, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -18,58 +18,62 @@
 )
 
 const (
-	// claimTTL is how long a claim on the pools outlives its last renewal, limiterRenew the time between two of these.
-	claimTTL  = 3 * time.Second
+	// claimTTL is how long the claim to be the limiter outlives its last renewal, claimRenewInterval the time
+	// between renewals.
+	claimTTL           = 3 * time.Second
 	claimRenewInterval = 900 * time.Millisecond
-	// claimRenewTimeout bounds a renewal. Harm of more: two that a silent store does not answer take most of the claim.
+	// claimRenewTimeout bounds a renewal. With a longer one two renewals that a silent store does not answer
+	// would use up most of claimTTL.
 	claimRenewTimeout = claimRenewInterval / 2
-	// claimRenewRetry is the time from one that failed to the next: a store that is busy answers at once.
+	// claimRenewRetry is the time from a failed renewal to the next, for a busy store refuses at once.
 	claimRenewRetry = claimRenewInterval / 3
-	// claimMargin is how long before its claim may end the limiter stops.
+	// claimMargin is how long before its claim may expire the limiter stops.
 	claimMargin = 200 * time.Millisecond
-	// handOverBefore is how long before its claim may end a limiter whose renewals fail hands its place over, if others reach
-	// the store: two calls. Harm of more: a store that loses some answers moves the pools again and again.
+	// handOverBefore is how long before its claim may expire a limiter whose renewals fail hands over, if other
+	// entry VMs reach the store. It covers two calls. A longer one would move the pools again and again when the
+	// store loses some responses.
 	handOverBefore = claimRenewInterval
-	// claimStagger is how much later each further entry VM claims pools that nobody keeps.
+	// claimStagger is the delay by rank after which each further entry VM claims the role if there is no limiter.
 	claimStagger = 250 * time.Millisecond
-	// claimStartDelay is how long after its start an entry VM claims none: many that start together know few others yet,
-	// and each would take itself for the first.
+	// claimStartDelay is how long after its start an entry VM does not claim the role: of many that start
+	// together, each knows few others yet and would find itself first in rank.
 	claimStartDelay = time.Second
-	// claimPollInterval is the time between two looks whether somebody keeps them.
+	// claimPollInterval is the interval of checks whether there is a limiter.
 	claimPollInterval = 50 * time.Millisecond
-	// hintTTL is how long the word of another entry VM that it follows the limiter counts.
+	// hintTTL is how long another entry VM's word on who is the limiter counts.
 	hintTTL = 3 * time.Second
 )
 
-// limiter keeps the pools of rate limits while this entry VM is the limiter, and asks the one that is.
+// limiter keeps the shared token pools of the rate limits while this entry VM holds the limiter role, and calls the
+// current limiter otherwise.
 //
-// One key of the store says who it is. It is written under a lease, and whoever wrote it stops before that lease can
-// end: at no time two of them give out tokens. A former lifetime of the own process is dead, so that its claim is taken
-// over at once.
+// A key in the store names the limiter. It is written under a lease, and its holder stops granting tokens before the
+// lease can expire, so that there are never two limiters. A claim of an earlier run of this process is taken over at
+// once, as that run has ended.
 type limiter struct {
 	gate *Gate
-	// nameHash is the hash of the own nameHash, which tells this entry VM from others at the limiter.
+	// nameHash is the hash of the own name, which identifies this entry VM to the limiter.
 	nameHash uint32
-	// takeOver hears that the limiter left and this entry VM is to follow.
+	// takeOver signals that the limiter has resigned in favour of this entry VM.
 	takeOver chan struct{}
 
 	mutex sync.Mutex
 	pools map[string]*paquota.Pool
-	// claimEnd is the uptime at which the claim ends, fillFrom the one at which the pools begin to fill.
+	// claimEnd is the uptime at which the claim ends, fillFrom the uptime from which the pools fill.
 	claimEnd, fillFrom time.Duration
-	// inherited is what the former limiter's pools held, as of leftAt, for a claim that follows soon.
+	// inherited is what the former limiter's pools held at inheritedAt, for a claim that follows soon.
 	inherited   map[string]int
 	inheritedAt time.Duration
-	// isolatedAt is the uptime at which the pools were given up because most others could not be reached.
+	// isolatedAt is the uptime of the last resignation because most other entry VMs were unreachable.
 	isolatedAt time.Duration
-	// hint is who is said to follow the limiter, until hintEnd; guess counts whom else it was looked for at.
-	hint    string
+	// hint is the presumed limiter, until hintUntil; probes counts the entry VMs asked while none is known.
+	hint      string
 	hintUntil time.Duration
-	probes   int
+	probes    int
 
-	// connMutex guards the connection to the limiter.
-	connMutex  sync.Mutex
-	conn   *drpcconn.Conn
+	// connMutex guards the connection to the limiter and its calls.
+	connMutex sync.Mutex
+	conn      *drpcconn.Conn
 	connEntry pafleet.Entry
 }
 
@@ -77,7 +81,7 @@
 	return &limiter{gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1), pools: map[string]*paquota.Pool{}, claimEnd: longBeforeStart, isolatedAt: longBeforeStart}
 }
 
-// run claims the pools when nobody keeps them, and keeps the claim.
+// run claims the limiter role when nobody holds it, and then holds it.
 func (l *limiter) run(ctx context.Context) {
 	g := l.gate
 	var missing time.Duration
@@ -115,17 +119,18 @@
 	}
 }
 
-// mayClaim says whether this entry VM may be the limiter, if there is anything to limit.
+// mayClaim reports whether this entry VM may become the limiter: there are limits, it is registered and not shutting
+// down.
 func (l *limiter) mayClaim(s *state) bool {
 	return s.table != nil && s.table.Limited() && s.registered && !l.gate.shuttingDown.Load()
 }
 
-// byBandwidth orders entry VMs as limiters: those with a wider link come first, as all others call the limiter.
+// byBandwidth ranks entry VMs as limiters: those with more bandwidth come first, as all others call the limiter.
 func byBandwidth(a, b pafleet.Entry) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)))
 }
 
-// claimDelay returns how long this entry VM leaves pools that nobody keeps to others.
+// claimDelay returns how long this entry VM leaves a vacant role to those before it.
 func (l *limiter) claimDelay(s *state) time.Duration {
 	turn := time.Duration(l.rank(s)) * claimStagger
 	if l.recentlyIsolated() {
@@ -141,7 +146,7 @@
 	return slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 }
 
-// claim writes this entry VM into the store as the limiter.
+// claim writes this entry VM into the store as the limiter, if the key is still at revision was.
 func (l *limiter) claim(ctx context.Context, was pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
 	begun := g.uptime()
@@ -166,7 +171,7 @@
 		l.inherited = nil
 	}
 	if was > 0 && g.uptime()-g.startUptime < claimTTL {
-		// Nobody kept them since the process started.
+		// The key still names this process's former run, so that nobody has granted tokens since the start.
 		l.fillFrom = g.startUptime
 	}
 	l.extendClaim(begun)
@@ -176,17 +181,17 @@
 	return lease, true
 }
 
-// extendClaim moves the end of the claim after the lease was renewed by a call that began at a time.
+// extendClaim sets the end of the claim after a renewal that was sent at an uptime. The mutex must be held.
 func (l *limiter) extendClaim(begun time.Duration) {
 	l.claimEnd = begun + max(claimTTL, l.gate.config.Settings.MinLeaseTTL) - claimMargin
 }
 
-// holdClaim renews the claim until it ends, and gives it up when the process leaves, reaches too few others, or is refused by
-// a store that serves others.
+// holdClaim renews the claim until it expires. It resigns when the process shuts down, when too few other entry VMs
+// are reachable, and when the store refuses this entry VM while it serves others.
 func (l *limiter) holdClaim(ctx context.Context, lease paplatform.LeaseID) {
 	g := l.gate
 	touched, next := g.uptime(), g.uptime()+claimRenewInterval
-	// failedAt is when the first of the renewals failed that did since one succeeded.
+	// failedAt is the time of the first failed renewal since the last that succeeded.
 	fails, failedAt := 0, time.Duration(0)
 	for g.sleep(ctx, claimPollInterval) && !g.shuttingDown.Load() {
 		s, now := g.state.Load(), g.uptime()
@@ -197,7 +202,7 @@
 		case now-touched > isolationTimeout:
 			l.abandonClaim(ctx, lease)
 			return
-		case fails > 0 && s.knownAt > failedAt && l.remaining(now) < handOverBefore:
+		case fails > 0 && s.verifiedAt > failedAt && l.remaining(now) < handOverBefore:
 			l.offerTakeOver(ctx, lease, l.endClaim("the store serves others"))
 			return
 		case now < next:
@@ -221,14 +226,14 @@
 	}
 }
 
-// remaining returns how long the claim lasts.
+// remaining returns how long the claim still lasts.
 func (l *limiter) remaining(now time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.claimEnd - now
 }
 
-// renew renews the claim by a call that begins now.
+// renew renews the claim. now is the uptime at which the call is sent.
 func (l *limiter) renew(ctx context.Context, lease paplatform.LeaseID, now time.Duration) error {
 	ctx, cancel := l.gate.withTimeout(ctx, claimRenewTimeout)
 	defer cancel()
@@ -241,7 +246,7 @@
 	return err
 }
 
-// endClaim stops giving out tokens and returns what the pools hold.
+// endClaim stops granting tokens and returns what the pools hold.
 func (l *limiter) endClaim(reason string) (left []*pawire.Left) {
 	l.mutex.Lock()
 	l.claimEnd = longBeforeStart
@@ -255,7 +260,7 @@
 	return left
 }
 
-// setHint takes an entry VM for the limiter before the store's word of it comes.
+// setHint sets the presumed limiter before the store's notice of it arrives; "" is for unknown.
 func (l *limiter) setHint(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/pagate/succession.go
+++ b/pagate/succession.go
@@ -15,17 +15,16 @@
 )
 
 const (
-	// maxSuccessors is how many are told to follow a limiter, one after the other.
+	// maxSuccessors is how many entry VMs are offered the role, one after the other.
 	maxSuccessors = 3
-	// inheritedTTL is how long what a limiter left may be claimed. A claim of somebody else in between has given it out; it
-	// cannot begin and lapse in that time.
+	// inheritedTTL is how long the tokens that a limiter handed over may be claimed. Another limiter in between
+	// could have granted them again, but its claim cannot begin and expire in that time.
 	inheritedTTL = time.Second
 )
 
-// handOver gives up the claim and tells the entry VM that comes first to claim it.
-//
-// Load: entry VMs are stopped and started in turn. Harm prevented: until the others read in the store that nobody is
-// the limiter, and one claims it, requests beyond the shares are refused.
+// handOver revokes the claim and offers the role to the next in rank. Otherwise, in a rolling restart of entry VMs,
+// requests beyond the shares would be refused until others read in the store that there is no limiter, and one claims
+// the role.
 func (l *limiter) handOver(ctx context.Context, lease paplatform.LeaseID) {
 	left := l.endClaim("shutdown")
 	if l.revokeClaim(ctx, lease) {
@@ -33,11 +32,11 @@
 	}
 }
 
-// offerTakeOver tells those that come first, one after the other, to follow, until one does, and what the pools hold. One that
-// is given a lease ends it in the store; of several that heard, one can claim.
+// offerTakeOver offers the role and the pools' tokens to the next in rank, one after the other, until one accepts. If
+// a lease is given, the successor revokes it in the store; if several got the offer, only one can claim the role.
 //
-// Load: the store refuses the limiter and serves others. Harm prevented: nobody may claim the pools until its claim has
-// lapsed, seconds after it stopped.
+// A limiter that the store refuses, while it serves others, cannot revoke its own claim. Without the offer nobody
+// could claim the role until the claim expires, seconds after the limiter stopped.
 func (l *limiter) offerTakeOver(ctx context.Context, lease paplatform.LeaseID, left []*pawire.Left) {
 	g := l.gate
 	l.connMutex.Lock()
@@ -57,7 +56,7 @@
 	}
 }
 
-// revokeClaim ends a claim in the store, and says whether it has ended.
+// revokeClaim revokes a claim's lease in the store, and reports whether that succeeded.
 func (l *limiter) revokeClaim(ctx context.Context, lease paplatform.LeaseID) bool {
 	err := l.gate.storeCall(ctx, "End", func(ctx context.Context) error { return l.gate.config.Registry.RevokeLease(ctx, lease) })
 	if err != nil {
@@ -66,16 +65,16 @@
 	return err == nil
 }
 
-// abandonClaim leaves the pools to an entry VM that reaches more others.
+// abandonClaim resigns in favour of an entry VM that reaches more others.
 func (l *limiter) abandonClaim(ctx context.Context, lease paplatform.LeaseID) {
-	l.endClaim("out of touch")
+	l.endClaim("reached fewer than half of the other entry VMs")
 	l.mutex.Lock()
 	l.isolatedAt = l.gate.uptime()
 	l.mutex.Unlock()
 	l.revokeClaim(ctx, lease)
 }
 
-// successors returns the first of the other entry VMs.
+// successors returns the entry VMs that rank first among the others.
 func (l *limiter) successors() []pafleet.Entry {
 	g := l.gate
 	all := slices.DeleteFunc(g.liveEntries(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
@@ -83,14 +82,15 @@
 	return all[:min(len(all), maxSuccessors)]
 }
 
-// TakeOver answers the limiter that leaves.
+// TakeOver handles the offer of a limiter that resigns. It returns an error if this entry VM cannot become the
+// limiter.
 func (l *limiter) TakeOver(ctx context.Context, q *pawire.TakeOverRequest) (*pawire.TakeOverReply, error) {
 	s := l.gate.state.Load()
 	if !l.mayClaim(s) {
-		return nil, trace.AccessDenied("%s may not be the limiter", l.gate.self.Name)
+		return nil, trace.AccessDenied("%s is not eligible as the limiter", l.gate.self.Name)
 	}
 	if lease := paplatform.LeaseID(q.GetLease()); lease != "" && !l.revokeClaim(ctx, lease) {
-		return nil, trace.ConnectionProblem(nil, "the store does not serve %s", l.gate.self.Name)
+		return nil, trace.ConnectionProblem(nil, "%s cannot revoke the former limiter's lease in the store", l.gate.self.Name)
 	}
 	l.mutex.Lock()
 	l.inherited, l.inheritedAt = map[string]int{}, l.gate.uptime()
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -13,12 +13,12 @@
 	"papayahead/pawire"
 )
 
-// Take answers an entry VM that asks for tokens.
+// Take handles an entry VM's request for tokens.
 func (l *limiter) Take(_ context.Context, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
 	return l.grant(q.GetWanted(), q.GetFrom()), nil
 }
 
-// grant gives out tokens of the pools; the reply is empty where this entry VM does not keep them.
+// grant grants tokens of the pools; the reply has none if this entry VM is not the limiter.
 func (l *limiter) grant(all []*pawire.Wanted, from uint32) *pawire.TakeReply {
 	s := l.gate.state.Load()
 	l.mutex.Lock()
@@ -39,7 +39,8 @@
 	return r
 }
 
-// pool returns the pool of a workspace as the state divides its limit; nil for one that has none here.
+// pool returns the pool of a workspace, sized by the state; nil if the workspace is unknown or has no limit. The
+// mutex must be held.
 func (l *limiter) pool(s *state, name string, now time.Duration) *paquota.Pool {
 	w := s.table.Workspace(name)
 	if w == nil || !w.Limited() {
@@ -58,8 +59,8 @@
 	return p
 }
 
-// currentLimiter returns whom this entry VM takes for the limiter; mutex is held. Once hintEnd is past the store's word goes
-// first, unless it names nobody, or this entry VM itself, which knows better.
+// currentLimiter returns the presumed limiter. After hintUntil the store's word has priority over the hint, unless it
+// names nobody, or this entry VM, which knows that it is not. The mutex must be held.
 func (l *limiter) currentLimiter(s *state, now time.Duration) string {
 	if l.hint != "" && (now < l.hintUntil || s.limiter == "" || s.limiter == l.gate.self.Name) {
 		return l.hint
@@ -67,7 +68,7 @@
 	return s.limiter
 }
 
-// takeTokens takes tokens from the pools, wherever they are kept.
+// takeTokens requests tokens from the limiter, which may be this entry VM.
 func (l *limiter) takeTokens(ctx context.Context, s *state, wanted []*pawire.Wanted) ([]*pawire.Granted, error) {
 	g := l.gate
 	l.mutex.Lock()
@@ -86,7 +87,7 @@
 	defer l.connMutex.Unlock()
 	e, ok := l.findEntry(s, name)
 	if !ok || name == g.self.Name {
-		return nil, trace.NotFound("no limiter")
+		return nil, trace.NotFound("no limiter known")
 	}
 	r, err := l.callTake(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.nameHash})
 	if err != nil {
@@ -105,8 +106,8 @@
 	return r.GetGranted(), nil
 }
 
-// findEntry returns the entry VM of a name; calls is held. The one that was asked last counts also when its registration has
-// lapsed: the store may have lost its renewals.
+// findEntry returns the entry VM with a name. The one that is connected is found also if its registration expired, as
+// the store may have lost its renewals. connMutex must be held.
 func (l *limiter) findEntry(s *state, name string) (pafleet.Entry, bool) {
 	if i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == name }); i >= 0 {
 		return s.entries[i], true
@@ -114,7 +115,7 @@
 	return l.connEntry, l.conn != nil && l.connEntry.Name == name
 }
 
-// callTake asks an entry VM for tokens; calls is held.
+// callTake requests tokens from an entry VM. connMutex must be held.
 func (l *limiter) callTake(ctx context.Context, e pafleet.Entry, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
 	c, err := l.connect(ctx, e)
 	if err != nil {
@@ -124,10 +125,12 @@
 	return r, trace.Wrap(err)
 }
 
-// nextCandidate returns, in turn, who is the limiter if anybody is: it answers, or says whom it follows.
+// nextCandidate returns, in turn, one of the entry VMs that rank first: it is the limiter, or says which one it
+// presumes.
 //
-// Load: the limiter's end is known and who followed it is not yet, as the store serves few readers. Harm prevented: all
-// requests beyond the own few tokens are refused until the next word of the store, though there is a limiter.
+// After a change of the limiter its end may be known before its successor, as the store serves only few readers. If
+// nobody was asked, all requests beyond the own few tokens would be refused until the next change read from the
+// store.
 func (l *limiter) nextCandidate() string {
 	all := l.successors()
 	if len(all) == 0 {
@@ -139,7 +142,7 @@
 	return all[l.probes%len(all)].Name
 }
 
-// connect returns a connection to an entry VM; calls is held.
+// connect returns a connection to an entry VM. connMutex must be held.
 func (l *limiter) connect(ctx context.Context, e pafleet.Entry) (*drpcconn.Conn, error) {
 	if l.conn != nil && l.connEntry.Peers == e.Peers {
 		return l.conn, nil
@@ -153,7 +156,7 @@
 	return l.conn, nil
 }
 
-// disconnect closes the connection to the limiter; calls is held.
+// disconnect closes the connection to the limiter. connMutex must be held.
 func (l *limiter) disconnect() {
 	if l.conn == nil {
 		return
--- a/pagate/touch.go
+++ b/pagate/touch.go
@@ -9,23 +9,26 @@
 )
 
 const (
-	// contactWindow is how long ago an entry VM that can be reached was heard at the most: it is called at each syncPace.
+	// contactWindow is how recent the last contact with a reachable entry VM is at least: each is called at every
+	// syncInterval.
 	contactWindow = 2*syncInterval + 100*time.Millisecond
-	// isolationTimeout is how long the limiter keeps the pools while it reaches too few others: it calls one of each zone only
-	// from its claim on, and hears nobody right after it stood still.
+	// isolationTimeout is how long the limiter keeps the role while it reaches too few others. It calls one entry
+	// VM of each zone only once it is the limiter, and has no recent contacts right after its process stalled.
 	isolationTimeout = syncInterval + syncTimeout
-	// isolatedClaimDelay is how much later than others an entry VM claims pools that it gave up because it reached too few, for
-	// aloneTime. After that nobody else wants them, and it keeps them.
+	// isolatedClaimDelay is the additional delay of a claim, for isolatedClaimTime, after an entry VM resigned
+	// because it reached too few others. If nobody else claims the role meanwhile, it takes and keeps it.
 	isolatedClaimDelay = time.Second
-	isolatedClaimTime = 10 * time.Second
-	// minPeersForIsolation is how many other entry VMs tell that this one is cut off; fewer may as well have died.
+	isolatedClaimTime  = 10 * time.Second
+	// minPeersForIsolation is how many other entry VMs must be registered to conclude from their silence that
+	// this one is isolated; fewer could as well have failed.
 	minPeersForIsolation = 3
 )
 
-// reachesHalf says whether at least half of the other entry VMs can be reached: all of each zone of which one was heard.
+// reachesHalf reports whether at least half of the other entry VMs are reachable. All of a zone count as reachable if
+// one of them is.
 //
-// Load: the limiter is cut off from the others and still reaches the store. Harm prevented: it renews its claim for as
-// long as the cut lasts, and all requests beyond the others' own few tokens are refused.
+// A limiter that is partitioned from the others but still reaches the store would renew its claim for as long as the
+// partition lasts, while requests beyond the others' own few tokens are refused.
 func (l *limiter) reachesHalf(s *state) bool {
 	g := l.gate
 	others, heard := map[string]int{}, map[string]bool{}
@@ -47,21 +50,21 @@
 	return total < minPeersForIsolation || 2*reached >= total
 }
 
-// recentlyIsolated says whether the pools were given up lately for want of others.
+// recentlyIsolated reports whether this entry VM resigned lately because it reached too few others.
 func (l *limiter) recentlyIsolated() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.gate.uptime()-l.isolatedAt < isolatedClaimTime
 }
 
-// isLimiter says whether this entry VM is the limiter.
+// isLimiter reports whether this entry VM is the limiter.
 func (l *limiter) isLimiter() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.gate.uptime() < l.claimEnd
 }
 
-// zoneSamples returns one entry VM of each other zone, one that answers where there is one.
+// zoneSamples returns one entry VM of each other zone, a usable one if there is any.
 func (l *limiter) zoneSamples(s *state) []pafleet.Entry {
 	first := map[string]pafleet.Entry{}
 	for _, e := range s.entries {
@@ -78,7 +81,7 @@
 	return all
 }
 
-// calledBefore says whether an entry VM is rather called than another.
+// calledBefore reports whether a is preferred to b as a zone's sample.
 func (g *Gate) calledBefore(a, b pafleet.Entry) bool {
 	if x, y := g.peers.usable(a.Name), g.peers.usable(b.Name); x != y {
 		return x
@@ -86,7 +89,7 @@
 	return xxhash.Sum64String(a.Name) < xxhash.Sum64String(b.Name)
 }
 
-// recentlyHeard says whether a neighbour was heard within heardTime.
+// recentlyHeard reports whether the last contact with an entry VM was within contactWindow.
 func (p *peers) recentlyHeard(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
