--- a/pagate/pack.go
+++ b/pagate/pack.go
@@ -11,12 +11,12 @@
 	"papayahead/pafleet"
 )
 
-// maxDeltaBytes bounds an unpacked delta: the store's values are at most a megabyte, and a whole view holds one
-// large one and a few hundred bytes for each target.
+// maxDeltaBytes bounds a decompressed delta. Values in the store are at most 1 MB; a whole view holds one large value
+// and a few hundred bytes for each target.
 const maxDeltaBytes = 16 << 20
 
-// encodeDelta writes a delta for a neighbour. A configuration of hundreds of routes shrinks to a tenth, and links of
-// entry VMs are as narrow as 10 Mbit/s.
+// encodeDelta encodes a delta as gzipped JSON. A configuration with hundreds of routes shrinks to a tenth, which
+// matters as links of entry VMs may have only 10 Mbit/s.
 func encodeDelta(d *pafleet.Delta) ([]byte, error) {
 	var out bytes.Buffer
 	z, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -32,7 +32,7 @@
 	return out.Bytes(), nil
 }
 
-// decodeDelta reads what pack wrote.
+// decodeDelta decodes the output of encodeDelta.
 func decodeDelta(b []byte, into *pafleet.Delta) error {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
--- a/pagate/peers.go
+++ b/pagate/peers.go
@@ -14,43 +14,45 @@
 )
 
 const (
-	// syncInterval is the time between two calls to a neighbour: a dead one is avoided after two.
+	// syncInterval is the time between two calls to a neighbour. A dead one is avoided after maxSyncFailures
+	// calls.
 	syncInterval = 500 * time.Millisecond
-	// syncTimeout bounds a call; the longest way between regions takes 70 ms there and back.
+	// syncTimeout bounds a call; the longest round trip between regions takes 70 ms.
 	syncTimeout = 400 * time.Millisecond
 	// maxSyncFailures is how many calls in a row must fail before a neighbour counts as dead.
 	maxSyncFailures = 2
-	// unlistedPeerTTL is how long a neighbour that the store does not name is remembered.
+	// unlistedPeerTTL is how long a neighbour that is not registered in the store is remembered after its last
+	// contact.
 	unlistedPeerTTL = 5 * time.Second
 )
 
-// peers exchanges what is known with neighbours.
+// peers exchanges state with neighbouring entry VMs, which also serves as their health check.
 type peers struct {
 	gate  *Gate
 	mutex sync.Mutex
 	known map[string]*peer
 	conns map[netip.AddrPort]*peerConn
-	// noteBudget is what may be told of warm objects now.
+	// noteBudget bounds the warm notes sent to neighbours.
 	noteBudget tokenBucket
-	// fullSyncRunning says that a neighbour is being asked for everything, for want of history.
+	// fullSyncRunning says that a neighbour is being asked for its whole state, for want of history.
 	fullSyncRunning atomic.Bool
 }
 
-// peer is what calls to a neighbour showed.
+// peer is what the calls to and from a neighbour showed.
 type peer struct {
-	entry    pafleet.Entry
-	failures int
-	leaving  bool
-	contactAt  time.Time
+	entry     pafleet.Entry
+	failures  int
+	leaving   bool
+	contactAt time.Time
 }
 
 // peerConn is the connection to a neighbour; one call runs on it at a time.
 type peerConn struct {
 	busy sync.Mutex
 	conn *drpcconn.Conn
-	// entry is what the neighbour said of itself on this connection; warm is its last note that came.
-	entry pafleet.Entry
-	lastNote  uint64
+	// entry is the registration that the neighbour sent on this connection; lastNote is the last of its warm notes received.
+	entry    pafleet.Entry
+	lastNote uint64
 }
 
 // close closes the connection after a failed call; the next call opens another.
@@ -65,7 +67,7 @@
 	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, noteBudget: tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}}
 }
 
-// run calls the neighbours in turn.
+// run calls all callees at each syncInterval.
 func (p *peers) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, e := range p.callees() {
@@ -75,8 +77,8 @@
 	}
 }
 
-// callees returns whom to call: neighbours of the own region, one of those that read the store for all, as the limiter
-// one of each zone, and the seeds as long as nothing is known.
+// callees returns the entry VMs to call: neighbours in the own region, the sync source, sources of warm notes in
+// other regions, as the limiter one in each zone, and the seeds while the state is missing or too old.
 func (p *peers) callees() []pafleet.Entry {
 	g := p.gate
 	s := g.state.Load()
@@ -110,7 +112,7 @@
 	return out
 }
 
-// usable says whether a neighbour may be named to callers.
+// usable reports whether an entry VM may be named to clients: it does not shut down, and calls to it do not fail.
 func (p *peers) usable(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -118,8 +120,8 @@
 	return k == nil || k.failures < maxSyncFailures && !k.leaving
 }
 
-// unlisted returns neighbours that answer though the store does not name them: their registration
-// lapsed in an outage of the store, or is on its way.
+// unlisted returns neighbours that respond but are not registered in the store: their registration expired in an
+// outage of the store, or is not written yet.
 func (p *peers) unlisted(listed []pafleet.Entry) []pafleet.Entry {
 	names := map[string]bool{}
 	for _, e := range listed {
@@ -137,14 +139,14 @@
 	return all
 }
 
-// recordContact notes that a neighbour lives.
+// recordContact records that a neighbour is alive, with its registration.
 func (p *peers) recordContact(e pafleet.Entry, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.known[e.Name] = &peer{entry: e, leaving: leaving, contactAt: p.gate.config.Clock.Now()}
 }
 
-// recordFailure notes that a neighbour did not answer.
+// recordFailure records that a call to a neighbour failed.
 func (p *peers) recordFailure(e pafleet.Entry) {
 	if e.Name == "" {
 		return
@@ -174,7 +176,7 @@
 	return c
 }
 
-// refreshContact notes that a neighbour lives that told its registration before.
+// refreshContact records that a neighbour is alive that sent its registration before.
 func (p *peers) refreshContact(name string, leaving bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/pagate/pool.go
+++ b/pagate/pool.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// dialTimeout bounds opening a connection: 70 ms there and back between regions, a lost packet, and
+	// dialTimeout bounds the opening of a connection: a round trip of 70 ms between regions, a lost packet, and
 	// the target's own millisecond.
 	dialTimeout = 600 * time.Millisecond
-	// maxConnIdle is how long an idle connection is kept where the target names no timeout.
+	// maxConnIdle is how long an idle connection is kept if the target announces no timeout.
 	maxConnIdle = 8 * time.Second
-	// idleMargin is how much sooner than the target an idle connection is closed, so that no request
-	// meets its close on the way.
+	// idleMargin is how much sooner than the target an idle connection is closed, so that no request crosses the
+	// target's close.
 	idleMargin = 1500 * time.Millisecond
-	// maxNonIdempotentIdle is how long after its last answer a connection may carry a request that must not
-	// run twice. A connection that the target or something on the way forgot swallows the request
-	// without an error, and nobody knows whether it ran; a new one costs about a millisecond.
+	// maxNonIdempotentIdle is how long after its last response a connection may carry a request that must not be
+	// executed twice. A connection that the target or a middlebox has forgotten swallows the request without an
+	// error, and it stays unknown whether it was executed; a new connection costs about a millisecond.
 	maxNonIdempotentIdle = time.Second
-	// connBufferSize is the size of a connection's buffer; answers are a few kilobytes.
+	// connBufferSize is the size of a connection's buffer; responses are a few kilobytes.
 	connBufferSize = 4 << 10
 )
 
-// targetConn is a connection to one lifetime of a target.
+// targetConn is a connection to one run of a target.
 type targetConn struct {
 	net.Conn
-	reader  *bufio.Reader
-	address netip.AddrPort
-	target  string
-	born    int64
-	lastUsed  time.Time
+	reader   *bufio.Reader
+	address  netip.AddrPort
+	target   string
+	born     int64
+	lastUsed time.Time
 	// idleLimit is how long the connection may be idle.
-	idleLimit   time.Duration
-	reused bool
+	idleLimit time.Duration
+	reused    bool
 }
 
 // connPool keeps idle connections to targets.
@@ -54,7 +54,7 @@
 	idle  map[netip.AddrPort][]*targetConn
 }
 
-// get returns an idle connection that was used at most maxIdle ago, or a new one.
+// get returns a connection to a run of a target: one that was idle for less than maxIdle, or a new one.
 func (p *connPool) get(ctx context.Context, address netip.AddrPort, target string, born int64, maxIdle time.Duration) (*targetConn, error) {
 	for {
 		c := p.popIdle(address)
@@ -79,7 +79,7 @@
 	}, nil
 }
 
-// popIdle takes the connection that was used last.
+// popIdle takes the most recently used idle connection; nil if there is none.
 func (p *connPool) popIdle(a netip.AddrPort) *targetConn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -92,7 +92,7 @@
 	return c
 }
 
-// put makes a connection idle after a whole answer.
+// put makes a connection idle after a complete response.
 func (p *connPool) put(c *targetConn) {
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		c.Close()
@@ -124,7 +124,7 @@
 	}
 }
 
-// closeRemoved closes idle connections to targets that are gone.
+// closeRemoved closes idle connections to targets that are gone or restarted.
 func (p *connPool) closeRemoved(v *pafleet.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -142,8 +142,6 @@
 	}
 }
 
-// isQuiet says that nothing has arrived on the idle connection, neither bytes nor its end.
-//
-// It guards against bytes after a whole answer, which belong to no request: on a connection that is
-// used again they would pass for the next answer.
+// isQuiet reports whether nothing has arrived on the idle connection, neither bytes nor EOF. Bytes after a complete
+// response belong to no request, and would be taken for the next response.
 func (c *targetConn) isQuiet() bool { return c.reader.Buffered() == 0 && pasocket.Quiet(c.Conn) }
--- a/pagate/ring.go
+++ b/pagate/ring.go
@@ -10,14 +10,13 @@
 	"papayahead/pafleet"
 )
 
-// maxNeighbours is how many entry VMs of its region an entry VM calls.
-//
-// Load: hundreds of entry VMs in a region, each calling all the others twice a second. Harm prevented: the calls
-// grow with the square of the region, and take the links between zones and the processors from callers.
+// maxNeighbours is how many entry VMs of its region an entry VM calls. If each of hundreds in a region called all
+// others twice a second, the calls would grow with the square of their number and take bandwidth between zones and
+// CPU time from requests.
 const maxNeighbours = 8
 
-// neighbours returns those of the own region that an entry VM calls: at growing distances in the order of
-// hashes, so that each is called by as many as it calls, and news reaches all over few calls.
+// neighbours returns the entry VMs of the own region to call. They stand at growing distances on a hash ring, so that
+// each is called by as many as it calls, and changes reach all within few calls.
 func (g *Gate) neighbours(entries []pafleet.Entry) []pafleet.Entry {
 	ring := hashRing(g.self, entries)
 	var all []pafleet.Entry
@@ -27,7 +26,7 @@
 	return all
 }
 
-// hashRing returns the other entry VMs of the region, in the order of hashes from the given one on.
+// hashRing returns the other entry VMs of the region, ordered by name hash from the given one on.
 func hashRing(self pafleet.Entry, entries []pafleet.Entry) []pafleet.Entry {
 	own := xxhash.Sum64String(self.Name)
 	all := slices.DeleteFunc(slices.Clone(entries), func(e pafleet.Entry) bool {
@@ -39,7 +38,7 @@
 	return all
 }
 
-// ringDistances returns the distances from 1 to n, at most neighboursMost, each about the same multiple of the one before.
+// ringDistances returns up to maxNeighbours distances from 1 to n, each about the same multiple of the one before.
 func ringDistances(n int) []int {
 	var all []int
 	for i := range min(n, maxNeighbours) {
@@ -52,8 +51,8 @@
 	return all
 }
 
-// warmNoteSources returns whom an entry VM asks what is warm: every other one of its neighbours, and those that it
-// calls in other regions.
+// warmNoteSources returns the entry VMs to ask for warm notes: every other neighbour, and the sources in other
+// regions.
 func (g *Gate) warmNoteSources(s *state) []pafleet.Entry {
 	all := g.remoteSources(s)
 	for i, e := range g.neighbours(s.entries) {
@@ -64,20 +63,20 @@
 	return all
 }
 
-// wantsNotes says whether the neighbour is asked what is warm.
+// wantsNotes reports whether to ask a neighbour for warm notes.
 func (g *Gate) wantsNotes(e pafleet.Entry) bool {
 	return slices.ContainsFunc(g.warmNoteSources(g.state.Load()), func(o pafleet.Entry) bool { return o.Name == e.Name })
 }
 
-// maxRemoteSources is how many entry VMs of other regions are asked what is warm.
+// maxRemoteSources is how many entry VMs of other regions are asked for warm notes.
 const maxRemoteSources = 4
 
-// remoteSources returns whom the first entry VM of a region calls in the regions that follow in the order of their
-// names, and nobody at the others.
+// remoteSources returns, at the first entry VM of a region in hash order, the first ones of the regions that follow
+// by name, to ask them for warm notes. The other entry VMs of the region have none.
 //
-// Load: the last entry VM of a region is stopped, and its callers are sent to other regions. Harm prevented: the
-// entry VMs there do not know where the callers' objects are warm, and each runs cold once more. One entry VM asks
-// for its region, so that notes cross the links between regions once and not once for each entry VM.
+// If the last entry VM of a region stops, its clients move to other regions. Without the notes the entry VMs there
+// would not know which targets are warm for the clients' objects, and each object would run cold once more. Only one
+// entry VM asks for its region, so that notes cross a link between regions once and not once for each entry VM.
 func (g *Gate) remoteSources(s *state) []pafleet.Entry {
 	first := map[string]pafleet.Entry{}
 	for _, e := range g.liveEntries(s) {
@@ -88,18 +87,18 @@
 	if first[g.self.Region].Name != g.self.Name {
 		return nil
 	}
-	var before, behind []pafleet.Entry
+	var before, after []pafleet.Entry
 	for region, e := range first {
 		switch {
 		case region < g.self.Region:
 			before = append(before, e)
 		case region > g.self.Region:
-			behind = append(behind, e)
+			after = append(after, e)
 		}
 	}
 	byRegion := func(a, b pafleet.Entry) int { return cmp.Compare(a.Region, b.Region) }
 	slices.SortFunc(before, byRegion)
-	slices.SortFunc(behind, byRegion)
-	all := append(behind, before...)
+	slices.SortFunc(after, byRegion)
+	all := append(after, before...)
 	return all[:min(len(all), maxRemoteSources)]
 }
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// maxBuffered is the most bytes of a request or an answer that are held whole. An answer that is
-	// held can be checked to its end before its first byte goes to the caller.
+	// maxBuffered is how many bytes of a request's or response's body are held in memory. A response that is held
+	// can be checked to its end before its first byte is sent to the client.
 	maxBuffered = 256 << 10
-	// maxInlineWrite is the most bytes of a request that are written before the answer is awaited; more
-	// could block on a target that answers before it reads.
+	// maxInlineWrite is the largest request body that is written before the response is read; a longer write
+	// could block on a target that responds before it reads.
 	maxInlineWrite = 2 << 10
-	// maxStrayAnswers is how many answers to other requests are skipped on a connection.
+	// maxStrayAnswers is how many responses to other requests are skipped on a connection.
 	maxStrayAnswers = 3
-	// deadlineSlack is how long after the deadline an answer is still awaited: the target gives its own
-	// answer at the deadline, and what is ready is delivered.
+	// deadlineSlack is how long after the deadline a response is still awaited: the target sends its own response
+	// at the deadline, and a complete one is delivered.
 	deadlineSlack = 120 * time.Millisecond
 )
 
-// reply is an answer of a target.
+// reply is a target's response.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is what follows the body where it is too long to hold; done ends the exchange.
+	// rest is what follows body if the response is too long to hold; done must be called at its end.
 	rest   io.Reader
 	length int64
 	done   func(whole bool)
@@ -51,20 +51,20 @@
 	x      *exchange
 	choice pasteer.Choice
 	conn   *targetConn
-	// mayHaveSent says that a byte of the request may have left.
+	// mayHaveSent says that bytes of the request may have been sent.
 	mayHaveSent bool
-	writeErr  chan error
-	startedAt time.Time
+	writeErr    chan error
+	startedAt   time.Time
 }
 
-// attemptResult is how an attempt ended.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
 	reply   *reply
 	outcome pasteer.Outcome
-	// notExecuted says that the target certainly did not run the request.
+	// notExecuted says that the target certainly did not execute the request.
 	notExecuted bool
-	err    error
-	report pasteer.Report
+	err         error
+	report      pasteer.Report
 }
 
 // send sends the request to the chosen target, once.
@@ -90,7 +90,7 @@
 	return r
 }
 
-// roundTrip writes the request and reads the answer.
+// roundTrip writes the request and reads the response.
 func (a *attempt) roundTrip(ctx context.Context) attemptResult {
 	limit := a.x.deadline.Add(deadlineSlack)
 	if err := a.conn.SetDeadline(limit); err != nil {
@@ -108,7 +108,7 @@
 	} else {
 		go func() { a.writeErr <- a.writeRequest(request) }()
 	}
-	response, err := a.readResponse(request) //nolint:bodyclose // take reads it, and the connection's end ends it
+	response, err := a.readResponse(request) //nolint:bodyclose // readReply reads it, and closing the connection ends it
 	if err != nil {
 		return a.fail(ctx, trace.Wrap(err))
 	}
@@ -123,7 +123,7 @@
 	return trace.Wrap(w.Flush())
 }
 
-// newRequest returns the newRequest as the target gets it.
+// newRequest returns the request to send to the target.
 func (a *attempt) newRequest() *http.Request {
 	names := a.gate.config.Headers
 	h := a.x.header.Clone()
@@ -131,7 +131,7 @@
 	h.Set(names.Deadline, strconv.FormatInt(left, 10))
 	h.Set(names.ExpectedInstance, a.choice.Target)
 	if h.Get("User-Agent") == "" {
-		// An empty value keeps net/http from naming itself in the caller's place.
+		// An empty value keeps net/http from adding its own User-Agent.
 		h["User-Agent"] = []string{""}
 	}
 	r := &http.Request{
@@ -149,11 +149,11 @@
 	return r
 }
 
-// errStray says that a connection holds answers to other requests only.
-var errStray = errors.New("the connection carries answers to other requests")
+// errStray says that a connection carries only responses to other requests.
+var errStray = errors.New("connection carries only responses to other requests")
 
-// readResponse returns the answer to this request. Answers to others, which arrive late or twice, are told
-// by their identity and skipped.
+// readResponse returns the response to this request. Responses to other requests, which arrive late or twice, are
+// detected by their request ID and skipped.
 func (a *attempt) readResponse(r *http.Request) (*http.Response, error) {
 	names := a.gate.config.Headers
 	for range maxStrayAnswers {
@@ -179,7 +179,7 @@
 	return nil, errStray
 }
 
-// readReply reads the answer's body and says what the answer means.
+// readReply reads the body of a response and returns the outcome.
 func (a *attempt) readReply(ctx context.Context, response *http.Response) attemptResult {
 	r := a.classify(response)
 	if r.outcome == pasteer.Shed || r.outcome == pasteer.Moved {
@@ -202,7 +202,7 @@
 	return r
 }
 
-// classify reads the answer's head.
+// classify returns the outcome by the header of a response.
 func (a *attempt) classify(response *http.Response) attemptResult {
 	names := a.gate.config.Headers
 	r := attemptResult{outcome: pasteer.Answered, report: a.report()}
@@ -229,16 +229,16 @@
 	}
 }
 
-// parseLoad reads "running,waiting,slots"; a value that cannot be read tells nothing.
+// parseLoad parses "running,waiting,slots"; told is false if the value is malformed.
 func parseLoad(v string) (told bool, running, waiting int) {
 	n, err := fmt.Sscanf(v, "%d,%d", &running, &waiting)
 	return err == nil && n == 2, running, waiting
 }
 
-// releaseConn gives the connection back if both sides are done with it, or closes it.
+// releaseConn returns the connection to the pool if request and response are complete, or closes it.
 //
-// A target may answer before it has read the whole request; what it reads on later must not be the
-// next request, so that a connection whose request is not written yet is never used again.
+// A target may respond before it has read the whole request. What it reads on later must not be the next request, so
+// that a connection whose request is not written completely is never reused.
 func (a *attempt) releaseConn(response *http.Response, whole bool) {
 	written := false
 	select {
@@ -257,7 +257,7 @@
 	a.gate.conns.put(a.conn)
 }
 
-// parseKeepAlive reads the timeout of a Keep-Alive header.
+// parseKeepAlive returns the timeout of a Keep-Alive header.
 func parseKeepAlive(v string) (time.Duration, bool) {
 	for _, p := range strings.Split(v, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(p), "=")
@@ -270,7 +270,7 @@
 	return 0, false
 }
 
-// fail closes the connection of an attempt without a whole answer.
+// fail closes the connection of an attempt that got no complete response, and returns its outcome.
 func (a *attempt) fail(ctx context.Context, err error) attemptResult {
 	r := attemptResult{outcome: pasteer.Lost, err: err, report: a.report(), notExecuted: !a.mayHaveSent}
 	if a.conn != nil {
--- a/pagate/series.go
+++ b/pagate/series.go
@@ -4,13 +4,13 @@
 	"net/http"
 )
 
-// admitPipelined waits until a request that stands behind others on its connection may be sent to a target, and says
-// whether it may.
+// admitPipelined waits until a request that follows others on its connection may be sent to a target, and reports
+// whether it may; otherwise it has responded.
 //
-// Load: callers that send request after request without awaiting the answers. An idempotent request runs beside
-// those ahead. One that must run once, or has a body, waits for its turn: an answer ahead may close the
-// connection, and its caller then takes it as not read and sends it again. So do all, once answers that wait
-// for their turn fill their bounds.
+// Clients with HTTP pipelining send requests without awaiting the responses. An idempotent request without a body
+// runs concurrently with those ahead. One that must not run twice, or that has a body, waits for its turn: a response
+// ahead may close the connection, and the client then assumes that the request was not read and sends it again. All
+// wait once the responses that wait for their turn reach the lane's bounds.
 func (g *Gate) admitPipelined(w http.ResponseWriter, x *exchange) bool {
 	if !x.lane.Behind() || x.route.Idempotent && x.size == 0 && x.lane.RunsAhead() {
 		return true
@@ -23,7 +23,8 @@
 	return true
 }
 
-// awaitPipeline waits until the answers ahead on the caller's connection are out.
+// awaitPipeline waits until the responses ahead on the client's connection are sent. It panics with
+// http.ErrAbortHandler if the client disconnects.
 func (g *Gate) awaitPipeline(x *exchange) {
 	if !x.lane.Behind() {
 		return
@@ -37,7 +38,8 @@
 	}
 }
 
-// beginResponse waits for the answer's turn, and closes the connection behind the last request of one that ends.
+// beginResponse waits for the response's turn. In the last part of a shutdown it also closes the connection after the
+// last request on it.
 func (g *Gate) beginResponse(w http.ResponseWriter, x *exchange, bytes int) {
 	x.lane.Hold(bytes)
 	g.awaitPipeline(x)
--- a/pagate/serve.go
+++ b/pagate/serve.go
@@ -7,7 +7,7 @@
 	"papayahead/pasteer"
 )
 
-// forward sends the request until there is an answer.
+// forward sends the request to targets until one responds, and writes the response.
 func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	g.steerMutex.Lock()
 	x.service = g.steer.Part(x.route, x.arrived)
@@ -44,7 +44,7 @@
 			return
 		}
 		if room {
-			// Another target would run the object cold; this one takes the next request as likely.
+			// Another target would be cold for the object, and this one is as likely to accept the next attempt.
 			sheds++
 			continue
 		}
@@ -52,21 +52,21 @@
 	}
 }
 
-// maxRefusedDials is how many targets are tried to which no connection opens. Nothing reached them, so that
-// they are no attempts; a zone that just went dark has a handful of targets a service.
+// maxRefusedDials is how many targets may be tried that accept no connection. Nothing reached them, so that they do
+// not count as attempts; in a zone that has just failed a service has a handful of targets.
 const maxRefusedDials = 4
 
-// maxSheds is how many times a request is sent again to a target that has room and turns it away.
+// maxSheds is how many times a request is sent again to a target that shed it although it had free slots.
 const maxSheds = 2
 
-// shedWithRoom says that a target with a free slot turned the request away.
+// shedWithRoom reports whether a target shed the request although it had free slots.
 func (g *Gate) shedWithRoom(r attemptResult) bool {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
 	return g.steer.ShedWithRoom(r.report)
 }
 
-// choose decides where the request goes next.
+// choose picks the target of the next attempt.
 func (g *Gate) choose(x *exchange) pasteer.Choice {
 	now := g.config.Clock.Now()
 	g.steerMutex.Lock()
@@ -81,7 +81,7 @@
 	return c
 }
 
-// reportAttempt tells the steering how an attempt ended.
+// reportAttempt reports the outcome of an attempt to the steering.
 func (g *Gate) reportAttempt(x *exchange, r attemptResult) {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
@@ -89,9 +89,8 @@
 	g.meter.countAttempt(x.route.Name, r.outcome)
 }
 
-// takeRetry says whether the request may be sent once more, and takes it from the budget.
-//
-// Only a request that may run twice, or that did not run, is sent takeRetry. A streamed body cannot be.
+// takeRetry reports whether the request may be sent again, and charges the retry budget. Only a request that is
+// idempotent, or was not executed, is sent again, and only if its body is held in memory.
 func (g *Gate) takeRetry(x *exchange, r attemptResult) bool {
 	if r.reply != nil && r.outcome == pasteer.Answered {
 		return false
@@ -111,6 +110,6 @@
 	return g.steer.TakeRetry(x.service, now)
 }
 
-// retryLatencyDivisor is the part of the target latency that must be left for another attempt: warm work takes
-// about that.
+// retryLatencyDivisor divides a route's target latency to the time that must be left for another attempt; a warm
+// request takes about that long.
 const retryLatencyDivisor = 3
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -9,28 +9,26 @@
 )
 
 const (
-	// lameDuckTime is how long after the start of a shutdown new requests are taken: callers keep the
-	// answer of a look-up for up to three of its lives, and then some on the way.
+	// lameDuckTime is how long after the start of a shutdown new connections are accepted: some clients cache the
+	// response to a look-up for three times its TTL, and need a little longer to connect.
 	lameDuckTime = 3*lookUpTTL + 300*time.Millisecond
-	// closeConnsAfter is when answers begin to close their connections; callers that look up again use
-	// others by then.
+	// closeConnsAfter is when responses begin to close their connections; clients that repeat the look-up use
+	// other entry VMs by then.
 	closeConnsAfter = lookUpTTL + 500*time.Millisecond
-	// killMargin is how long before the kill the process ends by itself.
+	// killMargin is how long before the kill the process exits by itself.
 	killMargin = 250 * time.Millisecond
-	// cancelMargin is how long before that the requests that still run are given up and answered: an
-	// answer takes a caller's way and a few milliseconds.
+	// cancelMargin is how long before killMargin requests in progress are canceled and responded to; sending the
+	// response takes the network delay to the client and a few milliseconds.
 	cancelMargin = 200 * time.Millisecond
 )
 
-// closesConns says that answers close their connections.
+// closesConns reports whether responses close their connections.
 func (g *Gate) closesConns() bool {
 	return g.shuttingDown.Load() && g.config.Clock.Now().UnixNano()-g.shutdownAt.Load() > int64(closeConnsAfter)
 }
 
-// canFinish says whether a request that arrives now can end before the process does.
-//
-// Load: callers that still use the entry VM during its shutdown. Harm prevented: a long request that
-// starts late is cut off by the kill; refused at once, it runs elsewhere.
+// canFinish reports whether a request that arrives now can complete before the process exits. During a shutdown a
+// long request that starts late would be cut off by the kill; refused at once, it runs elsewhere.
 func (g *Gate) canFinish(x *exchange) bool {
 	if !g.shuttingDown.Load() {
 		return true
@@ -39,7 +37,8 @@
 	return x.route.TargetLatency*2 < end
 }
 
-// shutDown ends the process after all that callers may still send has its answer.
+// shutDown returns once all requests that clients may still send are responded to, or the grace period is nearly
+// over.
 func (g *Gate) shutDown(hard context.Context, listener net.Listener) {
 	g.shutdownAt.Store(g.config.Clock.Now().UnixNano())
 	g.shuttingDown.Store(true)
@@ -61,19 +60,19 @@
 	g.record(paevent.Stopped{CutOff: cut, DrainMilliseconds: g.config.Clock.Since(begun).Milliseconds()})
 }
 
-// newConnTimeout is how long a connection may be open during a shutdown without a whole head of a request. Callers send
-// right after they connect; a packet that is lost comes again within a second.
+// newConnTimeout is how long a connection may be open during a shutdown without a complete request header. Clients
+// send right after they connect; a lost packet is retransmitted within a second.
 const newConnTimeout = 1500 * time.Millisecond
 
-// drainPollInterval is the time between two looks at the connections that are still open: a fraction of the time
-// that callers need to go elsewhere.
+// drainPollInterval is the interval of checks for open connections, a fraction of the time that clients need to move
+// to another entry VM.
 const drainPollInterval = 20 * time.Millisecond
 
-// drain waits until callers' connections have ended and says whether all have.
+// drain waits until all client connections have ended, and reports whether they have.
 //
-// It stands in for the Shutdown of net/http, which closes a connection whose request it reads after the
-// shutdown began. Failure prevented: the process stands still for a moment while a request arrives, the
-// request is read right after, and its caller loses the connection without an answer.
+// It replaces http.Server.Shutdown, which closes a connection whose request it reads after the shutdown began. If the
+// process stalls while a request arrives and reads it right after, the client would lose the connection without a
+// response.
 func (g *Gate) drain(ctx context.Context) bool {
 	for g.listener.Drain(g.config.Clock.Now(), newConnTimeout) > 0 {
 		if !g.sleep(ctx, drainPollInterval) {
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -14,7 +14,7 @@
 	"papayahead/pawire"
 )
 
-// syncWith exchanges with one neighbour.
+// syncWith exchanges state with one entry VM.
 func (p *peers) syncWith(ctx context.Context, e pafleet.Entry) {
 	s := p.gate.state.Load()
 	if r := p.syncSince(ctx, e, s.revision, p.wantsChanges(e)); r.GetNoHistory() {
@@ -22,11 +22,11 @@
 	}
 }
 
-// syncElsewhere asks the others that read the store for what a neighbour has no history of. It asks that neighbour for
-// everything only where what is known is older than an own reading of the store would have left it.
+// syncElsewhere asks the other store readers for changes of which an entry VM has no history. It asks that entry VM
+// for its whole state only if the own state is older than reading the store itself would have left it.
 //
-// Load: an entry VM that reads the store starts again, and half a hundred others that follow it stand before its first
-// reading. Harm prevented: it sends each of them everything, over a link of 10 Mbit/s that carries callers' requests too.
+// When a store reader restarts, half a hundred entry VMs that follow it have a state from before its first read. If
+// it sent each of them its whole state, it would fill a link of 10 Mbit/s that also carries clients' requests.
 func (p *peers) syncElsewhere(ctx context.Context, e pafleet.Entry, s *state) {
 	g := p.gate
 	if g.age(s) > max(maxAge, g.config.Settings.MaxPropagation) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// syncSince asks a neighbour for what changed since a revision, 0 for everything, or only whether it lives, and returns its
-// answer, or nil.
+// syncSince calls an entry VM, and asks for the changes after a revision if asked is true; revision 0 asks for the
+// whole state. It returns the reply, or nil.
 func (p *peers) syncSince(ctx context.Context, e pafleet.Entry, since pafleet.Revision, asked bool) *pawire.SyncReply {
 	c := p.conn(e.Peers)
 	if !c.busy.TryLock() {
@@ -69,15 +69,15 @@
 	return r
 }
 
-// noChangesRevision is the revision of a caller that wants to hear of no change.
+// noChangesRevision is the revision in a request that asks for no changes.
 const noChangesRevision = math.MaxUint64
 
-// wantsChanges says whether the neighbour is asked for what is new, rather than only whether it lives: the
-// nearest reader is, and everyone while what is known is too old.
+// wantsChanges reports whether to ask an entry VM for changes, rather than only whether it is alive: the sync source
+// is, and every callee while the state is too old.
 //
-// Load: a configuration of hundreds of routes changes under a burst, and each entry VM has a dozen
-// neighbours. Harm prevented: all of them send it the whole configuration at once, over a link of 10 Mbit/s
-// that carries callers' requests too, and word of targets that leave comes seconds late.
+// An entry VM has a dozen neighbours. If all of them sent it a new configuration with hundreds of routes at once,
+// over a link of 10 Mbit/s that also carries a burst of clients' requests, notices of targets that drain would come
+// seconds late.
 func (p *peers) wantsChanges(e pafleet.Entry) bool {
 	s := p.gate.state.Load()
 	return e.Name == "" || e.Name == p.gate.syncSource(s).Name || p.gate.age(s) > maxAge
@@ -108,12 +108,13 @@
 func (p *peers) ownEntryJSON() []byte {
 	b, err := json.Marshal(p.gate.self)
 	if err != nil {
-		panic("pagate: an entry cannot be written as JSON: " + err.Error())
+		panic("pagate: encode own registration as JSON: " + err.Error())
 	}
 	return b
 }
 
-// applyReply hands a neighbour's reply to the control loop and to the steering; said holds what was asked, and as knownAt when.
+// applyReply hands an entry VM's reply to the control loop and to the steering. said holds what was requested, and in
+// verifiedAt when.
 func (p *peers) applyReply(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerUpdate) {
 	if len(r.GetEntry()) > 0 {
 		if err := json.Unmarshal(r.GetEntry(), &c.entry); err != nil {
@@ -130,7 +131,7 @@
 	if r.GetNoHistory() {
 		return
 	}
-	// A neighbour cannot know what will be.
+	// A negative age would make the state look newer than it is.
 	age := max(0, time.Duration(r.GetAgeMicroseconds())*time.Microsecond)
 	said.from, said.revision = c.entry, pafleet.Revision(r.GetRevision())
 	said.verifiedAt -= age
@@ -145,7 +146,7 @@
 	p.gate.post(ctx, said)
 }
 
-// Sync answers a neighbour's call.
+// Sync handles a neighbour's call.
 func (p *peers) Sync(ctx context.Context, q *pawire.SyncRequest) (*pawire.SyncReply, error) {
 	s := p.gate.state.Load()
 	r := &pawire.SyncReply{
@@ -185,7 +186,7 @@
 	return r, trace.Wrap(err)
 }
 
-// changesSince asks the control loop for what a neighbour at a revision is to be told.
+// changesSince gets the changes after a revision from the control loop.
 func (p *peers) changesSince(ctx context.Context, since pafleet.Revision) (deltaReply, error) {
 	to := make(chan deltaReply, 1)
 	p.gate.post(ctx, deltaRequest{since: since, reply: to})
--- a/pagate/traffic.go
+++ b/pagate/traffic.go
@@ -14,14 +14,14 @@
 	"papayahead/pawire"
 )
 
-// trafficLogInterval is the time between two log lines on the bytes of the control connections.
+// trafficLogInterval is the time between two log lines on control traffic.
 const trafficLogInterval = 20 * time.Second
 
-// controlTraffic counts the bytes of the control connections that this entry VM opened, by what they are for. Those that
-// others opened are in their counts.
+// controlTraffic counts the bytes of control connections that this entry VM opened, by purpose. Those that others
+// opened are in the others' counts.
 type controlTraffic struct {
 	neighbours, limiter pasocket.Traffic
-	// changes and notes are the payload of the neighbours' answers.
+	// changes and notes are the payload bytes of neighbours' replies.
 	changes, notes atomic.Uint64
 }
 
@@ -49,7 +49,7 @@
 	g.meter.set.NewGauge(`papayahead_gate_neighbour_payload_bytes{kind="Notes"}`, func() float64 { return float64(g.traffic.notes.Load()) })
 }
 
-// logTraffic logs the counts from time to time.
+// logTraffic logs the counts at each trafficLogInterval.
 func (g *Gate) logTraffic(ctx context.Context) {
 	for g.sleep(ctx, trafficLogInterval) {
 		e := paevent.ControlTraffic{
@@ -65,7 +65,7 @@
 
 func totalBytes(t *pasocket.Traffic) uint64 { return t.Sent.Load() + t.Received.Load() }
 
-// notesSize is about how long notes are as a message.
+// notesSize returns the approximate encoded size of notes in bytes.
 func notesSize(all []*pawire.WarmNote) uint64 {
 	n := 0
 	for _, w := range all {
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// warmSaveInterval is how often what is warm is kept in the store. An object moves to another target a few times an
-	// hour on ordinary days; what moved in the last seconds before all entry VMs lose power is run cold once more.
+	// warmSaveInterval is how often warm notes are saved in the store. An object moves to another target a few
+	// times an hour on an ordinary day; one that moved in the last seconds before all entry VMs lose power runs
+	// cold once more.
 	warmSaveInterval = 5 * time.Second
-	// maxSavedNotes is how many objects are kept, those that moved before others: packed, some 8 KB a second.
+	// maxSavedNotes is how many objects are saved, those that moved from the first target of their ranking before
+	// others; the compressed notes take about 8 KB a second.
 	maxSavedNotes = 4096
 )
 
-// saveWarmNotes keeps in the store which target is warm for which object, if this entry VM is the first that reads it.
+// saveWarmNotes saves in the store which target is warm for which object, if this entry VM is the first store reader.
 //
-// Load: all entry VMs lose power at once and come back under full load. Harm prevented: nobody knows which objects
-// had moved from the first target of their ranking, and each of them runs cold once more while callers who
-// were cut off ask again.
+// If all entry VMs lose power at once and restart under full load, nobody would know which objects had moved from the
+// first target of their ranking. Each of these would run cold once more, while disconnected clients repeat their
+// requests.
 func (g *Gate) saveWarmNotes(ctx context.Context) {
 	var kept uint64
 	for g.sleep(ctx, warmSaveInterval) {
@@ -45,7 +47,7 @@
 	}
 }
 
-// restoreWarmNotes hands what the store kept to the steering, once the targets are known.
+// restoreWarmNotes hands the saved notes to the steering. The targets must be known by then.
 func (g *Gate) restoreWarmNotes(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
 		if k, ok := c.(pafleet.WarmKept); ok {
@@ -57,10 +59,10 @@
 }
 
 const (
-	// notesPerSecond is how many notes of warm objects an entry VM tells a second, to all neighbours together: each takes
-	// some 30 bytes, and control may take 10 KB a second. Where more become known, neighbours hear of them later.
+	// notesPerSecond bounds the warm notes that an entry VM sends per second to all neighbours together: each
+	// takes some 30 bytes, and control traffic may take 10 KB a second. Notes beyond that are sent later.
 	notesPerSecond = 200
-	// maxNoteBurst is how many may be told at once, as after a start.
+	// maxNoteBurst is how many notes may be sent at once, as after a start.
 	maxNoteBurst = 2048
 )
 
@@ -78,7 +80,7 @@
 	p.gate.steer.HearWarm(notes, p.gate.config.Clock.Now())
 }
 
-// notesAfter returns the notes after one that the neighbour has, as far as the budget lasts.
+// notesAfter returns the notes after one that the neighbour has, as far as noteBudget allows.
 func (p *peers) notesAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
 	now := p.gate.config.Clock.Now()
 	most := p.noteBudget.available(now)
