--- a/pagate/elsewhere_test.go
+++ b/pagate/elsewhere_test.go
@@ -16,26 +16,29 @@
 	"papayahead/pafleet"
 )
 
-// sockets is a network of the machine's own sockets.
-type sockets struct{}
+// loopbackNetwork is a Network on the machine's own sockets.
+type loopbackNetwork struct{}
 
-func (sockets) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (loopbackNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, network, address)
 }
 
-func (sockets) Listen(a netip.AddrPort) (net.Listener, error) { return net.Listen("tcp", a.String()) }
+func (loopbackNetwork) Listen(a netip.AddrPort) (net.Listener, error) {
+	return net.Listen("tcp", a.String())
+}
 
-// fewGates are gates that tell each other what the store holds and read it only when told to.
-type fewGates struct {
+// testCluster is a set of gates that sync with each other, and read the store only when the test says so.
+type testCluster struct {
 	clock   *clockwork.FakeClock
 	gates   []*Gate
 	changes []pafleet.Change
 }
 
-// newFewGates returns gates of which the first two read the store for all, and the third asks the first.
-func newFewGates(t *testing.T, n int) *fewGates {
-	f := &fewGates{clock: clockwork.NewFakeClock()}
+// newTestCluster returns a cluster in which the first two gates are the store readers, and the third syncs from the
+// first.
+func newTestCluster(t *testing.T, n int) *testCluster {
+	f := &testCluster{clock: clockwork.NewFakeClock()}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for i := range n {
@@ -44,8 +47,8 @@
 			t.Fatal(err)
 		}
 		s := Settings{Name: fmt.Sprint("e", i), Region: "r", Peers: netip.MustParseAddrPort(l.Addr().String())}
-		g := New(Config{Settings: s, Network: sockets{}, Clock: f.clock})
-		g.spawn(func() { g.takeEvents(ctx) })
+		g := New(Config{Settings: s, Network: loopbackNetwork{}, Clock: f.clock})
+		g.spawn(func() { g.runTestLoop(ctx) })
 		g.spawn(func() { g.servePeers(ctx, l) })
 		f.gates = append(f.gates, g)
 		e := g.self
@@ -64,15 +67,16 @@
 	return f
 }
 
-func (f *fewGates) entries() (all []pafleet.Entry) {
+func (f *testCluster) entries() (all []pafleet.Entry) {
 	for _, c := range f.changes {
 		all = append(all, c.(pafleet.EntrySaid).Entry)
 	}
 	return all
 }
 
-// read lets a gate read the store, whole or from where it stands, and waits until it has taken that.
-func (f *fewGates) read(g *Gate, whole bool, r pafleet.Revision, all ...pafleet.Change) {
+// readStore lets a gate read the whole store, or the changes since its last read, and waits until the gate has
+// applied them.
+func (f *testCluster) readStore(g *Gate, whole bool, r pafleet.Revision, all ...pafleet.Change) {
 	if whole {
 		all = append(slices.Clone(f.changes), all...)
 	}
@@ -89,52 +93,54 @@
 	return false
 }
 
-func (g *Gate) counted(line string) bool {
+func (g *Gate) hasMetric(line string) bool {
 	var out bytes.Buffer
 	g.WriteMetrics(&out)
 	return strings.Contains(out.String(), line)
 }
 
-func (g *Gate) toldWhole() bool { return !g.counted(`told_total{kind="Whole"} 0`) }
+func (g *Gate) sentWholeState() bool { return !g.hasMetric(`told_total{kind="Whole"} 0`) }
 
-// A reader started again, and each of the fifty that follow it took the whole view from it over a narrow link.
-func TestARestartedReaderSendsItsFollowersElsewhere(t *testing.T) {
-	f := newFewGates(t, 3)
+// A restarted store reader has no history, and sent its whole state over a narrow link to each of the fifty entry VMs
+// that sync from it. They get the changes from another reader instead.
+func TestRestartedStoreReaderSendsNoWholeState(t *testing.T) {
+	f := newTestCluster(t, 3)
 	restarted, reader, follower := f.gates[0], f.gates[1], f.gates[2]
 	target := pafleet.TargetSaid{Target: pafleet.Target{ID: "t", Service: "s", Revision: 8, Sequence: 1}}
 	for _, g := range []*Gate{reader, follower} {
-		f.read(g, true, 10, target)
+		f.readStore(g, true, 10, target)
 	}
-	f.read(reader, false, 14, pafleet.TargetGone{ID: "t", Revision: 12})
-	f.read(restarted, true, 14)
+	f.readStore(reader, false, 14, pafleet.TargetGone{ID: "t", Revision: 12})
+	f.readStore(restarted, true, 14)
 	follower.peers.syncWith(context.Background(), restarted.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 14 }) {
-		t.Fatalf("the follower stands at %d", follower.state.Load().revision)
+		t.Fatalf("the follower is at revision %d, want 14", follower.state.Load().revision)
 	}
-	if !restarted.counted(`told_total{kind="NoHistory"} 1`) || restarted.toldWhole() || reader.toldWhole() {
-		t.Error("somebody told everything, or the restarted reader did not say that it has no history")
+	if !restarted.hasMetric(`told_total{kind="NoHistory"} 1`) || restarted.sentWholeState() || reader.sentWholeState() {
+		t.Error("a reader sent its whole state, or the restarted one did not say that it has no history")
 	}
-	if !reader.counted(`told_total{kind="Changes"} 1`) {
-		t.Error("the other reader told no changes")
+	if !reader.hasMetric(`told_total{kind="Changes"} 1`) {
+		t.Error("the other reader sent no changes")
 	}
 }
 
-// Nobody has the history that an entry VM needs, and it does not reach the store: it kept what it knew for ever.
-func TestWhoFindsNoHistoryTakesEverythingInTheEnd(t *testing.T) {
-	f := newFewGates(t, 3)
+// An entry VM that does not reach the store needs changes of which no store reader has the history. It kept its old
+// state for ever, as nobody sent it their whole state.
+func TestWholeStateIsFetchedOnceStateIsTooOld(t *testing.T) {
+	f := newTestCluster(t, 3)
 	first, second, follower := f.gates[0], f.gates[1], f.gates[2]
-	f.read(follower, true, 10)
+	f.readStore(follower, true, 10)
 	for _, g := range []*Gate{first, second} {
-		f.read(g, true, 14)
+		f.readStore(g, true, 14)
 	}
 	follower.peers.syncWith(context.Background(), first.self)
-	if r := follower.state.Load().revision; r != 10 || first.toldWhole() || second.toldWhole() {
-		t.Fatalf("the follower stands at %d right away, or was told everything", r)
+	if r := follower.state.Load().revision; r != 10 || first.sentWholeState() || second.sentWholeState() {
+		t.Fatalf("the follower is at revision %d right away, want 10, or a reader sent its whole state", r)
 	}
 	f.clock.Advance(maxAge + time.Second)
-	f.read(first, false, 15)
+	f.readStore(first, false, 15)
 	follower.peers.syncWith(context.Background(), first.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 15 }) {
-		t.Errorf("the follower stands at %d", follower.state.Load().revision)
+		t.Errorf("the follower is at revision %d, want 15", follower.state.Load().revision)
 	}
 }
--- a/pagate/follow_test.go
+++ b/pagate/follow_test.go
@@ -12,8 +12,9 @@
 	"papayahead/pafleet"
 )
 
-// The readers are gone, and each of a hundred entry VMs read the store itself at the same moment.
-func TestEntryVMsReadInTheReadersPlaceOneAfterTheOther(t *testing.T) {
+// When the store readers fail, each of a hundred entry VMs read the store itself at the same moment. Their reads must
+// be staggered, start only after the readers had time to report, and end before the change must be in force.
+func TestFallbackReadsAreStaggered(t *testing.T) {
 	for _, change := range []time.Duration{0, 2500 * time.Millisecond, 4 * time.Second} {
 		const n = 119
 		for rank := 1; rank < n; rank++ {
@@ -23,23 +24,23 @@
 			}
 		}
 		if first := maxAgeOfRank(0, n, change); first < maxAge {
-			t.Errorf("the first reads after %v, when readers may still be on their way", first)
+			t.Errorf("the first reads after %v, before the readers' changes can have arrived", first)
 		}
 	}
 }
 
-// waitingRegistry is a store where nothing changes.
-type waitingRegistry struct {
+// idleRegistry is a store in which nothing changes.
+type idleRegistry struct {
 	Registry
 	mutex   sync.Mutex
 	watches int
 }
 
-func (r *waitingRegistry) List(context.Context) ([]pafleet.Change, pafleet.Revision, error) {
+func (r *idleRegistry) List(context.Context) ([]pafleet.Change, pafleet.Revision, error) {
 	return nil, 1, nil
 }
 
-func (r *waitingRegistry) Watch(ctx context.Context, _ pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error) {
+func (r *idleRegistry) Watch(ctx context.Context, _ pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error) {
 	r.mutex.Lock()
 	r.watches++
 	r.mutex.Unlock()
@@ -51,29 +52,29 @@
 	}
 }
 
-// takeEvents stands in for the control loop.
-func (g *Gate) takeEvents(ctx context.Context) {
+// runTestLoop stands in for the control loop.
+func (g *Gate) runTestLoop(ctx context.Context) {
 	var v pafleet.View
-	knownAt := longBeforeStart
+	verifiedAt := longBeforeStart
 	for {
 		select {
 		case e := <-g.events:
 			now := g.config.Clock.Now()
-			g.publish(&v, knownAt, g.handleEvent(&v, e, &knownAt, now), now)
+			g.publish(&v, verifiedAt, g.handleEvent(&v, e, &verifiedAt, now), now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// A reader paused after each watch that ended without a change: what it knew grew older than its neighbours accept, and
-// all of them read the store themselves again and again on a quiet day.
-func TestAReaderOfAQuietStoreIsNeverOld(t *testing.T) {
-	r := &waitingRegistry{}
-	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clockwork.NewRealClock(), Registry: r})
+// A store reader paused after each watch that ended without a change. Its state grew older than its neighbours
+// accept, so that all of them read the store themselves again and again while nothing changed.
+func TestStateOfReaderStaysFreshWithoutChanges(t *testing.T) {
+	r := &idleRegistry{}
+	g := New(Config{Settings: Settings{Name: "e"}, Network: noNetwork{}, Clock: clockwork.NewRealClock(), Registry: r})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.spawn(func() { g.takeEvents(ctx) })
+	g.spawn(func() { g.runTestLoop(ctx) })
 	g.spawn(func() { g.followStore(ctx) })
 	var most time.Duration
 	time.Sleep(minReadInterval)
@@ -82,9 +83,9 @@
 		time.Sleep(20 * time.Millisecond)
 		most = max(most, g.age(g.state.Load()))
 	}
-	// A neighbour asks within syncPace, over ways of some 150 ms.
+	// A neighbour calls within syncInterval, and the call takes some 150 ms.
 	if limit := maxAge - syncInterval - 150*time.Millisecond; most > limit {
-		t.Errorf("what a reader knows was %v old, more than %v", most, limit)
+		t.Errorf("the reader's state was %v old, want at most %v", most, limit)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,17 +94,17 @@
 	}
 }
 
-// All entry VMs start again, and a seed answers before it knows anything: taken for its word, nothing was read of what
-// the store keeps of warm objects.
-func TestANeighbourThatKnowsNothingIsNoReading(t *testing.T) {
+// When all entry VMs restart, a seed may respond before it has read anything. Its reply was taken for the store's
+// content, so that the saved warm notes were not read.
+func TestEmptyNeighbourIsNoSyncAtStart(t *testing.T) {
 	s := Settings{Name: "e", Seeds: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.9:1")}}
-	g := New(Config{Settings: s, Network: unused{}, Clock: clockwork.NewRealClock()})
-	g.state.Store(&state{knownAt: longBeforeStart})
+	g := New(Config{Settings: s, Network: noNetwork{}, Clock: clockwork.NewRealClock()})
+	g.state.Store(&state{verifiedAt: longBeforeStart})
 	if g.syncedAtStart(context.Background()) {
-		t.Error("an answer without a revision counts as a reading")
+		t.Error("a reply without a revision counts as synced")
 	}
-	g.state.Store(&state{knownAt: g.uptime(), revision: 7})
+	g.state.Store(&state{verifiedAt: g.uptime(), revision: 7})
 	if !g.syncedAtStart(context.Background()) {
-		t.Error("a neighbour's reading is not taken")
+		t.Error("a neighbour's state does not count as synced")
 	}
 }
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -13,26 +13,27 @@
 	"papayahead/pasteer"
 )
 
-// gossip plays calls between entry VMs that tell each other what is warm, each call at a time of its own.
-type gossip struct {
+// gossipSim simulates calls between entry VMs that exchange warm notes; each call happens at a random time of its
+// interval.
+type gossipSim struct {
 	entries []pafleet.Entry
 	steers  []*pasteer.Steer
-	// asks has the entry VMs that each asks, and after the number of the last note that it got from each.
+	// asks lists for each entry VM the ones that it asks, and after the last note that it got from each of these.
 	asks   [][]int
 	after  [][]uint64
 	budget []*tokenBucket
 	random *rand.Rand
-	// told and most are the notes that each told in all, and at most in a second.
-	told, second, most []int
+	// sent are the notes that each sent in all, inSecond those of the current second, and peak the most in a second.
+	sent, inSecond, peak []int
 }
 
 const gossipTargets = 12
 
-var gossipBegin = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+var gossipStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newGossip(entries, regions int) *gossip {
-	o := &gossip{random: rand.New(rand.NewPCG(3, 5)), budget: make([]*tokenBucket, entries)}
-	o.told, o.second, o.most = make([]int, entries), make([]int, entries), make([]int, entries)
+func newGossipSim(entries, regions int) *gossipSim {
+	o := &gossipSim{random: rand.New(rand.NewPCG(3, 5)), budget: make([]*tokenBucket, entries)}
+	o.sent, o.inSecond, o.peak = make([]int, entries), make([]int, entries), make([]int, entries)
 	v := &pafleet.View{}
 	zones := map[string]string{}
 	changes := []pafleet.Change{pafleet.ConfigWritten{Revision: 1, Config: &paroute.Config{Version: 1, Services: map[string]paroute.Service{"s": {}}}}}
@@ -49,29 +50,29 @@
 		o.budget[i] = &tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}
 		o.entries = append(o.entries, e)
 	}
-	v.Replace(changes, gossipTargets+2, gossipBegin)
+	v.Replace(changes, gossipTargets+2, gossipStart)
 	s := &state{entries: o.entries}
 	for _, e := range o.entries {
-		g := New(Config{Settings: Settings{Name: e.Name, Zone: e.Zone, Region: e.Region, Regions: zones}, Network: unused{}, Clock: clockwork.NewFakeClock()})
+		g := New(Config{Settings: Settings{Name: e.Name, Zone: e.Zone, Region: e.Region, Regions: zones}, Network: noNetwork{}, Clock: clockwork.NewFakeClock()})
 		g.state.Store(s)
 		var asks []int
 		for _, n := range g.warmNoteSources(s) {
 			asks = append(asks, index[n.Name])
 		}
 		o.asks, o.after = append(o.asks, asks), append(o.after, make([]uint64, len(asks)))
-		g.steer.Update(v, gossipBegin)
+		g.steer.Update(v, gossipStart)
 		o.steers = append(o.steers, g.steer)
 	}
 	return o
 }
 
-// run plays half seconds; use is called at the begin of each and may send requests.
-func (o *gossip) run(halves int, use func(half int, now time.Time)) {
+// run simulates a number of half seconds; use is called at the start of each and may send requests.
+func (o *gossipSim) run(halves int, use func(half int, now time.Time)) {
 	for half := range halves {
-		at := gossipBegin.Add(time.Duration(half) * syncInterval)
+		at := gossipStart.Add(time.Duration(half) * syncInterval)
 		use(half, at)
 		if half%2 == 0 {
-			clear(o.second)
+			clear(o.inSecond)
 		}
 		for _, i := range o.random.Perm(len(o.entries)) {
 			now := at.Add(time.Duration(o.random.Int64N(int64(syncInterval))))
@@ -82,34 +83,34 @@
 	}
 }
 
-// wayOfGossip is the time that an answer takes.
-const wayOfGossip = 20 * time.Millisecond
+// replyDelay is the time that a reply takes.
+const replyDelay = 20 * time.Millisecond
 
-func (o *gossip) call(to, edge, from int, now time.Time) {
+func (o *gossipSim) call(to, edge, from int, now time.Time) {
 	most := o.budget[from].available(now)
 	notes, last := o.steers[from].WarmNotes(o.after[to][edge], most, now)
 	o.budget[from].spend(len(notes))
 	o.after[to][edge] = last
-	o.told[from] += len(notes)
-	o.second[from] += len(notes)
-	o.most[from] = max(o.most[from], o.second[from])
-	o.steers[to].HearWarm(notes, now.Add(wayOfGossip))
+	o.sent[from] += len(notes)
+	o.inSecond[from] += len(notes)
+	o.peak[from] = max(o.peak[from], o.inSecond[from])
+	o.steers[to].HearWarm(notes, now.Add(replyDelay))
 }
 
-func (o *gossip) start(entry int, target, object string, now time.Time) {
+func (o *gossipSim) start(entry int, target, object string, now time.Time) {
 	q := pasteer.Request{Route: &paroute.Route{Name: "r", Affinity: true}, Service: "s", Object: object}
 	o.steers[entry].Start(pasteer.Choice{Target: target}, q, now)
 }
 
-// sizes are deployments of one entry VM a zone up to the size to design for: entry VMs and regions.
+// gossipSizes are numbers of entry VMs and regions, with one entry VM per zone, up to the design size.
 var gossipSizes = [][2]int{{7, 3}, {30, 3}, {119, 3}, {2100, 26}}
 
-// Objects that do not fit: each runs cold and pushes another out. Notes of them went round among neighbours and
-// were most of what entry VMs sent each other.
-func TestNotesOfWarmObjectsAreBoundedForEachEntryVM(t *testing.T) {
+// If the objects in use do not fit into the targets' caches, each runs cold and evicts another. The notes on that
+// circulated among neighbours and were most of the traffic between entry VMs.
+func TestWarmNotesAreRateLimited(t *testing.T) {
 	const halves = 20
 	for _, size := range gossipSizes[:3] {
-		o := newGossip(size[0], size[1])
+		o := newGossipSim(size[0], size[1])
 		o.run(halves, func(half int, now time.Time) {
 			for i := range 200 {
 				n := half*200 + i
@@ -117,23 +118,23 @@
 			}
 		})
 		sum, most := 0, 0
-		for i := range o.told {
-			sum += o.told[i]
-			most = max(most, o.told[i])
+		for i := range o.sent {
+			sum += o.sent[i]
+			most = max(most, o.sent[i])
 		}
 		perSecond := float64(sum) / float64(size[0]) / (halves / 2)
 		t.Logf("%d entry VMs: %.0f notes a second each, %d at most", size[0], perSecond, most/(halves/2))
 		if bound := maxNoteBurst + notesPerSecond*halves/2 + notesPerSecond; most > bound {
-			t.Errorf("%d entry VMs: one told %d notes in %d s, want at most %d", size[0], most, halves/2, bound)
+			t.Errorf("%d entry VMs: one sent %d notes in %d s, want at most %d", size[0], most, halves/2, bound)
 		}
 	}
 }
 
-// One object runs at a target while others run everywhere. An entry VM that does not hear of it within some
-// seconds runs it cold elsewhere.
-func TestANoteReachesAllEntryVMsOnce(t *testing.T) {
+// An object runs at one target while others run everywhere. An entry VM that does not learn of it within some seconds
+// would run it cold elsewhere. The note must cross each edge at most once.
+func TestWarmNoteReachesAllEntryVMsOnce(t *testing.T) {
 	for _, size := range gossipSizes {
-		o := newGossip(size[0], size[1])
+		o := newGossipSim(size[0], size[1])
 		reached := 0
 		o.run(8, func(half int, now time.Time) {
 			if half == 0 {
@@ -152,16 +153,16 @@
 		})
 		edges := 0
 		sum := 0
-		for i := range o.told {
+		for i := range o.sent {
 			edges += len(o.asks[i])
-			sum += o.told[i]
+			sum += o.sent[i]
 		}
-		t.Logf("%d entry VMs: all know after %v, told %d times over %d edges", size[0], time.Duration(reached)*syncInterval, sum, edges)
+		t.Logf("%d entry VMs: the note is everywhere after %v, sent %d times over %d edges", size[0], time.Duration(reached)*syncInterval, sum, edges)
 		if reached == 0 || time.Duration(reached)*syncInterval > 5*time.Second {
-			t.Errorf("%d entry VMs: all know after %d half seconds", size[0], reached)
+			t.Errorf("%d entry VMs: the note is everywhere after %d half seconds, want 1 to 10", size[0], reached)
 		}
 		if sum > edges {
-			t.Errorf("%d entry VMs: one note was told %d times over %d edges", size[0], sum, edges)
+			t.Errorf("%d entry VMs: one note was sent %d times over %d edges", size[0], sum, edges)
 		}
 	}
 }
--- a/pagate/lease_test.go
+++ b/pagate/lease_test.go
@@ -12,19 +12,20 @@
 	"papayahead/paplatform"
 )
 
-// leavingRegistry is a store where nothing changes and that goes away shortly before the end of a watch.
-type leavingRegistry struct {
+// failingRegistry is a store in which nothing changes, and that becomes unavailable shortly before the end of a
+// watch.
+type failingRegistry struct {
 	Registry
-	// watches are left until it goes.
-	watches atomic.Int32
-	gone    chan time.Time
+	// watches is how many watches there are up to the one that fails, counted down.
+	watches  atomic.Int32
+	failedAt chan time.Time
 }
 
-func (r *leavingRegistry) List(context.Context) ([]pafleet.Change, pafleet.Revision, error) {
+func (r *failingRegistry) List(context.Context) ([]pafleet.Change, pafleet.Revision, error) {
 	return nil, 1, nil
 }
 
-func (r *leavingRegistry) Watch(ctx context.Context, _ pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error) {
+func (r *failingRegistry) Watch(ctx context.Context, _ pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error) {
 	left := r.watches.Add(-1)
 	if left > 0 {
 		time.Sleep(wait)
@@ -32,49 +33,50 @@
 	}
 	if left == 0 {
 		time.Sleep(wait * 9 / 10)
-		r.gone <- time.Now()
+		r.failedAt <- time.Now()
 	}
 	return nil, 0, &paplatform.Error{Fault: paplatform.Unavailable}
 }
 
-// The store goes away for half of what a revocation may take, and all keys were refused after a tenth of it.
-func TestKeysAreServedThroughMostOfTheirBoundWithoutTheStore(t *testing.T) {
+// When the store was unavailable for half of MaxRevocation, all keys were rejected after a tenth of it.
+func TestKeysAreAcceptedThroughMostOfMaxRevocation(t *testing.T) {
 	const bound = 2 * time.Second
-	r := &leavingRegistry{gone: make(chan time.Time, 1)}
+	r := &failingRegistry{failedAt: make(chan time.Time, 1)}
 	r.watches.Store(3)
-	g := New(Config{Settings: Settings{Name: "e", MaxRevocation: bound}, Network: unused{}, Clock: clockwork.NewRealClock(), Registry: r})
+	g := New(Config{Settings: Settings{Name: "e", MaxRevocation: bound}, Network: noNetwork{}, Clock: clockwork.NewRealClock(), Registry: r})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.spawn(func() { g.takeEvents(ctx) })
+	g.spawn(func() { g.runTestLoop(ctx) })
 	g.spawn(func() { g.followStore(ctx) })
-	gone := <-r.gone
+	failedAt := <-r.failedAt
 	for g.keysFresh(g.state.Load()) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	if served := time.Since(gone); served < bound*7/10 || served > bound {
-		t.Errorf("keys were served for %v, want nearly %v", served, bound)
+	if accepted := time.Since(failedAt); accepted < bound*7/10 || accepted > bound {
+		t.Errorf("keys were accepted for %v without the store, want nearly %v", accepted, bound)
 	}
 }
 
-// All readers' watches ended at the same moment, so that none had heard of the store for up to a whole watch.
-func TestReadersEndTheirWatchesInTurn(t *testing.T) {
+// The watches of all store readers ended at the same moment, so that in an outage the last of them was up to a full
+// watch ago.
+func TestWatchesOfReadersAreStaggered(t *testing.T) {
 	const n = 6
 	var all []pafleet.Entry
 	for i := range n * entriesPerReader {
 		all = append(all, pafleet.Entry{Name: string(rune('a'+i%26)) + string(rune('a'+i/26))})
 	}
-	begins := map[time.Duration]bool{}
+	offsets := map[time.Duration]bool{}
 	for _, e := range all {
-		g := New(Config{Settings: Settings{Name: e.Name}, Network: unused{}, Clock: clockwork.NewRealClock()})
+		g := New(Config{Settings: Settings{Name: e.Name}, Network: noNetwork{}, Clock: clockwork.NewRealClock()})
 		g.state.Store(&state{entries: all})
-		switch turn := g.watchOffset(maxWatchTime); {
-		case !g.isStoreReader() && turn != 0, turn < 0, turn >= maxWatchTime:
-			t.Errorf("%s begins %v later", e.Name, turn)
+		switch offset := g.watchOffset(maxWatchTime); {
+		case !g.isStoreReader() && offset != 0, offset < 0, offset >= maxWatchTime:
+			t.Errorf("%s starts its watches %v later", e.Name, offset)
 		case g.isStoreReader():
-			begins[turn] = true
+			offsets[offset] = true
 		}
 	}
-	if len(begins) != n {
-		t.Errorf("%d readers begin at %d different times", n, len(begins))
+	if len(offsets) != n {
+		t.Errorf("%d readers start their watches at %d different times", n, len(offsets))
 	}
 }
--- a/pagate/limiter_test.go
+++ b/pagate/limiter_test.go
@@ -16,28 +16,29 @@
 	"papayahead/pawire"
 )
 
-// An entry VM knew of the limiter's end and not yet who followed: it asked nobody, and refused all beyond its own few
-// tokens until the next word of the store.
-func TestWhoKnowsOfNoLimiterLooksForIt(t *testing.T) {
-	f := newFewGates(t, 5)
+// An entry VM knew that the limiter had resigned, but not its successor. It asked nobody, and refused all requests
+// beyond its own few tokens until its next update from the store.
+func TestUnknownLimiterIsFound(t *testing.T) {
+	f := newTestCluster(t, 5)
 	table := paroute.NewTable(&paroute.Config{Workspaces: []paroute.Workspace{{Name: "w", Rate: 100, Burst: 100}}})
 	for _, g := range f.gates {
 		g.state.Store(&state{entries: f.entries(), table: table, fleetPeak: len(f.gates), registered: true})
 	}
-	asks := f.gates[0]
-	second := asks.limiter.successors()[1].Name
+	asker := f.gates[0]
+	second := asker.limiter.successors()[1].Name
 	limiter := f.gates[slices.IndexFunc(f.gates, func(g *Gate) bool { return g.self.Name == second })]
 	limiter.limiter.claimEnd = limiter.uptime() + claimTTL
 	var err error
 	for range maxSuccessors {
-		if _, err = asks.limiter.takeTokens(context.Background(), asks.state.Load(), []*pawire.Wanted{{Workspace: "w", Waiting: 1}}); err == nil {
+		if _, err = asker.limiter.takeTokens(context.Background(), asker.state.Load(), []*pawire.Wanted{{Workspace: "w", Waiting: 1}}); err == nil {
 			return
 		}
 	}
-	t.Errorf("the limiter is not found: %v", err)
+	t.Errorf("the limiter was not found: %v", err)
 }
 
-// A message of another entry VM takes more than the pools hold, or makes them hold more than a limit allows.
+// Messages of other entry VMs must neither get more tokens than a pool holds, nor make it hold more than the limit
+// allows.
 func FuzzLimiterMessages(f *testing.F) {
 	seed := func(take *pawire.TakeRequest, over *pawire.TakeOverRequest) {
 		a, err := proto.Marshal(take)
@@ -62,21 +63,21 @@
 			return
 		}
 		clock := clockwork.NewFakeClock()
-		g := New(Config{Settings: Settings{Name: "e", Peers: netip.MustParseAddrPort("10.0.0.1:1"), Quota: terms}, Network: unused{}, Clock: clock})
+		g := New(Config{Settings: Settings{Name: "e", Peers: netip.MustParseAddrPort("10.0.0.1:1"), Quota: terms}, Network: noNetwork{}, Clock: clock})
 		table := paroute.NewTable(&paroute.Config{Workspaces: []paroute.Workspace{{Name: "w", Rate: limit.Rate, Burst: limit.Burst}}})
 		g.state.Store(&state{entries: []pafleet.Entry{g.self}, table: table, fleetPeak: 1, registered: true})
 		if _, err := g.limiter.TakeOver(context.Background(), &takeOver); err != nil {
 			t.Fatal(err)
 		}
 		if len(g.limiter.inherited) > 1 {
-			t.Errorf("%d workspaces are kept of a message, one is known", len(g.limiter.inherited))
+			t.Errorf("tokens of %d workspaces were taken over, want at most the 1 configured", len(g.limiter.inherited))
 		}
 		g.limiter.fillFrom, g.limiter.claimEnd = g.uptime(), g.uptime()+claimTTL
 		granted := 0
 		for range 3 {
 			r := g.limiter.grant(take.GetWanted(), take.GetFrom())
 			if len(r.GetGranted()) != len(take.GetWanted()) {
-				t.Fatalf("%d answers to %d", len(r.GetGranted()), len(take.GetWanted()))
+				t.Fatalf("%d grants for %d workspaces", len(r.GetGranted()), len(take.GetWanted()))
 			}
 			for _, n := range r.GetGranted() {
 				granted += int(n.GetTokens())
--- a/pagate/neighbour_test.go
+++ b/pagate/neighbour_test.go
@@ -10,16 +10,16 @@
 	"papayahead/pafleet"
 )
 
-// A deployment of 300 entry VMs starts. Each called all others of its region twice a second, 60,000 calls a second
-// in all; the processors were busy with them before the first request came.
-func TestALargeRegionIsCalledByFewEach(t *testing.T) {
+// Each of 300 entry VMs called all others of its region twice a second, 60,000 calls a second in all, which used up
+// the CPU before the first request came.
+func TestCallsPerEntryVMAreBounded(t *testing.T) {
 	s := &state{}
 	for i := range 300 {
 		s.entries = append(s.entries, pafleet.Entry{Name: fmt.Sprintf("e%d", i), Region: fmt.Sprintf("r%d", i%3)})
 	}
 	called, asked := map[string]int{}, map[string]int{}
 	for _, e := range s.entries {
-		g := New(Config{Settings: Settings{Name: e.Name, Region: e.Region}, Network: unused{}, Clock: clockwork.NewFakeClock()})
+		g := New(Config{Settings: Settings{Name: e.Name, Region: e.Region}, Network: noNetwork{}, Clock: clockwork.NewFakeClock()})
 		g.state.Store(s)
 		for _, n := range g.neighbours(s.entries) {
 			if n.Region != e.Region || n.Name == e.Name {
@@ -29,7 +29,7 @@
 		}
 		asked[g.syncSource(s).Name]++
 		if named := len(g.lookUpAddresses(LookUp{Region: e.Region})); named != maxNeighbours+1 {
-			t.Fatalf("%s names %d entry VMs of 100 in its region, want those that it watches", e.Name, named)
+			t.Fatalf("%s names %d entry VMs of 100 in its region, want itself and those that it calls", e.Name, named)
 		}
 	}
 	for _, e := range s.entries {
@@ -39,13 +39,14 @@
 	}
 	for name, n := range asked {
 		if n > 100 {
-			t.Errorf("%d of 300 entry VMs ask %s for what is new", n, name)
+			t.Errorf("%d of 300 entry VMs sync from %s, want at most 100", n, name)
 		}
 	}
 }
 
-// Guards against entry VMs that no caller of another region is ever sent to.
-func TestAllOfALargeRegionAreNamedToOtherRegions(t *testing.T) {
+// Clients of another region must be sent to all entry VMs of a large region, not only to those that are first in the
+// list.
+func TestLookUpsSpreadOverALargeRegion(t *testing.T) {
 	s := &state{}
 	for i := range 200 {
 		front := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)
@@ -56,7 +57,7 @@
 		if e.Region != "r0" {
 			continue
 		}
-		g := New(Config{Settings: Settings{Name: e.Name, Region: e.Region}, Network: unused{}, Clock: clockwork.NewFakeClock()})
+		g := New(Config{Settings: Settings{Name: e.Name, Region: e.Region}, Network: noNetwork{}, Clock: clockwork.NewFakeClock()})
 		g.state.Store(s)
 		all := g.lookUpAddresses(LookUp{Region: "r1"})
 		if len(all) != maxAddresses {
--- a/pagate/note_test.go
+++ b/pagate/note_test.go
@@ -14,12 +14,12 @@
 	"papayahead/pafleet"
 )
 
-// A process that starts in a large deployment wrote a line for each target and entry VM.
-func TestAStartIsLoggedAsASum(t *testing.T) {
+// A process that starts in a large deployment logged a line for each target and entry VM.
+func TestStartIsLoggedAsASummary(t *testing.T) {
 	var out bytes.Buffer
 	clock := clockwork.NewFakeClock()
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
-	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
+	g := New(Config{Settings: Settings{Name: "e"}, Network: noNetwork{}, Clock: clock, Recorder: r})
 	v := &pafleet.View{}
 	var all []pafleet.Change
 	for i := range 1600 {
@@ -44,16 +44,16 @@
 	v.Apply(pafleet.TargetGone{ID: "t3", Revision: 3000}, clock.Now())
 	g.logChanges(v, &state{}, clock.Now())
 	if !strings.Contains(out.String(), `"Target":"t3"`) {
-		t.Errorf("no line on a target that left: %s", out.String())
+		t.Errorf("no line on a target that was removed: %s", out.String())
 	}
 }
 
-// A service is overloaded, and each refusal wrote a line: the log took the processor from requests.
+// While a service was overloaded, a log line on each refusal took CPU time from requests.
 func TestLinesOnRefusedRequestsAreBounded(t *testing.T) {
 	var out bytes.Buffer
 	clock := clockwork.NewFakeClock()
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
-	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
+	g := New(Config{Settings: Settings{Name: "e"}, Network: noNetwork{}, Clock: clock, Recorder: r})
 	for range 10 * endLineBurst {
 		g.recordEnd(&exchange{arrived: clock.Now()}, 503, "Full")
 		clock.Advance(time.Millisecond)
@@ -67,28 +67,29 @@
 	}
 }
 
-// A request reached a target that had left, and the log did not tell whose word the entry VM had followed past the removal.
-func TestTheLogTellsWhoseWordRaisedTheRevision(t *testing.T) {
+// A request was sent to a target that had been removed, and the log did not show from which neighbour the entry VM
+// had learned the revision after the removal.
+func TestLogNamesSourceOfRevision(t *testing.T) {
 	var out bytes.Buffer
 	clock := clockwork.NewFakeClock()
 	r := paevent.NewRecorder(paevent.RecorderConfig{Process: "e", Clock: clock, Log: zerolog.New(&out)})
-	g := New(Config{Settings: Settings{Name: "e"}, Network: unused{}, Clock: clock, Recorder: r})
+	g := New(Config{Settings: Settings{Name: "e"}, Network: noNetwork{}, Clock: clock, Recorder: r})
 	v := pafleet.View{Revision: 4}
-	knownAt := longBeforeStart
-	say := func(born int64, since, revision pafleet.Revision) string {
+	verifiedAt := longBeforeStart
+	reply := func(born int64, since, revision pafleet.Revision) string {
 		out.Reset()
-		said := peerUpdate{from: pafleet.Entry{Name: "r", Born: born}, since: since, revision: revision, requested: true, verifiedAt: g.uptime()}
+		update := peerUpdate{from: pafleet.Entry{Name: "r", Born: born}, since: since, revision: revision, requested: true, verifiedAt: g.uptime()}
 		clock.Advance(time.Second)
-		g.handleEvent(&v, said, &knownAt, clock.Now())
+		g.handleEvent(&v, update, &verifiedAt, clock.Now())
 		return out.String()
 	}
-	if line := say(1, 4, 5); !strings.Contains(line, `"Entry":"r","Born":1,"Since":4,"Revision":5`) {
-		t.Errorf("the first word of a neighbour: %q", line)
+	if line := reply(1, 4, 5); !strings.Contains(line, `"Entry":"r","Born":1,"Since":4,"Revision":5`) {
+		t.Errorf("the first reply of a neighbour: %q", line)
 	}
-	if line := say(1, 5, 6); line != "" {
-		t.Errorf("a further word that holds nothing: %q", line)
+	if line := reply(1, 5, 6); line != "" {
+		t.Errorf("a further reply without changes: %q", line)
 	}
-	if line := say(2, 6, 7); !strings.Contains(line, `"Born":2`) {
-		t.Errorf("the first word of the neighbour's next process: %q", line)
+	if line := reply(2, 6, 7); !strings.Contains(line, `"Born":2`) {
+		t.Errorf("the first reply of the neighbour's next process: %q", line)
 	}
 }
--- a/pagate/pack_test.go
+++ b/pagate/pack_test.go
@@ -11,7 +11,7 @@
 	"papayahead/paroute"
 )
 
-func wide() *paroute.Config {
+func largeConfig() *paroute.Config {
 	c := &paroute.Config{Version: 9, Services: map[string]paroute.Service{"s": {}}}
 	for i := range 400 {
 		c.Routes = append(c.Routes, paroute.Route{
@@ -22,8 +22,8 @@
 	return c
 }
 
-func TestADeltaSurvivesItsWay(t *testing.T) {
-	d := &pafleet.Delta{Revision: 7, Config: wide(), ConfigAt: 7, Left: []pafleet.EntryGone{{Name: "e", Revision: 6}}}
+func TestDeltaRoundTrip(t *testing.T) {
+	d := &pafleet.Delta{Revision: 7, Config: largeConfig(), ConfigAt: 7, Left: []pafleet.EntryGone{{Name: "e", Revision: 6}}}
 	b, err := encodeDelta(d)
 	if err != nil {
 		t.Fatal(err)
@@ -43,17 +43,17 @@
 		t.Errorf("%d bytes packed, %d plain", len(b), len(plain))
 	}
 	if decodeDelta([]byte("no gzip"), &got) == nil || decodeDelta(nil, &got) == nil {
-		t.Error("bytes that are no delta were read")
+		t.Error("bytes that are no delta were decoded")
 	}
 }
 
-// A configuration of hundreds of routes changes under a burst. All neighbours of an entry VM on a narrow link
-// sent it the whole at once, and it heard of leaving targets three seconds late, when callers' requests had
-// reached them.
-func TestOnlyOneNeighbourIsAskedForWhatIsNew(t *testing.T) {
+// When a configuration with hundreds of routes changed during a burst, all neighbours of an entry VM on a narrow link
+// sent it the whole configuration. It learned three seconds late of targets that drained, after requests had reached
+// them.
+func TestOneNeighbourIsAskedForChanges(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	g := New(Config{Settings: Settings{Name: "e0", Region: "r"}, Network: unused{}, Clock: clock})
-	s := &state{knownAt: g.uptime()}
+	g := New(Config{Settings: Settings{Name: "e0", Region: "r"}, Network: noNetwork{}, Clock: clock})
+	s := &state{verifiedAt: g.uptime()}
 	for i := range 12 {
 		s.entries = append(s.entries, pafleet.Entry{Name: fmt.Sprintf("e%d", i), Region: "r"})
 	}
@@ -69,41 +69,41 @@
 	}
 	clock.Advance(maxAge * 2)
 	if !g.peers.wantsChanges(s.entries[5]) {
-		t.Error("no other neighbour is asked while what is known is too old")
+		t.Error("no other neighbour is asked while the state is too old")
 	}
 }
 
-// The store refuses a reader and serves the others. It took itself for the nearest reader, asked nobody, and had
-// a new configuration 2.7 s late.
-func TestAReaderAsksAnother(t *testing.T) {
+// A store reader that the store refused, while it served the others, took itself as its sync source, asked nobody,
+// and got a new configuration 2.7 s late.
+func TestStoreReaderSyncsFromAnother(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	for _, name := range []string{"e0", "e1"} {
-		g := New(Config{Settings: Settings{Name: name, Region: "r"}, Network: unused{}, Clock: clock})
-		s := &state{knownAt: g.uptime(), entries: []pafleet.Entry{{Name: "e0", Region: "r"}, {Name: "e1", Region: "r"}}}
+		g := New(Config{Settings: Settings{Name: name, Region: "r"}, Network: noNetwork{}, Clock: clock})
+		s := &state{verifiedAt: g.uptime(), entries: []pafleet.Entry{{Name: "e0", Region: "r"}, {Name: "e1", Region: "r"}}}
 		g.state.Store(s)
 		if r := g.syncSource(s); r.Name == name || r.Name == "" {
-			t.Errorf("%s asks %q", name, r.Name)
+			t.Errorf("%s syncs from %q", name, r.Name)
 		}
 	}
 }
 
-// A neighbour that was asked only whether it lives knows of a later revision. Taken for "nothing is new", its
-// answer would skip what changed for good.
-func TestAnAnswerWithoutAQuestionTellsNothing(t *testing.T) {
+// A neighbour that was asked only whether it is alive replies with a later revision. If the lack of a delta were
+// taken for "nothing changed", the changes in between would be skipped for good.
+func TestUnrequestedRevisionIsIgnored(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	g := New(Config{Network: unused{}, Clock: clock})
+	g := New(Config{Network: noNetwork{}, Clock: clock})
 	var v pafleet.View
-	knownAt := g.uptime()
+	verifiedAt := g.uptime()
 	v.Replace(nil, 5, clock.Now())
-	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: knownAt + 1}, &knownAt, clock.Now())
+	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: verifiedAt + 1}, &verifiedAt, clock.Now())
 	if v.Revision != 5 {
 		t.Errorf("revision %d, want 5", v.Revision)
 	}
-	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: knownAt + 1, requested: true}, &knownAt, clock.Now())
+	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: verifiedAt + 1, requested: true}, &verifiedAt, clock.Now())
 	if v.Revision != 9 {
 		t.Errorf("revision %d, want 9", v.Revision)
 	}
 }
 
-// unused is a network that nobody uses.
-type unused struct{ Network }
+// noNetwork is a Network that must not be used.
+type noNetwork struct{ Network }
