--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -110,15 +110,15 @@
 
 // refuse responds 503 with a Retry-After to a request that was not executed. comeBack is the Retry-After before
 // jitter.
-func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, comeBack time.Duration) {
-	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, comeBack)
+func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, retryAfter time.Duration) {
+	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, retryAfter)
 }
 
 // refuseWithStatus is refuse with another status code. It returns the request's rate limit token.
-func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
+func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, retryAfter time.Duration) {
 	g.quotas.returnToken(x)
-	spread := 1 + retryAfterJitter*g.random()
-	seconds := comeBack.Seconds() * spread
+	factor := 1 + retryAfterJitter*g.random()
+	seconds := retryAfter.Seconds() * factor
 	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
 	g.writeError(w, x, status, reason)
 }
@@ -136,12 +136,12 @@
 // recordEnd counts the end of a request and logs it. Log lines on refusals and failures are bounded by endLog; of
 // other requests one in servedLogInterval is logged.
 func (g *Gate) recordEnd(x *exchange, status int, reason string) {
-	took := g.config.Clock.Since(x.arrived)
-	name := ""
+	elapsed := g.config.Clock.Since(x.arrived)
+	route := ""
 	if x.route != nil {
-		name = x.route.Name
+		route = x.route.Name
 	}
-	g.meter.countRequest(name, status, reason, took, x.pipelineWait)
+	g.meter.countRequest(route, status, reason, elapsed, x.pipelineWait)
 	if reason == "" && status < http.StatusInternalServerError {
 		if !g.meter.sampleServed() {
 			return
@@ -152,8 +152,8 @@
 	}
 	s := g.state.Load()
 	g.record(paevent.RequestEnded{
-		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: name, Status: status, Reason: reason,
-		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: took.Microseconds(),
+		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: route, Status: status, Reason: reason,
+		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: elapsed.Microseconds(),
 		Load: x.lastChoice.Load, Warm: x.lastChoice.Warm, Held: x.lastChoice.Held, BehindMicroseconds: x.pipelineWait.Microseconds(),
 		LimitMicroseconds: x.limitWait.Microseconds(),
 		KnownMilliseconds: g.age(s).Milliseconds(), Revision: uint64(s.revision),
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -36,12 +36,12 @@
 		http.NotFound(w, r)
 		return
 	}
-	all := g.lookUpAddresses(q)
-	if len(all) == 0 {
+	addresses := g.lookUpAddresses(q)
+	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if err := g.config.Codec.WriteLookUp(w, all, min(lookUpTTL, g.config.Settings.MaxLookUpTTL)); err != nil {
+	if err := g.config.Codec.WriteLookUp(w, addresses, min(lookUpTTL, g.config.Settings.MaxLookUpTTL)); err != nil {
 		g.record(paevent.LookUpFailed{Reason: err.Error()})
 	}
 }
@@ -68,12 +68,12 @@
 	if region == g.self.Region && len(near) > maxNeighbours {
 		near = g.monitored(near)
 	}
-	var all []netip.AddrPort
-	begin := xxhash.Sum64String(g.self.Name) % uint64(max(1, len(near)))
+	var addresses []netip.AddrPort
+	start := xxhash.Sum64String(g.self.Name) % uint64(max(1, len(near)))
 	for i := range min(len(near), maxAddresses) {
-		all = append(all, near[(int(begin)+i)%len(near)].Front)
+		addresses = append(addresses, near[(int(start)+i)%len(near)].Front)
 	}
-	return all
+	return addresses
 }
 
 // maxAddresses is how many addresses clients use of a response.
--- a/pagate/fleet.go
+++ b/pagate/fleet.go
@@ -20,15 +20,15 @@
 
 // observe records the current number of entry VMs and returns the maximum. now is the uptime.
 func (f *fleetPeak) observe(n int, now time.Duration) int {
-	slot := int64(now / (fleetPeakWindow / fleetPeakBuckets))
-	for f.newest < slot {
-		f.newest = max(f.newest+1, slot-fleetPeakBuckets)
+	bucket := int64(now / (fleetPeakWindow / fleetPeakBuckets))
+	for f.newest < bucket {
+		f.newest = max(f.newest+1, bucket-fleetPeakBuckets)
 		f.buckets[f.newest%fleetPeakBuckets] = 0
 	}
-	f.buckets[slot%fleetPeakBuckets] = max(f.buckets[slot%fleetPeakBuckets], n)
-	most := 0
-	for _, s := range f.buckets {
-		most = max(most, s)
+	f.buckets[bucket%fleetPeakBuckets] = max(f.buckets[bucket%fleetPeakBuckets], n)
+	peak := 0
+	for _, count := range f.buckets {
+		peak = max(peak, count)
 	}
-	return most
+	return peak
 }
--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -47,7 +47,7 @@
 func (g *Gate) followStore(ctx context.Context) {
 	var lostAt time.Time
 	whole := !g.syncedAtStart(ctx)
-	wait, fails := g.watchDuration(), 0
+	wait, failures := g.watchDuration(), 0
 	for ctx.Err() == nil {
 		if !whole && !g.shouldReadStore() {
 			g.sleep(ctx, minReadInterval/4)
@@ -57,7 +57,7 @@
 		now := g.config.Clock.Now()
 		switch {
 		case err == nil:
-			whole, fails = false, 0
+			whole, failures = false, 0
 			if !lostAt.IsZero() {
 				g.record(paevent.StoreReachable{OutageMilliseconds: now.Sub(lostAt).Milliseconds()})
 				lostAt = time.Time{}
@@ -66,7 +66,7 @@
 			whole = true
 			continue
 		default:
-			fails++
+			failures++
 			if paplatform.FaultOf(err) != paplatform.Limited {
 				g.post(ctx, storeFailure{at: now})
 			}
@@ -77,7 +77,7 @@
 		}
 		wait = g.watchDuration()
 		if changed || err != nil {
-			g.sleep(ctx, g.readDelay(fails))
+			g.sleep(ctx, g.readDelay(failures))
 			wait = min(wait, max(0, wait+g.watchOffset(wait)-minReadInterval))
 		}
 	}
@@ -87,20 +87,20 @@
 // readers end evenly spread. When the store fails, the state is as old as the last watch that ended; if all watches
 // ended together, it would be up to a full watch old for everyone.
 func (g *Gate) watchOffset(watch time.Duration) time.Duration {
-	all := g.storeReaders(g.state.Load())
-	rank := slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
-	return watch * time.Duration(max(0, rank)) / time.Duration(max(1, len(all)))
+	readers := g.storeReaders(g.state.Load())
+	rank := slices.IndexFunc(readers, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
+	return watch * time.Duration(max(0, rank)) / time.Duration(max(1, len(readers)))
 }
 
 // readDelay returns the time to wait before the next read of the store after a number of failures in a row. Only
 // store readers retry at minReadInterval during an outage; a hundred others would add two calls a second each, though
 // it is enough for them to ask within MaxPropagation.
-func (g *Gate) readDelay(fails int) time.Duration {
+func (g *Gate) readDelay(failures int) time.Duration {
 	if g.isStoreReader() {
 		return minReadInterval
 	}
-	most := max(minReadInterval, g.config.Settings.MaxPropagation/2)
-	return min(most, minReadInterval*time.Duration(1+fails))
+	longest := max(minReadInterval, g.config.Settings.MaxPropagation/2)
+	return min(longest, minReadInterval*time.Duration(1+failures))
 }
 
 const (
@@ -121,11 +121,11 @@
 	if len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers) {
 		return false
 	}
-	patience := restartSyncWait
+	wait := restartSyncWait
 	if s.Bootstrap {
-		patience = bootstrapSyncWait
+		wait = bootstrapSyncWait
 	}
-	until := g.config.Clock.Now().Add(patience)
+	until := g.config.Clock.Now().Add(wait)
 	for g.config.Clock.Now().Before(until) && g.sleep(ctx, startSyncPoll) {
 		if g.state.Load().revision > 0 {
 			return true
@@ -152,8 +152,8 @@
 // If the store readers fail or are partitioned, a hundred entry VMs find their state too old at the same moment. The
 // staggered ages keep them from reading the store all at once: most get the changes from the first ones before their
 // own turn, and the last one still reads before MaxPropagation.
-func maxAgeOfRank(rank, n int, change time.Duration) time.Duration {
-	last := max(maxAge, change-propagationMargin)
+func maxAgeOfRank(rank, n int, maxPropagation time.Duration) time.Duration {
+	last := max(maxAge, maxPropagation-propagationMargin)
 	return maxAge + (last-maxAge)*time.Duration(rank)/time.Duration(max(1, n))
 }
 
@@ -169,52 +169,52 @@
 // readStore reads the store once, by a full read or by a watch of at most the time wait, and reports whether there
 // were changes. A full read always counts as a change.
 func (g *Gate) readStore(ctx context.Context, whole bool, wait time.Duration) (changed bool, err error) {
-	at, begun := g.uptime(), g.config.Clock.Now()
+	verifiedAt, start := g.uptime(), g.config.Clock.Now()
 	ctx, cancel := g.withTimeout(ctx, storeTimeout)
 	defer cancel()
-	var all []pafleet.Change
-	var r pafleet.Revision
+	var changes []pafleet.Change
+	var revision pafleet.Revision
 	since := g.state.Load().revision
 	if whole {
 		g.meter.countStoreCall("List")
-		all, r, err = g.config.Registry.List(ctx)
+		changes, revision, err = g.config.Registry.List(ctx)
 	} else {
 		g.meter.countStoreCall("Watch")
-		all, r, err = g.config.Registry.Watch(ctx, since, wait)
+		changes, revision, err = g.config.Registry.Watch(ctx, since, wait)
 	}
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
-	if !whole && len(all) == 0 && g.config.Clock.Since(begun) >= wait {
+	if !whole && len(changes) == 0 && g.config.Clock.Since(start) >= wait {
 		// The watch ended without a change, so that the state was current at its end.
-		at += wait
+		verifiedAt += wait
 	}
-	g.post(ctx, storeUpdate{changes: all, since: since, revision: r, whole: whole, verifiedAt: at})
-	return whole || len(all) > 0, nil
+	g.post(ctx, storeUpdate{changes: changes, since: since, revision: revision, whole: whole, verifiedAt: verifiedAt})
+	return whole || len(changes) > 0, nil
 }
 
 // keepRegistered keeps this entry VM registered in the store until it shuts down, and then revokes the lease.
 func (g *Gate) keepRegistered(ctx context.Context) {
-	var l paplatform.LeaseID
+	var lease paplatform.LeaseID
 	written := false
-	life := max(registrationTTL, g.config.Settings.MinLeaseTTL)
+	ttl := max(registrationTTL, g.config.Settings.MinLeaseTTL)
 	for ctx.Err() == nil && !g.shuttingDown.Load() {
 		var err error
 		switch {
-		case l == "":
-			l, err = g.grantLease(ctx, life)
+		case lease == "":
+			lease, err = g.grantLease(ctx, ttl)
 			written = false
 			if err == nil {
 				continue
 			}
 		case !written:
-			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Register(ctx, g.self, l) })
+			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Register(ctx, g.self, lease) })
 			written = err == nil
 		default:
-			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.RenewLease(ctx, l) })
+			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.RenewLease(ctx, lease) })
 		}
 		if paplatform.FaultOf(err) == paplatform.LeaseLapsed {
-			l = ""
+			lease = ""
 			continue
 		}
 		select {
@@ -227,19 +227,19 @@
 		case <-ctx.Done():
 		}
 	}
-	if l != "" && g.shuttingDown.Load() {
-		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, l) }); err != nil {
+	if lease != "" && g.shuttingDown.Load() {
+		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, lease) }); err != nil {
 			g.record(paevent.StoreUnreachable{Reason: err.Error()})
 		}
 	}
 }
 
-func (g *Gate) grantLease(ctx context.Context, life time.Duration) (l paplatform.LeaseID, err error) {
+func (g *Gate) grantLease(ctx context.Context, ttl time.Duration) (lease paplatform.LeaseID, err error) {
 	err = g.storeCall(ctx, "Lease", func(ctx context.Context) error {
-		l, err = g.config.Registry.GrantLease(ctx, life)
+		lease, err = g.config.Registry.GrantLease(ctx, ttl)
 		return err
 	})
-	return l, err
+	return lease, err
 }
 
 func (g *Gate) storeCall(ctx context.Context, name string, call func(ctx context.Context) error) error {
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -77,7 +77,7 @@
 		g.refuseAuthentication(w, x, status, reason)
 		return
 	}
-	if most := s.table.Config.Limits.MaxHeader; most > 0 && headerSize(r) > most {
+	if limit := s.table.Config.Limits.MaxHeader; limit > 0 && headerSize(r) > limit {
 		g.writeError(w, x, http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLarge)
 		return
 	}
@@ -94,8 +94,8 @@
 	if !g.admitPipelined(w, x) {
 		return
 	}
-	if comeBack, ok := g.quotas.admit(x, s); !ok {
-		g.refuseWithStatus(w, x, http.StatusTooManyRequests, reasonRateLimit, comeBack)
+	if retryAfter, ok := g.quotas.admit(x, s); !ok {
+		g.refuseWithStatus(w, x, http.StatusTooManyRequests, reasonRateLimit, retryAfter)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
@@ -149,7 +149,7 @@
 	if l.MaxBody > 0 {
 		body = http.MaxBytesReader(nil, r.Body, l.MaxBody)
 	}
-	held, err := io.ReadAll(io.LimitReader(body, maxBuffered+1))
+	buffered, err := io.ReadAll(io.LimitReader(body, maxBuffered+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -157,8 +157,8 @@
 	case err != nil:
 		return http.StatusBadRequest, reasonBadBody
 	}
-	x.buffered = held
-	if len(held) > maxBuffered {
+	x.buffered = buffered
+	if len(buffered) > maxBuffered {
 		x.unbuffered = body
 	}
 	return 0, ""
@@ -183,11 +183,11 @@
 
 // deadlineOf returns when the response is due: by the route's timeout, or by the client's deadline header if sooner.
 func (g *Gate) deadlineOf(x *exchange, r *http.Request) time.Time {
-	wait := x.route.Timeout
+	timeout := x.route.Timeout
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.config.Headers.Deadline), 64); err == nil && ms > 0 {
-		if d := time.Duration(ms * float64(time.Millisecond)); d < wait || wait <= 0 {
-			wait = d
+		if d := time.Duration(ms * float64(time.Millisecond)); d < timeout || timeout <= 0 {
+			timeout = d
 		}
 	}
-	return x.arrived.Add(wait)
+	return x.arrived.Add(timeout)
 }
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -138,10 +138,10 @@
 	}
 	g.spawn(func() { g.controlLoop(ctx) })
 	g.spawn(func() { g.recordListenerError(g.listener.Run()) })
-	others := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
+	plainServers := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
 	g.spawn(func() { g.recordListenerError(front.Serve(g.listener)) })
-	g.spawn(func() { g.recordListenerError(others[0].Serve(listeners[1])) })
-	g.spawn(func() { g.recordListenerError(others[1].Serve(listeners[2])) })
+	g.spawn(func() { g.recordListenerError(plainServers[0].Serve(listeners[1])) })
+	g.spawn(func() { g.recordListenerError(plainServers[1].Serve(listeners[2])) })
 	select {
 	case <-soft.Done():
 		g.shutDown(hard, listeners[0])
@@ -150,7 +150,7 @@
 	g.cancelRequests()
 	front.Close()
 	g.listener.End()
-	for _, o := range others {
+	for _, o := range plainServers {
 		o.Close()
 	}
 	cancel()
@@ -161,15 +161,15 @@
 // listen opens the ports for clients, readiness checks, look-ups and peers, in this order.
 func (g *Gate) listen() ([]net.Listener, error) {
 	s := g.config.Settings
-	var all []net.Listener
+	var listeners []net.Listener
 	for _, a := range []netip.AddrPort{s.Front, s.Ready, s.Directory, s.Peers} {
 		l, err := g.config.Network.Listen(a)
 		if err != nil {
 			return nil, trace.Wrap(err, "listen on %s", a)
 		}
-		all = append(all, l)
+		listeners = append(listeners, l)
 	}
-	return all, nil
+	return listeners, nil
 }
 
 func (g *Gate) server(h http.Handler) *http.Server {
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -36,7 +36,7 @@
 	if !s.table.Config.Keyed {
 		return 0, ""
 	}
-	fields := x.header["Authorization"]
+	credentials := x.header["Authorization"]
 	x.stripCredentials(g.config.Headers.Workspace)
 	if x.route.Public {
 		return 0, ""
@@ -45,7 +45,7 @@
 		// The response is not 401, as a key that is unknown here may have been added since.
 		return http.StatusServiceUnavailable, reasonStale
 	}
-	key, err := pakey.Parse(fields)
+	key, err := pakey.Parse(credentials)
 	switch {
 	case errors.Is(err, pakey.ErrMissing):
 		return http.StatusUnauthorized, reasonNoCredential
@@ -102,24 +102,24 @@
 		return
 	}
 	e := paevent.KeysChanged{Version: next.Config.Version}
-	names := map[string]bool{}
-	count := func(of, in *paroute.Table) (n int) {
+	changed := map[string]bool{}
+	countMissing := func(of, in *paroute.Table) (n int) {
 		for _, w := range of.Config.Workspaces {
 			other := in.Workspace(w.Name)
 			for _, k := range w.Keys {
 				if other == nil || !slices.Contains(other.Keys, k) {
-					names[w.Name] = true
+					changed[w.Name] = true
 					n++
 				}
 			}
 		}
 		return n
 	}
-	e.Added, e.Removed = count(next, old), count(old, next)
-	if len(names) == 0 {
+	e.Added, e.Removed = countMissing(next, old), countMissing(old, next)
+	if len(changed) == 0 {
 		return
 	}
-	for name := range names {
+	for name := range changed {
 		e.Workspaces = append(e.Workspaces, name)
 	}
 	slices.Sort(e.Workspaces)
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -84,34 +84,34 @@
 // run claims the limiter role when nobody holds it, and then holds it.
 func (l *limiter) run(ctx context.Context) {
 	g := l.gate
-	var missing time.Duration
+	var vacantSince time.Duration
 	for ctx.Err() == nil {
-		told := false
+		offered := false
 		select {
 		case <-l.takeOver:
-			told = true
+			offered = true
 		case <-g.config.Clock.After(claimPollInterval):
 		case <-ctx.Done():
 			return
 		}
 		s := g.state.Load()
 		own := s.limiter == g.self.Name
-		if !l.mayClaim(s) || s.limiter != "" && !own && !told {
-			missing = 0
+		if !l.mayClaim(s) || s.limiter != "" && !own && !offered {
+			vacantSince = 0
 			continue
 		}
-		if missing == 0 {
-			missing = max(g.uptime(), g.startUptime+claimStartDelay)
+		if vacantSince == 0 {
+			vacantSince = max(g.uptime(), g.startUptime+claimStartDelay)
 		}
-		if !own && !told && g.uptime()-missing < l.claimDelay(s) {
+		if !own && !offered && g.uptime()-vacantSince < l.claimDelay(s) {
 			continue
 		}
-		missing = 0
-		var was pafleet.Revision
+		vacantSince = 0
+		var expected pafleet.Revision
 		if own {
-			was = s.limiterAt
+			expected = s.limiterAt
 		}
-		if lease, ok := l.claim(ctx, was); ok {
+		if lease, ok := l.claim(ctx, expected); ok {
 			l.holdClaim(ctx, lease)
 		} else {
 			g.sleep(ctx, claimStagger)
@@ -132,11 +132,11 @@
 
 // claimDelay returns how long this entry VM leaves a vacant role to those before it.
 func (l *limiter) claimDelay(s *state) time.Duration {
-	turn := time.Duration(l.rank(s)) * claimStagger
+	delay := time.Duration(l.rank(s)) * claimStagger
 	if l.recentlyIsolated() {
-		turn += isolatedClaimDelay
+		delay += isolatedClaimDelay
 	}
-	return turn
+	return delay
 }
 
 // rank returns how many entry VMs come before this one.
@@ -147,16 +147,16 @@
 }
 
 // claim writes this entry VM into the store as the limiter, if the key is still at revision was.
-func (l *limiter) claim(ctx context.Context, was pafleet.Revision) (paplatform.LeaseID, bool) {
+func (l *limiter) claim(ctx context.Context, expected pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
-	begun := g.uptime()
+	sentAt := g.uptime()
 	lease, err := g.grantLease(ctx, max(claimTTL, g.config.Settings.MinLeaseTTL))
 	if err != nil {
 		return "", false
 	}
-	var at pafleet.Revision
+	var revision pafleet.Revision
 	err = g.storeCall(ctx, "ClaimLimiter", func(ctx context.Context) (err error) {
-		at, err = g.config.Registry.ClaimLimiter(ctx, g.self.Name, was, lease)
+		revision, err = g.config.Registry.ClaimLimiter(ctx, g.self.Name, expected, lease)
 		return err
 	})
 	if err != nil {
@@ -170,42 +170,42 @@
 	if l.fillFrom-l.inheritedAt > inheritedTTL {
 		l.inherited = nil
 	}
-	if was > 0 && g.uptime()-g.startUptime < claimTTL {
+	if expected > 0 && g.uptime()-g.startUptime < claimTTL {
 		// The key still names this process's former run, so that nobody has granted tokens since the start.
 		l.fillFrom = g.startUptime
 	}
-	l.extendClaim(begun)
+	l.extendClaim(sentAt)
 	l.mutex.Unlock()
-	g.record(paevent.LimiterClaimed{Revision: uint64(at)})
-	g.post(ctx, limiterClaimed{at: at})
+	g.record(paevent.LimiterClaimed{Revision: uint64(revision)})
+	g.post(ctx, limiterClaimed{at: revision})
 	return lease, true
 }
 
 // extendClaim sets the end of the claim after a renewal that was sent at an uptime. The mutex must be held.
-func (l *limiter) extendClaim(begun time.Duration) {
-	l.claimEnd = begun + max(claimTTL, l.gate.config.Settings.MinLeaseTTL) - claimMargin
+func (l *limiter) extendClaim(sentAt time.Duration) {
+	l.claimEnd = sentAt + max(claimTTL, l.gate.config.Settings.MinLeaseTTL) - claimMargin
 }
 
 // holdClaim renews the claim until it expires. It resigns when the process shuts down, when too few other entry VMs
 // are reachable, and when the store refuses this entry VM while it serves others.
 func (l *limiter) holdClaim(ctx context.Context, lease paplatform.LeaseID) {
 	g := l.gate
-	touched, next := g.uptime(), g.uptime()+claimRenewInterval
+	reachedAt, renewAt := g.uptime(), g.uptime()+claimRenewInterval
 	// failedAt is the time of the first failed renewal since the last that succeeded.
-	fails, failedAt := 0, time.Duration(0)
+	failures, failedAt := 0, time.Duration(0)
 	for g.sleep(ctx, claimPollInterval) && !g.shuttingDown.Load() {
 		s, now := g.state.Load(), g.uptime()
 		if l.recentlyIsolated() || l.reachesHalf(s) {
-			touched = now
+			reachedAt = now
 		}
 		switch {
-		case now-touched > isolationTimeout:
+		case now-reachedAt > isolationTimeout:
 			l.abandonClaim(ctx, lease)
 			return
-		case fails > 0 && s.verifiedAt > failedAt && l.remaining(now) < handOverBefore:
+		case failures > 0 && s.verifiedAt > failedAt && l.remaining(now) < handOverBefore:
 			l.offerTakeOver(ctx, lease, l.endClaim("the store serves others"))
 			return
-		case now < next:
+		case now < renewAt:
 			continue
 		}
 		switch err := l.renew(ctx, lease, now); {
@@ -213,12 +213,12 @@
 			l.endClaim("the claim lapsed")
 			return
 		case err == nil:
-			fails, next = 0, now+claimRenewInterval
+			failures, renewAt = 0, now+claimRenewInterval
 		default:
-			if fails == 0 {
+			if failures == 0 {
 				failedAt = now
 			}
-			fails, next = fails+1, now+claimRenewRetry
+			failures, renewAt = failures+1, now+claimRenewRetry
 		}
 	}
 	if ctx.Err() == nil {
--- a/pagate/pipeline.go
+++ b/pagate/pipeline.go
@@ -29,9 +29,9 @@
 	if !x.lane.Behind() {
 		return
 	}
-	begun := g.config.Clock.Now()
+	start := g.config.Clock.Now()
 	err := x.lane.AwaitTurn(x.caller)
-	x.pipelineWait += g.config.Clock.Since(begun)
+	x.pipelineWait += g.config.Clock.Since(start)
 	if err != nil {
 		g.recordEnd(x, 0, reasonCallerGone)
 		panic(http.ErrAbortHandler)
--- a/pagate/rateshare.go
+++ b/pagate/rateshare.go
@@ -91,7 +91,7 @@
 }
 
 // admit takes a token for the request, waiting for the limiter if need be. Otherwise it returns the Retry-After.
-func (l *rateShares) admit(x *exchange, s *state) (comeBack time.Duration, ok bool) {
+func (l *rateShares) admit(x *exchange, s *state) (retryAfter time.Duration, ok bool) {
 	w := x.workspace
 	if w == nil || !w.Limited() {
 		return 0, true
@@ -119,12 +119,12 @@
 }
 
 // awaitGrant waits for the limiter's reply to a request in the queue.
-func (l *rateShares) awaitGrant(x *exchange, h *rateShare, granted chan bool) (comeBack time.Duration, ok bool) {
-	patience := min(l.maxWait(limiterWait), x.deadline.Sub(l.gate.config.Clock.Now()))
-	timer := l.gate.config.Clock.NewTimer(max(0, patience))
+func (l *rateShares) awaitGrant(x *exchange, h *rateShare, granted chan bool) (retryAfter time.Duration, ok bool) {
+	wait := min(l.maxWait(limiterWait), x.deadline.Sub(l.gate.config.Clock.Now()))
+	timer := l.gate.config.Clock.NewTimer(max(0, wait))
 	defer timer.Stop()
-	begun := l.gate.config.Clock.Now()
-	defer func() { x.limitWait = l.gate.config.Clock.Since(begun) }()
+	start := l.gate.config.Clock.Now()
+	defer func() { x.limitWait = l.gate.config.Clock.Since(start) }()
 	outcome := "Unanswered"
 	select {
 	case ok = <-granted:
@@ -149,11 +149,11 @@
 //
 // After a power failure of all entry VMs under full load every bucket is empty. With the usual wait clients would be
 // refused in the first second, although a token would come within the next, and be refused again when they return.
-func (l *rateShares) maxWait(usually time.Duration) time.Duration {
+func (l *rateShares) maxWait(usual time.Duration) time.Duration {
 	if l.gate.uptime()-l.gate.startUptime < startPeriod {
 		return startConfigWait
 	}
-	return usually
+	return usual
 }
 
 // cancelWait removes a request from the queue, and reports whether it had been granted a token by then.
@@ -186,11 +186,11 @@
 	division := l.gate.division(w, s)
 	h := l.shares[w.Name]
 	if h == nil {
-		again := 0.0
+		initial := 0.0
 		if l.restarted {
-			again = division.Again
+			initial = division.Again
 		}
-		h = &rateShare{Share: paquota.NewShare(division.Share, again, l.gate.config.Settings.Quota, l.fillFrom)}
+		h = &rateShare{Share: paquota.NewShare(division.Share, initial, l.gate.config.Settings.Quota, l.fillFrom)}
 		l.shares[w.Name] = h
 	}
 	h.Set(division.Share, l.gate.uptime())
@@ -227,9 +227,9 @@
 		if len(wanted) == 0 {
 			continue
 		}
-		begun := g.uptime()
+		start := g.uptime()
 		granted, err := g.limiter.takeTokens(ctx, s, wanted)
-		if g.uptime()-begun > paquota.CallTime {
+		if g.uptime()-start > paquota.CallTime {
 			granted = nil
 		}
 		l.distribute(wanted, granted, err)
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -92,8 +92,8 @@
 
 // roundTrip writes the request and reads the response.
 func (a *attempt) roundTrip(ctx context.Context) attemptResult {
-	limit := a.x.deadline.Add(deadlineSlack)
-	if err := a.conn.SetDeadline(limit); err != nil {
+	deadline := a.x.deadline.Add(deadlineSlack)
+	if err := a.conn.SetDeadline(deadline); err != nil {
 		return a.fail(ctx, trace.Wrap(err))
 	}
 	request := a.newRequest()
@@ -251,8 +251,8 @@
 		a.conn.Close()
 		return
 	}
-	if life, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
-		a.conn.idleLimit = max(0, min(maxConnIdle, life-idleMargin))
+	if timeout, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
+		a.conn.idleLimit = max(0, min(maxConnIdle, timeout-idleMargin))
 	}
 	a.gate.conns.put(a.conn)
 }
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -33,8 +33,8 @@
 	if !g.shuttingDown.Load() {
 		return true
 	}
-	end := time.Duration(g.shutdownAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - killMargin - cancelMargin
-	return x.route.TargetLatency*2 < end
+	remaining := time.Duration(g.shutdownAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - killMargin - cancelMargin
+	return x.route.TargetLatency*2 < remaining
 }
 
 // shutDown returns once all requests that clients may still send are responded to, or the grace period is nearly
@@ -44,20 +44,20 @@
 	g.shuttingDown.Store(true)
 	g.requestRegistration()
 	g.record(paevent.Stopping{Reason: "signal", InFlight: int(g.inFlight.Load())})
-	begun := g.config.Clock.Now()
+	start := g.config.Clock.Now()
 	g.sleep(hard, min(lameDuckTime, g.config.Settings.GracePeriod/2+lameDuckTime/8))
-	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-killMargin-g.config.Clock.Since(begun))
+	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-killMargin-g.config.Clock.Since(start))
 	defer cancel()
-	giveUp := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-killMargin-cancelMargin-g.config.Clock.Since(begun), g.cancelRequests)
-	defer giveUp.Stop()
+	cancelTimer := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-killMargin-cancelMargin-g.config.Clock.Since(start), g.cancelRequests)
+	defer cancelTimer.Stop()
 	if err := listener.Close(); err != nil {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
 	}
-	cut := 0
+	cutOff := 0
 	if !g.drain(ctx) {
-		cut = int(g.inFlight.Load())
+		cutOff = int(g.inFlight.Load())
 	}
-	g.record(paevent.Stopped{CutOff: cut, DrainMilliseconds: g.config.Clock.Since(begun).Milliseconds()})
+	g.record(paevent.Stopped{CutOff: cutOff, DrainMilliseconds: g.config.Clock.Since(start).Milliseconds()})
 }
 
 // newConnTimeout is how long a connection may be open during a shutdown without a complete request header. Clients
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// syncSince calls an entry VM, and asks for the changes after a revision if asked is true; revision 0 asks for the
+// syncSince calls an entry VM, and asks for the changes after a revision if wantChanges is true; revision 0 asks for the
 // whole state. It returns the reply, or nil.
-func (p *peers) syncSince(ctx context.Context, e pafleet.Entry, since pafleet.Revision, asked bool) *pawire.SyncReply {
+func (p *peers) syncSince(ctx context.Context, e pafleet.Entry, since pafleet.Revision, wantChanges bool) *pawire.SyncReply {
 	c := p.conn(e.Peers)
 	if !c.busy.TryLock() {
 		return nil
@@ -56,8 +56,8 @@
 	defer c.busy.Unlock()
 	ctx, cancel := p.gate.withTimeout(ctx, syncTimeout)
 	defer cancel()
-	sent := p.gate.uptime()
-	r, err := p.roundTrip(ctx, c, e, since, asked)
+	sentAt := p.gate.uptime()
+	r, err := p.roundTrip(ctx, c, e, since, wantChanges)
 	if err != nil {
 		if c.conn != nil {
 			c.close(p.gate)
@@ -65,7 +65,7 @@
 		p.recordFailure(e)
 		return nil
 	}
-	p.applyReply(ctx, c, r, peerUpdate{verifiedAt: sent, since: since, requested: asked})
+	p.applyReply(ctx, c, r, peerUpdate{verifiedAt: sentAt, since: since, requested: wantChanges})
 	return r
 }
 
@@ -83,7 +83,7 @@
 	return e.Name == "" || e.Name == p.gate.syncSource(s).Name || p.gate.age(s) > maxAge
 }
 
-func (p *peers) roundTrip(ctx context.Context, c *peerConn, e pafleet.Entry, since pafleet.Revision, asked bool) (*pawire.SyncReply, error) {
+func (p *peers) roundTrip(ctx context.Context, c *peerConn, e pafleet.Entry, since pafleet.Revision, wantChanges bool) (*pawire.SyncReply, error) {
 	if c.conn == nil {
 		raw, err := p.gate.dialCounted(ctx, e.Peers, &p.gate.traffic.neighbours)
 		if err != nil {
@@ -95,7 +95,7 @@
 		Name: p.gate.self.Name, Revision: uint64(since), Leaving: p.gate.shuttingDown.Load(),
 		WarmAfter: c.lastNote, WarmWanted: p.gate.wantsNotes(e),
 	}
-	if !asked {
+	if !wantChanges {
 		q.Revision = noChangesRevision
 	}
 	if c.entry.Name == "" {
@@ -113,9 +113,9 @@
 	return b
 }
 
-// applyReply hands an entry VM's reply to the control loop and to the steering. said holds what was requested, and in
+// applyReply hands an entry VM's reply to the control loop and to the steering. update holds what was requested, and in
 // verifiedAt when.
-func (p *peers) applyReply(ctx context.Context, c *peerConn, r *pawire.SyncReply, said peerUpdate) {
+func (p *peers) applyReply(ctx context.Context, c *peerConn, r *pawire.SyncReply, update peerUpdate) {
 	if len(r.GetEntry()) > 0 {
 		if err := json.Unmarshal(r.GetEntry(), &c.entry); err != nil {
 			p.gate.record(paevent.NeighbourUnreadable{Reason: err.Error()})
@@ -133,17 +133,17 @@
 	}
 	// A negative age would make the state look newer than it is.
 	age := max(0, time.Duration(r.GetAgeMicroseconds())*time.Microsecond)
-	said.from, said.revision = c.entry, pafleet.Revision(r.GetRevision())
-	said.verifiedAt -= age
+	update.from, update.revision = c.entry, pafleet.Revision(r.GetRevision())
+	update.verifiedAt -= age
 	if len(r.GetDelta()) > 0 {
 		p.gate.traffic.changes.Add(uint64(len(r.GetDelta())))
-		said.delta = &pafleet.Delta{}
-		if err := decodeDelta(r.GetDelta(), said.delta); err != nil {
+		update.delta = &pafleet.Delta{}
+		if err := decodeDelta(r.GetDelta(), update.delta); err != nil {
 			p.gate.record(paevent.NeighbourUnreadable{Reason: err.Error()})
 			return
 		}
 	}
-	p.gate.post(ctx, said)
+	p.gate.post(ctx, update)
 }
 
 // Sync handles a neighbour's call.
@@ -188,11 +188,11 @@
 
 // changesSince gets the changes after a revision from the control loop.
 func (p *peers) changesSince(ctx context.Context, since pafleet.Revision) (deltaReply, error) {
-	to := make(chan deltaReply, 1)
-	p.gate.post(ctx, deltaRequest{since: since, reply: to})
+	replies := make(chan deltaReply, 1)
+	p.gate.post(ctx, deltaRequest{since: since, reply: replies})
 	select {
-	case t := <-to:
-		return t, nil
+	case reply := <-replies:
+		return reply, nil
 	case <-ctx.Done():
 		return deltaReply{}, ctx.Err()
 	}
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -73,9 +73,9 @@
 	g := l.gate
 	l.mutex.Lock()
 	now := g.uptime()
-	here, name := now < l.claimEnd, l.currentLimiter(s, now)
+	own, name := now < l.claimEnd, l.currentLimiter(s, now)
 	l.mutex.Unlock()
-	if here {
+	if own {
 		return l.grant(wanted, l.nameHash).GetGranted(), nil
 	}
 	if name == "" {
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -26,7 +26,7 @@
 // first target of their ranking. Each of these would run cold once more, while disconnected clients repeat their
 // requests.
 func (g *Gate) saveWarmNotes(ctx context.Context) {
-	var kept uint64
+	var saved uint64
 	for g.sleep(ctx, warmSaveInterval) {
 		if g.shuttingDown.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
 			continue
@@ -34,13 +34,13 @@
 		g.steerMutex.Lock()
 		notes, last := g.steer.Warm(maxSavedNotes, g.config.Clock.Now())
 		g.steerMutex.Unlock()
-		if last == kept {
+		if last == saved {
 			continue
 		}
 		err := g.storeCall(ctx, "KeepWarm", func(ctx context.Context) error { return g.config.Registry.SaveWarmNotes(ctx, notes) })
 		switch {
 		case err == nil:
-			kept = last
+			saved = last
 		case ctx.Err() == nil && paplatform.FaultOf(err) != paplatform.Conflict:
 			g.record(paevent.StoreUnreachable{Reason: err.Error()})
 		}
@@ -83,9 +83,9 @@
 // notesAfter returns the notes after one that the neighbour has, as far as noteBudget allows.
 func (p *peers) notesAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
 	now := p.gate.config.Clock.Now()
-	most := p.noteBudget.available(now)
+	available := p.noteBudget.available(now)
 	p.gate.steerMutex.Lock()
-	all, last := p.gate.steer.WarmNotes(after, most, now)
+	all, last := p.gate.steer.WarmNotes(after, available, now)
 	p.gate.steerMutex.Unlock()
 	p.noteBudget.spend(len(all))
 	for _, n := range all {
