--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -21,7 +21,7 @@
 	reasonDeadline       = "DeadlinePassed"
 	reasonShuttingDown   = "ShuttingDown"
 	reasonAttemptsSpent  = "AttemptsSpent"
-	reasonCallerGone     = "CallerGone"
+	reasonClientGone     = "CallerGone"
 	reasonAnswerCut      = "AnswerCut"
 	reasonBehindOthers   = "BehindOthers"
 	reasonNoCredential   = "NoCredential"
@@ -73,7 +73,7 @@
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterShedWithRoom)
 	case !x.mayHaveExecuted:
 		g.refuse(w, x, reasonAttemptsSpent, retryAfterTargetsFull)
-	case r.outcome == pasteer.Abandoned && g.requests.Err() != nil:
+	case r.outcome == pasteer.Abandoned && g.requestsCtx.Err() != nil:
 		g.writeError(w, x, http.StatusGatewayTimeout, reasonShuttingDown)
 	case r.outcome == pasteer.Abandoned:
 		g.writeError(w, x, http.StatusGatewayTimeout, reasonDeadline)
@@ -153,7 +153,8 @@
 	s := g.state.Load()
 	g.record(paevent.RequestEnded{
 		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: route, Status: status, Reason: reason,
-		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: elapsed.Microseconds(),
+		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object,
+		Tried: len(x.tried), Version: x.version, Microseconds: elapsed.Microseconds(),
 		Load: x.lastChoice.Load, Warm: x.lastChoice.Warm, Held: x.lastChoice.Held, BehindMicroseconds: x.pipelineWait.Microseconds(),
 		LimitMicroseconds: x.limitWait.Microseconds(),
 		KnownMilliseconds: g.age(s).Milliseconds(), Revision: uint64(s.revision),
--- a/pagate/forward.go
+++ b/pagate/forward.go
@@ -24,8 +24,8 @@
 		case r.reply != nil && !g.takeRetry(x, r):
 			g.writeReply(w, x, r)
 			return
-		case x.caller.Err() != nil:
-			g.recordEnd(x, 0, reasonCallerGone)
+		case x.clientCtx.Err() != nil:
+			g.recordEnd(x, 0, reasonClientGone)
 			panic(http.ErrAbortHandler)
 		}
 		if r.reply != nil {
@@ -71,7 +71,9 @@
 	now := g.config.Clock.Now()
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
-	q := pasteer.Request{Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions()}
+	q := pasteer.Request{
+		Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions(),
+	}
 	c := g.steer.Choose(q, now)
 	x.lastChoice = c
 	g.meter.countChoice(c)
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -47,8 +47,8 @@
 	failedReply     *reply
 	// lastChoice is the last choice of a target, for the log.
 	lastChoice pasteer.Choice
-	// caller is done when the client disconnects.
-	caller context.Context
+	// clientCtx is done when the client disconnects.
+	clientCtx context.Context
 	// lane tracks the requests ahead on the client's connection; pipelineWait is how long the request, or its
 	// response, waited for them.
 	lane         *palane.Lane
@@ -58,8 +58,8 @@
 // inline reports whether the request is small enough to be written before its response is awaited.
 func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= maxInlineWrite }
 
-// serveCaller handles one client request.
-func (g *Gate) serveCaller(w http.ResponseWriter, r *http.Request) {
+// serveClient handles one client request.
+func (g *Gate) serveClient(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := g.newExchange(r)
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(g.requests, cancel)()
+	defer context.AfterFunc(g.requestsCtx, cancel)()
 	g.forward(ctx, w, x)
 }
 
@@ -109,7 +109,7 @@
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: paheader.EndToEnd(r.Header), size: r.ContentLength, arrived: g.config.Clock.Now(),
-		caller: r.Context(), lane: palane.Of(r.Context()),
+		clientCtx: r.Context(), lane: palane.Of(r.Context()),
 	}
 	if c, err := r.Cookie(g.config.Headers.ObjectCookie); err == nil {
 		x.object = c.Value
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -27,6 +27,7 @@
 	config Config
 	self   pafleet.Entry
 	state  atomic.Pointer[state]
+	// events is the input of the control loop.
 	events chan event
 	peers  *peers
 	// quotas holds this entry VM's shares of the rate limits, limiter the shared pools while this entry VM is the
@@ -51,18 +52,21 @@
 	steerMutex sync.Mutex
 	steer      *pasteer.Steer
 
-	// requests is canceled shortly before the process is killed, so that requests in progress still get a
+	// requestsCtx is canceled shortly before the process is killed, so that requests in progress still get a
 	// response.
-	requests       context.Context
+	requestsCtx    context.Context
 	cancelRequests context.CancelFunc
 
-	listener     *palane.Listener
-	shuttingDown atomic.Bool
-	shutdownAt   atomic.Int64
-	inFlight     atomic.Int64
-	reregister   chan struct{}
-	traffic      controlTraffic
-	goroutines   sync.WaitGroup
+	// clientListener accepts the clients' connections.
+	clientListener *palane.Listener
+	shuttingDown   atomic.Bool
+	// shutdownAt is when the shutdown started, in Unix nanoseconds.
+	shutdownAt atomic.Int64
+	inFlight   atomic.Int64
+	// reregister wakes keepRegistered.
+	reregister chan struct{}
+	traffic    controlTraffic
+	goroutines sync.WaitGroup
 }
 
 // New returns a Gate that is not running yet.
@@ -84,7 +88,7 @@
 			RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryFloor: s.RetryFloor, MaxShift: s.MaxShift, Off: c.Off,
 		}),
 	}
-	g.requests, g.cancelRequests = context.WithCancel(context.Background())
+	g.requestsCtx, g.cancelRequests = context.WithCancel(context.Background())
 	g.startUptime = g.uptime()
 	g.self.BornUp = g.startUptime.Milliseconds()
 	g.state.Store(&state{verifiedAt: longBeforeStart})
@@ -92,7 +96,7 @@
 	g.conns = &connPool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*targetConn{}}
 	g.peers = newPeers(g)
 	g.limiter = newLimiter(g)
-	g.quotas = newLimits(g)
+	g.quotas = newRateShares(g)
 	g.exportTraffic()
 	return g
 }
@@ -121,7 +125,9 @@
 		return err
 	}
 	s := g.config.Settings
-	g.record(paevent.Started{Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String()})
+	g.record(paevent.Started{
+		Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String(),
+	})
 	g.spawn(func() { g.followStore(ctx) })
 	g.spawn(func() { g.keepRegistered(ctx) })
 	g.spawn(func() { g.saveWarmNotes(ctx) })
@@ -130,16 +136,18 @@
 	g.spawn(func() { g.limiter.run(ctx) })
 	g.spawn(func() { g.logTraffic(ctx) })
 	g.spawn(func() { g.servePeers(ctx, listeners[3]) })
-	g.listener = palane.Listen(palane.Config{
-		Base: listeners[0], Clock: g.config.Clock, MaxHeader: maxHeader, HeadTimeout: func() time.Duration { return g.callerLimits().HeaderTimeout },
+	g.clientListener = palane.Listen(palane.Config{
+		Base: listeners[0], Clock: g.config.Clock, MaxHeader: maxHeader,
+		HeadTimeout: func() time.Duration { return g.clientLimits().HeaderTimeout },
 	})
 	front := &http.Server{
-		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.listener.Observe, ConnContext: palane.WithLane,
+		Handler: http.HandlerFunc(g.serveClient), MaxHeaderBytes: maxHeader,
+		ConnState: g.clientListener.Observe, ConnContext: palane.WithLane,
 	}
 	g.spawn(func() { g.controlLoop(ctx) })
-	g.spawn(func() { g.recordListenerError(g.listener.Run()) })
+	g.spawn(func() { g.recordListenerError(g.clientListener.Run()) })
 	plainServers := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
-	g.spawn(func() { g.recordListenerError(front.Serve(g.listener)) })
+	g.spawn(func() { g.recordListenerError(front.Serve(g.clientListener)) })
 	g.spawn(func() { g.recordListenerError(plainServers[0].Serve(listeners[1])) })
 	g.spawn(func() { g.recordListenerError(plainServers[1].Serve(listeners[2])) })
 	select {
@@ -149,7 +157,7 @@
 	}
 	g.cancelRequests()
 	front.Close()
-	g.listener.End()
+	g.clientListener.End()
 	for _, o := range plainServers {
 		o.Close()
 	}
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -40,7 +40,7 @@
 	claimStartDelay = time.Second
 	// claimPollInterval is the interval of checks whether there is a limiter.
 	claimPollInterval = 50 * time.Millisecond
-	// hintTTL is how long another entry VM's word on who is the limiter counts.
+	// hintTTL is how long a hint from another entry VM on the current limiter is valid.
 	hintTTL = 3 * time.Second
 )
 
@@ -78,7 +78,10 @@
 }
 
 func newLimiter(g *Gate) *limiter {
-	return &limiter{gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1), pools: map[string]*paquota.Pool{}, claimEnd: longBeforeStart, isolatedAt: longBeforeStart}
+	return &limiter{
+		gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1),
+		pools: map[string]*paquota.Pool{}, claimEnd: longBeforeStart, isolatedAt: longBeforeStart,
+	}
 }
 
 // run claims the limiter role when nobody holds it, and then holds it.
--- a/pagate/logging.go
+++ b/pagate/logging.go
@@ -17,7 +17,7 @@
 
 const (
 	// changeLineRate and changeLineBurst bound the log lines on single targets and entry VMs, per second and at
-	// once. FleetChanged sums up what is known at a start, or changes at once.
+	// once. Of what is known at a start, or changes at once, FleetChanged logs the numbers.
 	changeLineRate  = 10
 	changeLineBurst = 100
 	// appliedLineRate and appliedLineBurst bound the lines on revisions learned from neighbours.
@@ -71,7 +71,7 @@
 		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigAt)})
 	}
 	if g.logged.targets == nil {
-		// At the start there is no burst, so that the first view is logged as a sum.
+		// The bucket starts empty, so that of the first view only the numbers are logged.
 		g.logged.changeLines = tokenBucket{rate: changeLineRate, burst: changeLineBurst, refilledAt: now}
 		g.logged.targets, g.logged.entries = map[string]paevent.TargetKnown{}, map[string]string{}
 	}
@@ -134,7 +134,8 @@
 	from := processRun{name: p.from.Name, born: p.from.Born}
 	e := paevent.NeighbourFollowed{Entry: from.name, Born: from.born, Since: uint64(p.since), Revision: uint64(r)}
 	if d := p.delta; d != nil {
-		e.Whole, e.Targets, e.Gone, e.Entries, e.Left, e.Zones = d.Whole, len(d.Targets), len(d.Gone), len(d.Entries), len(d.Left), len(d.Zones)
+		e.Whole, e.Targets, e.Gone, e.Entries, e.Left, e.Zones =
+			d.Whole, len(d.Targets), len(d.Gone), len(d.Entries), len(d.Left), len(d.Zones)
 	}
 	g.meter.deltasApplied(deltaKind(p.delta)).Inc()
 	if p.delta == nil && g.logged.lastApplied == from {
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -94,7 +94,7 @@
 			g.conns.closeExpired(now)
 			g.logDroppedLines()
 			g.logStaleness(g.state.Load())
-			g.listener.Reap(now, g.callerLimits().IdleTimeout)
+			g.clientListener.Reap(now, g.clientLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
 			changed = g.handleEvent(&v, e, &verifiedAt, now)
--- a/pagate/peers.go
+++ b/pagate/peers.go
@@ -38,7 +38,7 @@
 	fullSyncRunning atomic.Bool
 }
 
-// peer is what the calls to and from a neighbour showed.
+// peer is a neighbour's registration and health, as seen in the calls to and from it.
 type peer struct {
 	entry     pafleet.Entry
 	failures  int
@@ -50,13 +50,14 @@
 type peerConn struct {
 	busy sync.Mutex
 	conn *drpcconn.Conn
-	// entry is the registration that the neighbour sent on this connection; lastNote is the last of its warm notes received.
+	// entry is the registration that the neighbour sent on this connection; lastNote is the last of its warm notes
+	// received.
 	entry    pafleet.Entry
 	lastNote uint64
 }
 
-// close closes the connection after a failed call; the next call opens another.
-func (c *peerConn) close(g *Gate) {
+// disconnect closes the connection after a failed call; the next call opens another.
+func (c *peerConn) disconnect(g *Gate) {
 	if err := c.conn.Close(); err != nil {
 		g.meter.peerCloseErrors.Inc()
 	}
@@ -64,7 +65,10 @@
 }
 
 func newPeers(g *Gate) *peers {
-	return &peers{gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{}, noteBudget: tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}}
+	return &peers{
+		gate: g, known: map[string]*peer{}, conns: map[netip.AddrPort]*peerConn{},
+		noteBudget: tokenBucket{rate: notesPerSecond, burst: maxNoteBurst},
+	}
 }
 
 // run calls all callees at each syncInterval.
--- a/pagate/pipeline.go
+++ b/pagate/pipeline.go
@@ -30,10 +30,10 @@
 		return
 	}
 	start := g.config.Clock.Now()
-	err := x.lane.AwaitTurn(x.caller)
+	err := x.lane.AwaitTurn(x.clientCtx)
 	x.pipelineWait += g.config.Clock.Since(start)
 	if err != nil {
-		g.recordEnd(x, 0, reasonCallerGone)
+		g.recordEnd(x, 0, reasonClientGone)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/pagate/rateshare.go
+++ b/pagate/rateshare.go
@@ -61,9 +61,10 @@
 	waiters []chan bool
 }
 
-func newLimits(g *Gate) *rateShares {
+func newRateShares(g *Gate) *rateShares {
 	return &rateShares{
-		gate: g, wakeUp: make(chan struct{}, 1), shares: map[string]*rateShare{}, fillFrom: g.startUptime + firstStartDelay, failedAt: longBeforeStart,
+		gate: g, wakeUp: make(chan struct{}, 1), shares: map[string]*rateShare{},
+		fillFrom: g.startUptime + firstStartDelay, failedAt: longBeforeStart,
 	}
 }
 
@@ -131,7 +132,7 @@
 		outcome = "Dry"
 	case <-timer.Chan():
 		ok = l.cancelWait(h, granted)
-	case <-x.caller.Done():
+	case <-x.clientCtx.Done():
 		ok = l.cancelWait(h, granted)
 	}
 	if ok {
--- a/pagate/state.go
+++ b/pagate/state.go
@@ -71,8 +71,8 @@
 	return s.table.Config.Version
 }
 
-// callerLimits returns the limits on clients' requests, with defaults for the timeouts.
-func (g *Gate) callerLimits() paroute.Limits {
+// clientLimits returns the limits on clients' requests, with defaults for the timeouts.
+func (g *Gate) clientLimits() paroute.Limits {
 	l := paroute.Limits{HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	s := g.state.Load()
 	if s.table == nil {
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -74,7 +74,7 @@
 // process stalls while a request arrives and reads it right after, the client would lose the connection without a
 // response.
 func (g *Gate) drain(ctx context.Context) bool {
-	for g.listener.Drain(g.config.Clock.Now(), newConnTimeout) > 0 {
+	for g.clientListener.Drain(g.config.Clock.Now(), newConnTimeout) > 0 {
 		if !g.sleep(ctx, drainPollInterval) {
 			return false
 		}
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -60,7 +60,7 @@
 	r, err := p.roundTrip(ctx, c, e, since, wantChanges)
 	if err != nil {
 		if c.conn != nil {
-			c.close(p.gate)
+			c.disconnect(p.gate)
 		}
 		p.recordFailure(e)
 		return nil
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -59,8 +59,8 @@
 	return p
 }
 
-// currentLimiter returns the presumed limiter. After hintUntil the store's word has priority over the hint, unless it
-// names nobody, or this entry VM, which knows that it is not. The mutex must be held.
+// currentLimiter returns the presumed limiter. After hintUntil the limiter key in the store has priority over the hint,
+// unless it is empty, or names this entry VM, whose claim has ended. The mutex must be held.
 func (l *limiter) currentLimiter(s *state, now time.Duration) string {
 	if l.hint != "" && (now < l.hintUntil || s.limiter == "" || s.limiter == l.gate.self.Name) {
 		return l.hint
