--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -59,7 +59,7 @@
 	case x.mayHaveExecuted:
 		g.writeError(w, x, http.StatusBadGateway, string(c.Reason))
 	default:
-		g.refuse(w, x, string(c.Reason), c.ComeBack)
+		g.refuse(w, x, string(c.Reason), c.RetryAfter)
 	}
 }
 
--- a/pagate/config.go
+++ b/pagate/config.go
@@ -50,7 +50,7 @@
 	// partitioned from the store; 0 means no bound.
 	MaxRevocation time.Duration
 	// Quota are the platform's terms of rate limits.
-	Quota paquota.Terms
+	Quota paquota.Tolerance
 	// LinkMbps is the bandwidth of the VM's own link in Mbit/s; 0 means unknown.
 	LinkMbps float64
 }
--- a/pagate/delta_test.go
+++ b/pagate/delta_test.go
@@ -16,14 +16,14 @@
 	for i := range 400 {
 		c.Routes = append(c.Routes, paroute.Route{
 			Name: fmt.Sprintf("route-%d", i), Host: "site.example", Prefix: fmt.Sprintf("/p%d/", i),
-			Parts: []paroute.Part{{Service: "s", Weight: 1}}, MaxAttempts: 2,
+			Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2,
 		})
 	}
 	return c
 }
 
 func TestDeltaRoundTrip(t *testing.T) {
-	d := &pafleet.Delta{Revision: 7, Config: largeConfig(), ConfigAt: 7, Left: []pafleet.EntryGone{{Name: "e", Revision: 6}}}
+	d := &pafleet.Delta{Revision: 7, Config: largeConfig(), ConfigAt: 7, Left: []pafleet.EntryRemoved{{Name: "e", Revision: 6}}}
 	b, err := encodeDelta(d)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	g := New(Config{Network: noNetwork{}, Clock: clock})
 	var v pafleet.View
 	verifiedAt := g.uptime()
-	v.Replace(nil, 5, clock.Now())
+	v.ApplyListing(nil, 5, clock.Now())
 	g.handleEvent(&v, peerUpdate{revision: 9, verifiedAt: verifiedAt + 1}, &verifiedAt, clock.Now())
 	if v.Revision != 5 {
 		t.Errorf("revision %d, want 5", v.Revision)
--- a/pagate/forward.go
+++ b/pagate/forward.go
@@ -10,7 +10,7 @@
 // forward sends the request to targets until one responds, and writes the response.
 func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, x *exchange) {
 	g.steerMutex.Lock()
-	x.service = g.steer.Part(x.route, x.arrived)
+	x.service = g.steer.PickService(x.route, x.arrived)
 	g.steerMutex.Unlock()
 	for dials, sheds := 0, 0; ; {
 		c := g.choose(x)
@@ -63,7 +63,7 @@
 func (g *Gate) shedWithRoom(r attemptResult) bool {
 	g.steerMutex.Lock()
 	defer g.steerMutex.Unlock()
-	return g.steer.ShedWithRoom(r.report)
+	return g.steer.ShedWithFreeSlot(r.report)
 }
 
 // choose picks the target of the next attempt.
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -109,7 +109,7 @@
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: paheader.EndToEnd(r.Header), size: r.ContentLength, arrived: g.config.Clock.Now(),
-		clientCtx: r.Context(), lane: palane.Of(r.Context()),
+		clientCtx: r.Context(), lane: palane.FromContext(r.Context()),
 	}
 	if c, err := r.Cookie(g.config.Headers.ObjectCookie); err == nil {
 		x.object = c.Value
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -50,7 +50,7 @@
 
 	// steerMutex guards steer and the random source, which all requests share.
 	steerMutex sync.Mutex
-	steer      *pasteer.Steer
+	steer      *pasteer.Balancer
 
 	// requestsCtx is canceled shortly before the process is killed, so that requests in progress still get a
 	// response.
@@ -136,13 +136,13 @@
 	g.spawn(func() { g.limiter.run(ctx) })
 	g.spawn(func() { g.logTraffic(ctx) })
 	g.spawn(func() { g.servePeers(ctx, listeners[3]) })
-	g.clientListener = palane.Listen(palane.Config{
-		Base: listeners[0], Clock: g.config.Clock, MaxHeader: maxHeader,
-		HeadTimeout: func() time.Duration { return g.clientLimits().HeaderTimeout },
+	g.clientListener = palane.NewListener(palane.Config{
+		Base: listeners[0], Clock: g.config.Clock, MaxHeaderBytes: maxHeader,
+		HeaderTimeout: func() time.Duration { return g.clientLimits().HeaderTimeout },
 	})
 	front := &http.Server{
 		Handler: http.HandlerFunc(g.serveClient), MaxHeaderBytes: maxHeader,
-		ConnState: g.clientListener.Observe, ConnContext: palane.WithLane,
+		ConnState: g.clientListener.TrackState, ConnContext: palane.WithLane,
 	}
 	g.spawn(func() { g.controlLoop(ctx) })
 	g.spawn(func() { g.recordListenerError(g.clientListener.Run()) })
@@ -157,7 +157,7 @@
 	}
 	g.cancelRequests()
 	front.Close()
-	g.clientListener.End()
+	g.clientListener.CloseConnections()
 	for _, o := range plainServers {
 		o.Close()
 	}
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -17,7 +17,7 @@
 // interval.
 type gossipSim struct {
 	entries []pafleet.Entry
-	steers  []*pasteer.Steer
+	steers  []*pasteer.Balancer
 	// asks lists for each entry VM the ones that it asks, and after the last note that it got from each of these.
 	asks   [][]int
 	after  [][]uint64
@@ -36,10 +36,10 @@
 	o.sent, o.inSecond, o.peak = make([]int, entries), make([]int, entries), make([]int, entries)
 	v := &pafleet.View{}
 	zones := map[string]string{}
-	changes := []pafleet.Change{pafleet.ConfigWritten{Revision: 1, Config: &paroute.Config{Version: 1, Services: map[string]paroute.Service{"s": {}}}}}
+	changes := []pafleet.Change{pafleet.ConfigUpdated{Revision: 1, Config: &paroute.Config{Version: 1, Services: map[string]paroute.Service{"s": {}}}}}
 	for i := range gossipTargets {
 		t := pafleet.Target{ID: fmt.Sprint("t", i), Service: "s", Zone: "r0", Slots: 3, Born: 1, Sequence: 1, Revision: pafleet.Revision(i + 2)}
-		changes = append(changes, pafleet.TargetSaid{Target: t})
+		changes = append(changes, pafleet.TargetUpdated{Target: t})
 	}
 	index := map[string]int{}
 	for i := range entries {
@@ -50,7 +50,7 @@
 		o.budget[i] = &tokenBucket{rate: notesPerSecond, burst: maxNoteBurst}
 		o.entries = append(o.entries, e)
 	}
-	v.Replace(changes, gossipTargets+2, gossipStart)
+	v.ApplyListing(changes, gossipTargets+2, gossipStart)
 	s := &state{entries: o.entries}
 	for _, e := range o.entries {
 		g := New(Config{Settings: Settings{Name: e.Name, Zone: e.Zone, Region: e.Region, Regions: zones}, Network: noNetwork{}, Clock: clockwork.NewFakeClock()})
@@ -94,7 +94,7 @@
 	o.sent[from] += len(notes)
 	o.inSecond[from] += len(notes)
 	o.peak[from] = max(o.peak[from], o.inSecond[from])
-	o.steers[to].HearWarm(notes, now.Add(replyDelay))
+	o.steers[to].ApplyNotes(notes, now.Add(replyDelay))
 }
 
 func (o *gossipSim) start(entry int, target, object string, now time.Time) {
@@ -167,4 +167,4 @@
 	}
 }
 
-var warmRoute = &paroute.Route{Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Affinity: true, TargetLatency: time.Second, Timeout: time.Minute}
+var warmRoute = &paroute.Route{Name: "r", Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, Affinity: true, TargetLatency: time.Second, Timeout: time.Minute}
--- a/pagate/handover.go
+++ b/pagate/handover.go
@@ -42,7 +42,7 @@
 	l.connMutex.Lock()
 	defer l.connMutex.Unlock()
 	for _, e := range l.successors() {
-		ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
+		ctx, cancel := g.withTimeout(ctx, paquota.MaxCallTime)
 		c, err := l.connect(ctx, e)
 		if err == nil {
 			_, err = pawire.NewDRPCLimitingClient(c).TakeOver(ctx, &pawire.TakeOverRequest{Lease: string(lease), Left: left})
--- a/pagate/history_test.go
+++ b/pagate/history_test.go
@@ -53,7 +53,7 @@
 		f.gates = append(f.gates, g)
 		e := g.self
 		e.Revision = pafleet.Revision(i + 1)
-		f.changes = append(f.changes, pafleet.EntrySaid{Entry: e})
+		f.changes = append(f.changes, pafleet.EntryUpdated{Entry: e})
 	}
 	s := &state{entries: f.entries()}
 	order := f.gates[0].liveByHash(s)
@@ -69,7 +69,7 @@
 
 func (f *testCluster) entries() (all []pafleet.Entry) {
 	for _, c := range f.changes {
-		all = append(all, c.(pafleet.EntrySaid).Entry)
+		all = append(all, c.(pafleet.EntryUpdated).Entry)
 	}
 	return all
 }
@@ -106,11 +106,11 @@
 func TestRestartedStoreReaderSendsNoWholeState(t *testing.T) {
 	f := newTestCluster(t, 3)
 	restarted, reader, follower := f.gates[0], f.gates[1], f.gates[2]
-	target := pafleet.TargetSaid{Target: pafleet.Target{ID: "t", Service: "s", Revision: 8, Sequence: 1}}
+	target := pafleet.TargetUpdated{Target: pafleet.Target{ID: "t", Service: "s", Revision: 8, Sequence: 1}}
 	for _, g := range []*Gate{reader, follower} {
 		f.readStore(g, true, 10, target)
 	}
-	f.readStore(reader, false, 14, pafleet.TargetGone{ID: "t", Revision: 12})
+	f.readStore(reader, false, 14, pafleet.TargetRemoved{ID: "t", Revision: 12})
 	f.readStore(restarted, true, 14)
 	follower.peers.syncWith(context.Background(), restarted.self)
 	if !waitFor(func() bool { return follower.state.Load().revision == 14 }) {
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -52,7 +52,7 @@
 	case err != nil:
 		return http.StatusUnauthorized, reasonMalformedKey
 	}
-	if x.workspace = s.table.Holder(key); x.workspace == nil {
+	if x.workspace = s.table.WorkspaceByKey(key); x.workspace == nil {
 		return http.StatusUnauthorized, reasonUnknownKey
 	}
 	x.header.Set(g.config.Headers.Workspace, x.workspace.Name)
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -125,7 +125,7 @@
 // mayClaim reports whether this entry VM may become the limiter: there are limits, it is registered and not shutting
 // down.
 func (l *limiter) mayClaim(s *state) bool {
-	return s.table != nil && s.table.Limited() && s.registered && !l.gate.shuttingDown.Load()
+	return s.table != nil && s.table.HasRateLimit() && s.registered && !l.gate.shuttingDown.Load()
 }
 
 // byBandwidth ranks entry VMs as limiters: those with more bandwidth come first, as all others call the limiter.
@@ -254,7 +254,7 @@
 	l.mutex.Lock()
 	l.claimEnd = longBeforeStart
 	for name, p := range l.pools {
-		if n := p.Leave(l.gate.uptime()); n > 0 {
+		if n := p.Drain(l.gate.uptime()); n > 0 {
 			left = append(left, &pawire.Left{Workspace: name, Tokens: uint32(n)})
 		}
 	}
--- a/pagate/logging.go
+++ b/pagate/logging.go
@@ -68,7 +68,7 @@
 // logChanges logs how the view differs from what was last logged.
 func (g *Gate) logChanges(v *pafleet.View, old *state, now time.Time) {
 	if v.Config != nil && v.Config.Version != old.configVersion() {
-		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigAt)})
+		g.record(paevent.ConfigurationInForce{Version: v.Config.Version, Before: old.configVersion(), Revision: uint64(v.ConfigRevision)})
 	}
 	if g.logged.targets == nil {
 		// The bucket starts empty, so that of the first view only the numbers are logged.
@@ -92,7 +92,7 @@
 		case m.Draining:
 			e.State = targetDraining
 			draining++
-		case !m.Lapsed.IsZero():
+		case !m.LapsedAt.IsZero():
 			e.State = targetLapsed
 		}
 		if g.logged.targets[id] == e {
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -90,11 +90,11 @@
 		case <-tick.Chan():
 			now = g.config.Clock.Now()
 			g.logged.source = ""
-			changed = v.Expire(now)
+			changed = v.ExpireLapsed(now)
 			g.conns.closeExpired(now)
 			g.logDroppedLines()
 			g.logStaleness(g.state.Load())
-			g.clientListener.Reap(now, g.clientLimits().IdleTimeout)
+			g.clientListener.CloseIdle(now, g.clientLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
 			changed = g.handleEvent(&v, e, &verifiedAt, now)
@@ -114,16 +114,16 @@
 		g.logged.source = sourceStore
 		changed := false
 		if e.whole {
-			changed = v.Replace(e.changes, e.revision, now)
+			changed = v.ApplyListing(e.changes, e.revision, now)
 		} else {
-			changed = v.Follow(e.changes, e.since, e.revision, now)
+			changed = v.ApplyRange(e.changes, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
 			*verifiedAt = max(*verifiedAt, e.verifiedAt)
 		}
 		return changed
 	case storeFailure:
-		v.Outage(e.at)
+		v.NoteOutage(e.at)
 	case peerUpdate:
 		if !e.requested && e.revision != v.Revision {
 			return false
@@ -133,7 +133,7 @@
 		if e.delta != nil {
 			changed = v.Merge(e.delta, now)
 		} else {
-			v.Follow(nil, e.since, e.revision, now)
+			v.ApplyRange(nil, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
 			*verifiedAt = max(*verifiedAt, e.verifiedAt)
@@ -143,9 +143,9 @@
 		}
 		return changed
 	case limiterClaimed:
-		return v.Apply(pafleet.LimiterSaid{Name: g.self.Name, Revision: e.at}, now)
+		return v.Apply(pafleet.LimiterUpdated{Name: g.self.Name, Revision: e.at}, now)
 	case deltaRequest:
-		if !v.Covers(e.since) {
+		if !v.CoversSince(e.since) {
 			e.reply <- deltaReply{noHistory: true}
 			break
 		}
@@ -162,7 +162,7 @@
 	}
 	next := &state{
 		table: old.table, revision: v.Revision, verifiedAt: verifiedAt, entries: old.entries, fleetPeak: old.fleetPeak,
-		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterAt,
+		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterRevision,
 	}
 	if changed {
 		g.logChanges(v, old, now)
--- a/pagate/meter.go
+++ b/pagate/meter.go
@@ -54,7 +54,7 @@
 
 // countChoice counts a choice that sends a request to another region, or that was held back from that.
 func (m *meter) countChoice(c pasteer.Choice) {
-	if c.Shifts {
+	if c.Shifted {
 		m.shifted.Inc()
 	}
 	if c.Held {
--- a/pagate/pipeline.go
+++ b/pagate/pipeline.go
@@ -12,7 +12,7 @@
 // ahead may close the connection, and the client then assumes that the request was not read and sends it again. All
 // wait once the responses that wait for their turn reach the lane's bounds.
 func (g *Gate) admitPipelined(w http.ResponseWriter, x *exchange) bool {
-	if !x.lane.Behind() || x.route.Idempotent && x.size == 0 && x.lane.RunsAhead() {
+	if !x.lane.EarlierPending() || x.route.Idempotent && x.size == 0 && x.lane.MayRunEarly() {
 		return true
 	}
 	g.awaitPipeline(x)
@@ -26,7 +26,7 @@
 // awaitPipeline waits until the responses ahead on the client's connection are sent. It panics with
 // http.ErrAbortHandler if the client disconnects.
 func (g *Gate) awaitPipeline(x *exchange) {
-	if !x.lane.Behind() {
+	if !x.lane.EarlierPending() {
 		return
 	}
 	start := g.config.Clock.Now()
@@ -41,9 +41,9 @@
 // beginResponse waits for the response's turn. In the last part of a shutdown it also closes the connection after the
 // last request on it.
 func (g *Gate) beginResponse(w http.ResponseWriter, x *exchange, bytes int) {
-	x.lane.Hold(bytes)
+	x.lane.CountBuffered(bytes)
 	g.awaitPipeline(x)
-	if g.closesConns() && x.lane.CloseAfter() {
+	if g.closesConns() && x.lane.MarkLast() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/pagate/pool.go
+++ b/pagate/pool.go
@@ -144,4 +144,6 @@
 
 // isQuiet reports whether nothing has arrived on the idle connection, neither bytes nor EOF. Bytes after a complete
 // response belong to no request, and would be taken for the next response.
-func (c *targetConn) isQuiet() bool { return c.reader.Buffered() == 0 && pasocket.Quiet(c.Conn) }
+func (c *targetConn) isQuiet() bool {
+	return c.reader.Buffered() == 0 && pasocket.NothingToRead(c.Conn)
+}
--- a/pagate/rateshare.go
+++ b/pagate/rateshare.go
@@ -75,7 +75,7 @@
 	if i < 0 {
 		return
 	}
-	ran := l.gate.self.RanAtLeast(s.entries[i])
+	ran := l.gate.self.MinStartInterval(s.entries[i])
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.fillFrom, l.restarted = l.gate.startUptime, ran > l.gate.config.Settings.Quota.Window+restartClockMargin
@@ -94,20 +94,20 @@
 // admit takes a token for the request, waiting for the limiter if need be. Otherwise it returns the Retry-After.
 func (l *rateShares) admit(x *exchange, s *state) (retryAfter time.Duration, ok bool) {
 	w := x.workspace
-	if w == nil || !w.Limited() {
+	if w == nil || !w.HasRateLimit() {
 		return 0, true
 	}
 	l.mutex.Lock()
 	h := l.shareOf(w, s)
 	now := l.gate.uptime()
-	verdict := h.Take(now, l.reachable(now))
+	verdict := h.Decide(now, l.reachable(now))
 	if verdict == paquota.Refuse {
 		defer l.mutex.Unlock()
 		l.gate.meter.countLimited("Refused")
-		return h.ComeBack(now), false
+		return h.RetryAfter(now), false
 	}
 	x.hasToken = true
-	if verdict == paquota.Run {
+	if verdict == paquota.Admit {
 		l.mutex.Unlock()
 		l.gate.meter.countLimited("Own")
 		return 0, true
@@ -143,7 +143,7 @@
 	l.gate.meter.countLimited(outcome)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return h.ComeBack(l.gate.uptime()), false
+	return h.RetryAfter(l.gate.uptime()), false
 }
 
 // maxWait returns how long a request waits for a token: the given time, or longer in the start period.
@@ -163,7 +163,7 @@
 	defer l.mutex.Unlock()
 	if i := slices.Index(h.waiters, granted); i >= 0 {
 		h.waiters = slices.Delete(h.waiters, i, i+1)
-		h.Leave()
+		h.CancelWait()
 		return false
 	}
 	return <-granted
@@ -178,7 +178,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if h := l.shares[x.workspace.Name]; h != nil {
-		h.Return(l.gate.uptime())
+		h.Refund(l.gate.uptime())
 	}
 }
 
@@ -189,12 +189,12 @@
 	if h == nil {
 		initial := 0.0
 		if l.restarted {
-			initial = division.Again
+			initial = division.RestartTokens
 		}
 		h = &rateShare{Share: paquota.NewShare(division.Share, initial, l.gate.config.Settings.Quota, l.fillFrom)}
 		l.shares[w.Name] = h
 	}
-	h.Set(division.Share, l.gate.uptime())
+	h.SetBucket(division.Share, l.gate.uptime())
 	return h
 }
 
@@ -220,7 +220,7 @@
 			return
 		}
 		s := g.state.Load()
-		if s.table == nil || !s.table.Limited() {
+		if s.table == nil || !s.table.HasRateLimit() {
 			continue
 		}
 		l.prune(s)
@@ -230,7 +230,7 @@
 		}
 		start := g.uptime()
 		granted, err := g.limiter.takeTokens(ctx, s, wanted)
-		if g.uptime()-start > paquota.CallTime {
+		if g.uptime()-start > paquota.MaxCallTime {
 			granted = nil
 		}
 		l.distribute(wanted, granted, err)
@@ -243,7 +243,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for name, h := range l.shares {
-		if w := s.table.Workspace(name); (w == nil || !w.Limited()) && len(h.waiters) == 0 {
+		if w := s.table.Workspace(name); (w == nil || !w.HasRateLimit()) && len(h.waiters) == 0 {
 			delete(l.shares, name)
 		}
 	}
@@ -257,9 +257,9 @@
 	var all []*pawire.Wanted
 	for name, h := range l.shares {
 		if w := s.table.Workspace(name); w != nil {
-			h.Set(l.gate.division(w, s).Share, now)
+			h.SetBucket(l.gate.division(w, s).Share, now)
 		}
-		if n := h.Wanted(now); n.Waiting+n.Spare > 0 {
+		if n := h.Demand(now); n.Waiting+n.Spare > 0 {
 			all = append(all, &pawire.Wanted{Workspace: name, Waiting: uint32(n.Waiting), Spare: uint32(n.Spare)})
 		}
 	}
@@ -285,7 +285,7 @@
 			continue
 		}
 		next := time.Duration(granted[i].GetNextMilliseconds()) * time.Millisecond
-		run, refused := h.Granted(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.maxWait(emptyPoolWait), now)
+		run, refused := h.ApplyGrant(int(min(granted[i].GetTokens(), w.GetWaiting()+w.GetSpare())), next, l.maxWait(emptyPoolWait), now)
 		for n, c := range h.waiters[:run+refused] {
 			c <- n < run
 		}
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -206,9 +206,9 @@
 func (a *attempt) classify(response *http.Response) attemptResult {
 	names := a.gate.config.Headers
 	r := attemptResult{outcome: pasteer.Answered, report: a.report()}
-	r.report.Told, r.report.Running, r.report.Waiting = parseLoad(response.Header.Get(names.Load))
+	r.report.LoadKnown, r.report.Running, r.report.Waiting = parseLoad(response.Header.Get(names.Load))
 	if n, err := strconv.ParseFloat(response.Header.Get(names.WarmUp), 64); err == nil {
-		r.report.Cold = time.Duration(n * float64(time.Millisecond))
+		r.report.ColdFor = time.Duration(n * float64(time.Millisecond))
 	}
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
@@ -224,7 +224,7 @@
 
 func (a *attempt) report() pasteer.Report {
 	return pasteer.Report{
-		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Took: a.gate.config.Clock.Since(a.startedAt),
+		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Duration: a.gate.config.Clock.Since(a.startedAt),
 		Warm: a.choice.Warm,
 	}
 }
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -31,7 +31,7 @@
 	for _, w := range all {
 		granted, next := 0, claimPollInterval
 		if pool := l.pool(s, w.GetWorkspace(), now); pool != nil {
-			wanted := paquota.Wanted{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), From: uint64(from)}
+			wanted := paquota.Demand{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), EntryID: uint64(from)}
 			granted, next = pool.Take(wanted, now)
 		}
 		r.Granted = append(r.Granted, &pawire.Granted{Tokens: uint32(granted), NextMilliseconds: uint32(next.Milliseconds())})
@@ -43,7 +43,7 @@
 // mutex must be held.
 func (l *limiter) pool(s *state, name string, now time.Duration) *paquota.Pool {
 	w := s.table.Workspace(name)
-	if w == nil || !w.Limited() {
+	if w == nil || !w.HasRateLimit() {
 		delete(l.pools, name)
 		return nil
 	}
@@ -51,11 +51,11 @@
 	p := l.pools[name]
 	if p == nil {
 		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.fillFrom)
-		p.Put(l.inherited[name])
+		p.Add(l.inherited[name])
 		delete(l.inherited, name)
 		l.pools[name] = p
 	}
-	p.Set(bucket, now)
+	p.SetBucket(bucket, now)
 	return p
 }
 
@@ -81,7 +81,7 @@
 	if name == "" {
 		name = l.nextCandidate()
 	}
-	ctx, cancel := g.withTimeout(ctx, paquota.CallTime)
+	ctx, cancel := g.withTimeout(ctx, paquota.MaxCallTime)
 	defer cancel()
 	l.connMutex.Lock()
 	defer l.connMutex.Unlock()
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		g.steerMutex.Lock()
-		notes, last := g.steer.Warm(maxSavedNotes, g.config.Clock.Now())
+		notes, last := g.steer.WarmObjects(maxSavedNotes, g.config.Clock.Now())
 		g.steerMutex.Unlock()
 		if last == saved {
 			continue
@@ -50,9 +50,9 @@
 // restoreWarmNotes hands the saved notes to the steering. The targets must be known by then.
 func (g *Gate) restoreWarmNotes(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
-		if k, ok := c.(pafleet.WarmKept); ok {
+		if k, ok := c.(pafleet.WarmSnapshot); ok {
 			g.steerMutex.Lock()
-			g.steer.HearKept(k.Notes, now)
+			g.steer.ApplyStoredNotes(k.Notes, now)
 			g.steerMutex.Unlock()
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	p.gate.steerMutex.Lock()
 	defer p.gate.steerMutex.Unlock()
-	p.gate.steer.HearWarm(notes, p.gate.config.Clock.Now())
+	p.gate.steer.ApplyNotes(notes, p.gate.config.Clock.Now())
 }
 
 // notesAfter returns the notes after one that the neighbour has, as far as noteBudget allows.
