--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -51,7 +51,7 @@
 	retryAfterJitter = 0.5
 )
 
-// answerNoTarget responds to a request for which pasteer found no target.
+// answerNoTarget responds to a request for which the balancer found no target.
 func (g *Gate) answerNoTarget(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
 	switch {
 	case x.failedReply != nil:
@@ -108,8 +108,8 @@
 	g.recordEnd(x, p.status, "")
 }
 
-// refuse responds 503 with a Retry-After to a request that was not executed. comeBack is the Retry-After before
-// jitter.
+// refuse responds 503 with a Retry-After to a request that was not executed. retryAfter is extended by
+// the jitter.
 func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, retryAfter time.Duration) {
 	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, retryAfter)
 }
--- a/pagate/config.go
+++ b/pagate/config.go
@@ -49,7 +49,7 @@
 	// MaxRevocation is how soon a revoked API key must be rejected by every entry VM, even one that is
 	// partitioned from the store; 0 means no bound.
 	MaxRevocation time.Duration
-	// Quota are the platform's terms of rate limits.
+	// Quota is by how much the platform lets rate limits be exceeded.
 	Quota paquota.Tolerance
 	// LinkMbps is the bandwidth of the VM's own link in Mbit/s; 0 means unknown.
 	LinkMbps float64
@@ -84,7 +84,7 @@
 // false if the request is no look-up.
 type Codec interface {
 	ParseLookUp(r *http.Request) (LookUp, bool)
-	WriteLookUp(w http.ResponseWriter, all []netip.AddrPort, life time.Duration) error
+	WriteLookUp(w http.ResponseWriter, addresses []netip.AddrPort, ttl time.Duration) error
 	IsReadyCheck(r *http.Request) bool
 }
 
@@ -92,17 +92,17 @@
 //
 // List returns the whole content and its revision, Watch the changes after a revision, waiting for the first of them.
 // Register writes the entry VM's registration under a lease. ClaimLimiter makes the named entry VM the limiter if the
-// key is still at revision was, 0 if it must not exist, and returns the new revision.
+// limiter key is at the expected revision, 0 if it must not exist, and returns the new revision.
 type Registry interface {
 	List(ctx context.Context) ([]pafleet.Change, pafleet.Revision, error)
 	Watch(ctx context.Context, after pafleet.Revision, wait time.Duration) ([]pafleet.Change, pafleet.Revision, error)
-	GrantLease(ctx context.Context, life time.Duration) (paplatform.LeaseID, error)
-	RenewLease(ctx context.Context, l paplatform.LeaseID) error
-	RevokeLease(ctx context.Context, l paplatform.LeaseID) error
-	Register(ctx context.Context, e pafleet.Entry, l paplatform.LeaseID) error
+	GrantLease(ctx context.Context, ttl time.Duration) (paplatform.LeaseID, error)
+	RenewLease(ctx context.Context, lease paplatform.LeaseID) error
+	RevokeLease(ctx context.Context, lease paplatform.LeaseID) error
+	Register(ctx context.Context, e pafleet.Entry, lease paplatform.LeaseID) error
 	// SaveWarmNotes replaces the saved notes on which target is warm for which object.
 	SaveWarmNotes(ctx context.Context, notes []pafleet.WarmNote) error
-	ClaimLimiter(ctx context.Context, name string, was pafleet.Revision, l paplatform.LeaseID) (pafleet.Revision, error)
+	ClaimLimiter(ctx context.Context, name string, expected pafleet.Revision, lease paplatform.LeaseID) (pafleet.Revision, error)
 }
 
 // Network dials and listens.
@@ -111,7 +111,7 @@
 	Listen(address netip.AddrPort) (net.Listener, error)
 }
 
-// Config is what a Gate needs. Recorder may be nil.
+// Config is the configuration of a Gate. Recorder may be nil.
 type Config struct {
 	Settings Settings
 	Headers  Headers
@@ -124,7 +124,7 @@
 	Uptime   func() time.Duration
 	Random   *rand.Rand
 	Recorder *paevent.Recorder
-	// Off are the steering mechanisms that are switched off.
+	// Off are the mechanisms of the balancer that are switched off.
 	Off pasteer.Off
 	// StoreTraffic counts the bytes of the connections to the store; it may be nil.
 	StoreTraffic *pasocket.Traffic
--- a/pagate/forward.go
+++ b/pagate/forward.go
@@ -9,9 +9,9 @@
 
 // forward sends the request to targets until one responds, and writes the response.
 func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, x *exchange) {
-	g.steerMutex.Lock()
-	x.service = g.steer.PickService(x.route, x.arrived)
-	g.steerMutex.Unlock()
+	g.balancerMutex.Lock()
+	x.service = g.balancer.PickService(x.route, x.arrived)
+	g.balancerMutex.Unlock()
 	for dials, sheds := 0, 0; ; {
 		c := g.choose(x)
 		if c.Target == "" {
@@ -61,33 +61,33 @@
 
 // shedWithRoom reports whether a target shed the request although it had free slots.
 func (g *Gate) shedWithRoom(r attemptResult) bool {
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
-	return g.steer.ShedWithFreeSlot(r.report)
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	return g.balancer.ShedWithFreeSlot(r.report)
 }
 
 // choose picks the target of the next attempt.
 func (g *Gate) choose(x *exchange) pasteer.Choice {
 	now := g.config.Clock.Now()
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
 	q := pasteer.Request{
 		Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions(),
 	}
-	c := g.steer.Choose(q, now)
+	c := g.balancer.Choose(q, now)
 	x.lastChoice = c
 	g.meter.countChoice(c)
 	if c.Target != "" {
-		g.steer.Start(c, q, now)
+		g.balancer.Start(c, q, now)
 	}
 	return c
 }
 
-// reportAttempt reports the outcome of an attempt to the steering.
+// reportAttempt reports the outcome of an attempt to the balancer.
 func (g *Gate) reportAttempt(x *exchange, r attemptResult) {
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
-	g.steer.Finish(r.report, g.config.Clock.Now())
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	g.balancer.Finish(r.report, g.config.Clock.Now())
 	g.meter.countAttempt(x.route.Name, r.outcome)
 }
 
@@ -107,9 +107,9 @@
 	if x.deadline.Sub(now) < x.route.TargetLatency/retryLatencyDivisor {
 		return false
 	}
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
-	return g.steer.TakeRetry(x.service, now)
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	return g.balancer.TakeRetry(x.service, now)
 }
 
 // retryLatencyDivisor divides a route's target latency to the time that must be left for another attempt; a warm
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -48,9 +48,9 @@
 	// droppedLines counts log lines that were dropped; nil if it is not counted.
 	droppedLines *atomic.Uint64
 
-	// steerMutex guards steer and the random source, which all requests share.
-	steerMutex sync.Mutex
-	steer      *pasteer.Balancer
+	// balancerMutex guards the balancer and the random source, which all requests share.
+	balancerMutex sync.Mutex
+	balancer      *pasteer.Balancer
 
 	// requestsCtx is canceled shortly before the process is killed, so that requests in progress still get a
 	// response.
@@ -83,7 +83,7 @@
 		endLog:    tokenBucket{rate: endLineRate, burst: endLineBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
 		reregister: make(chan struct{}, 1),
-		steer: pasteer.New(pasteer.Config{
+		balancer: pasteer.New(pasteer.Config{
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Regions: s.Regions,
 			RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryFloor: s.RetryFloor, MaxShift: s.MaxShift, Off: c.Off,
 		}),
@@ -233,16 +233,16 @@
 
 // random returns a random number in [0, 1).
 func (g *Gate) random() float64 {
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
 	return g.config.Random.Float64()
 }
 
 // Reload applies new settings to a running Gate. Only the retry budget and MaxShift change; zones and addresses stay
 // those of the start.
 func (g *Gate) Reload(s Settings) {
-	g.steerMutex.Lock()
-	defer g.steerMutex.Unlock()
-	c := &g.steer.Config
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	c := &g.balancer.Config
 	c.RetryRatio, c.RetryWindow, c.RetryFloor, c.MaxShift = s.RetryRatio, s.RetryWindow, s.RetryFloor, s.MaxShift
 }
--- a/pagate/gossip_test.go
+++ b/pagate/gossip_test.go
@@ -16,8 +16,8 @@
 // gossipSim simulates calls between entry VMs that exchange warm notes; each call happens at a random time of its
 // interval.
 type gossipSim struct {
-	entries []pafleet.Entry
-	steers  []*pasteer.Balancer
+	entries   []pafleet.Entry
+	balancers []*pasteer.Balancer
 	// asks lists for each entry VM the ones that it asks, and after the last note that it got from each of these.
 	asks   [][]int
 	after  [][]uint64
@@ -60,8 +60,8 @@
 			asks = append(asks, index[n.Name])
 		}
 		o.asks, o.after = append(o.asks, asks), append(o.after, make([]uint64, len(asks)))
-		g.steer.Update(v, gossipStart)
-		o.steers = append(o.steers, g.steer)
+		g.balancer.Update(v, gossipStart)
+		o.balancers = append(o.balancers, g.balancer)
 	}
 	return o
 }
@@ -88,18 +88,18 @@
 
 func (o *gossipSim) call(to, edge, from int, now time.Time) {
 	most := o.budget[from].available(now)
-	notes, last := o.steers[from].WarmNotes(o.after[to][edge], most, now)
+	notes, last := o.balancers[from].WarmNotes(o.after[to][edge], most, now)
 	o.budget[from].spend(len(notes))
 	o.after[to][edge] = last
 	o.sent[from] += len(notes)
 	o.inSecond[from] += len(notes)
 	o.peak[from] = max(o.peak[from], o.inSecond[from])
-	o.steers[to].ApplyNotes(notes, now.Add(replyDelay))
+	o.balancers[to].ApplyNotes(notes, now.Add(replyDelay))
 }
 
 func (o *gossipSim) start(entry int, target, object string, now time.Time) {
 	q := pasteer.Request{Route: &paroute.Route{Name: "r", Affinity: true}, Service: "s", Object: object}
-	o.steers[entry].Start(pasteer.Choice{Target: target}, q, now)
+	o.balancers[entry].Start(pasteer.Choice{Target: target}, q, now)
 }
 
 // gossipSizes are numbers of entry VMs and regions, with one entry VM per zone, up to the design size.
@@ -142,7 +142,7 @@
 				return
 			}
 			n := 0
-			for _, s := range o.steers {
+			for _, s := range o.balancers {
 				if c := s.Choose(pasteer.Request{Route: warmRoute, Service: "s", Object: "x", Deadline: now.Add(time.Minute)}, now); c.Target == "t3" && c.Warm {
 					n++
 				}
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -149,7 +149,8 @@
 	return slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 }
 
-// claim writes this entry VM into the store as the limiter, if the key is still at revision was.
+// claim writes this entry VM into the store as the limiter, if the limiter key is still at the expected
+// revision, 0 for no key.
 func (l *limiter) claim(ctx context.Context, expected pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
 	sentAt := g.uptime()
@@ -184,7 +185,7 @@
 	return lease, true
 }
 
-// extendClaim sets the end of the claim after a renewal that was sent at an uptime. The mutex must be held.
+// extendClaim sets the end of the claim after a claim or renewal that was sent at the uptime sentAt. The mutex must be held.
 func (l *limiter) extendClaim(sentAt time.Duration) {
 	l.claimEnd = sentAt + max(claimTTL, l.gate.config.Settings.MinLeaseTTL) - claimMargin
 }
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -176,9 +176,9 @@
 			next.table = paroute.NewTable(v.Config)
 			g.logKeyChanges(old.table, next.table)
 		}
-		g.steerMutex.Lock()
-		g.steer.Update(v, now)
-		g.steerMutex.Unlock()
+		g.balancerMutex.Lock()
+		g.balancer.Update(v, now)
+		g.balancerMutex.Unlock()
 		g.conns.closeRemoved(v)
 	}
 	g.state.Store(next)
--- a/pagate/sync.go
+++ b/pagate/sync.go
@@ -113,7 +113,7 @@
 	return b
 }
 
-// applyReply hands an entry VM's reply to the control loop and to the steering. update holds what was requested, and in
+// applyReply hands an entry VM's reply to the control loop and to the balancer. update holds what was requested, and in
 // verifiedAt when.
 func (p *peers) applyReply(ctx context.Context, c *peerConn, r *pawire.SyncReply, update peerUpdate) {
 	if len(r.GetEntry()) > 0 {
--- a/pagate/warm.go
+++ b/pagate/warm.go
@@ -31,9 +31,9 @@
 		if g.shuttingDown.Load() || g.storeReaders(g.state.Load())[0].Name != g.self.Name {
 			continue
 		}
-		g.steerMutex.Lock()
-		notes, last := g.steer.WarmObjects(maxSavedNotes, g.config.Clock.Now())
-		g.steerMutex.Unlock()
+		g.balancerMutex.Lock()
+		notes, last := g.balancer.WarmObjects(maxSavedNotes, g.config.Clock.Now())
+		g.balancerMutex.Unlock()
 		if last == saved {
 			continue
 		}
@@ -47,13 +47,13 @@
 	}
 }
 
-// restoreWarmNotes hands the saved notes to the steering. The targets must be known by then.
+// restoreWarmNotes hands the saved notes to the balancer. The targets must be known by then.
 func (g *Gate) restoreWarmNotes(all []pafleet.Change, now time.Time) {
 	for _, c := range all {
 		if k, ok := c.(pafleet.WarmSnapshot); ok {
-			g.steerMutex.Lock()
-			g.steer.ApplyStoredNotes(k.Notes, now)
-			g.steerMutex.Unlock()
+			g.balancerMutex.Lock()
+			g.balancer.ApplyStoredNotes(k.Notes, now)
+			g.balancerMutex.Unlock()
 		}
 	}
 }
@@ -75,18 +75,18 @@
 		age := time.Duration(n.GetAgeMilliseconds()) * time.Millisecond
 		notes = append(notes, pafleet.WarmNote{Target: n.GetTarget(), Object: n.GetObject(), Age: age})
 	}
-	p.gate.steerMutex.Lock()
-	defer p.gate.steerMutex.Unlock()
-	p.gate.steer.ApplyNotes(notes, p.gate.config.Clock.Now())
+	p.gate.balancerMutex.Lock()
+	defer p.gate.balancerMutex.Unlock()
+	p.gate.balancer.ApplyNotes(notes, p.gate.config.Clock.Now())
 }
 
 // notesAfter returns the notes after one that the neighbour has, as far as noteBudget allows.
 func (p *peers) notesAfter(after uint64) (out []*pawire.WarmNote, last uint64) {
 	now := p.gate.config.Clock.Now()
 	available := p.noteBudget.available(now)
-	p.gate.steerMutex.Lock()
-	all, last := p.gate.steer.WarmNotes(after, available, now)
-	p.gate.steerMutex.Unlock()
+	p.gate.balancerMutex.Lock()
+	all, last := p.gate.balancer.WarmNotes(after, available, now)
+	p.gate.balancerMutex.Unlock()
 	p.noteBudget.spend(len(all))
 	for _, n := range all {
 		out = append(out, &pawire.WarmNote{Target: n.Target, Object: n.Object, AgeMilliseconds: uint32(n.Age.Milliseconds())})
