--- a/pagate/config.go
+++ b/pagate/config.go
@@ -49,7 +49,7 @@
 	// MaxRevocation is how soon a revoked API key must be rejected by every entry VM, even one that is
 	// partitioned from the store; 0 means no bound.
 	MaxRevocation time.Duration
-	// Quota is by how much the platform lets rate limits be exceeded.
+	// Quota is the tolerance by which the platform lets rate limits be exceeded.
 	Quota paquota.Tolerance
 	// LinkMbps is the bandwidth of the VM's own link in Mbit/s; 0 means unknown.
 	LinkMbps float64
--- a/pagate/delta_test.go
+++ b/pagate/delta_test.go
@@ -37,10 +37,10 @@
 		t.Fatal(err)
 	}
 	if got.Revision != 7 || len(got.Config.Routes) != 400 || len(got.Left) != 1 {
-		t.Errorf("unpacked %d routes at revision %d", len(got.Config.Routes), got.Revision)
+		t.Errorf("decoded %d routes at revision %d", len(got.Config.Routes), got.Revision)
 	}
 	if len(b) > len(plain)/8 {
-		t.Errorf("%d bytes packed, %d plain", len(b), len(plain))
+		t.Errorf("%d bytes encoded, %d as plain JSON", len(b), len(plain))
 	}
 	if decodeDelta([]byte("no gzip"), &got) == nil || decodeDelta(nil, &got) == nil {
 		t.Error("bytes that are no delta were decoded")
--- a/pagate/follow_test.go
+++ b/pagate/follow_test.go
@@ -20,7 +20,7 @@
 		for rank := 1; rank < n; rank++ {
 			at, before := maxAgeOfRank(rank, n, change), maxAgeOfRank(rank-1, n, change)
 			if at < before || change > maxAge && at > change-propagationMargin {
-				t.Errorf("change time %v: entry VM %d reads after %v", change, rank, at)
+				t.Errorf("MaxPropagation %v: entry VM %d reads after %v", change, rank, at)
 			}
 		}
 		if first := maxAgeOfRank(0, n, change); first < maxAge {
--- a/pagate/forward.go
+++ b/pagate/forward.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// maxRefusedDials is how many targets may be tried that accept no connection. Nothing reached them, so that they do
-// not count as attempts; in a zone that has just failed a service has a handful of targets.
+// maxRefusedDials is how many targets that refuse the connection are tried. Nothing reached them, so that they do not
+// count as attempts; in a zone that has just failed, a service has a handful of targets.
 const maxRefusedDials = 4
 
 // maxSheds is how many times a request is sent again to a target that shed it although it had free slots.
@@ -112,6 +112,6 @@
 	return g.balancer.TakeRetry(x.service, now)
 }
 
-// retryLatencyDivisor divides a route's target latency to the time that must be left for another attempt; a warm
-// request takes about that long.
+// retryLatencyDivisor is the divisor of a route's target latency that yields the time that must be left for another
+// attempt; a warm request takes about that long.
 const retryLatencyDivisor = 3
--- a/pagate/handover.go
+++ b/pagate/handover.go
@@ -22,9 +22,9 @@
 	inheritedTTL = time.Second
 )
 
-// handOver revokes the claim and offers the role to the next in rank. Otherwise, in a rolling restart of entry VMs,
-// requests beyond the shares would be refused until others read in the store that there is no limiter, and one claims
-// the role.
+// handOver revokes the claim and offers the role to the next in rank. In a rolling restart of entry VMs, requests
+// beyond the shares would otherwise be refused until another entry VM reads in the store that the role is vacant, and
+// claims it.
 func (l *limiter) handOver(ctx context.Context, lease paplatform.LeaseID) {
 	left := l.endClaim("shutdown")
 	if l.revokeClaim(ctx, lease) {
--- a/pagate/isolation.go
+++ b/pagate/isolation.go
@@ -24,14 +24,14 @@
 	minPeersForIsolation = 3
 )
 
-// reachesHalf reports whether at least half of the other entry VMs are reachable. All of a zone count as reachable if
-// one of them is.
+// reachesHalf reports whether at least half of the other entry VMs are reachable. All entry VMs of a zone count as
+// reachable if one of them is.
 //
-// A limiter that is partitioned from the others but still reaches the store would renew its claim for as long as the
-// partition lasts, while requests beyond the others' own few tokens are refused.
+// A limiter that is partitioned from the others but still reaches the store would otherwise renew its claim for as
+// long as the partition lasts, while the others' requests beyond their own few tokens are refused.
 func (l *limiter) reachesHalf(s *state) bool {
 	g := l.gate
-	others, heard := map[string]int{}, map[string]bool{}
+	others, reachable := map[string]int{}, map[string]bool{}
 	total := 0
 	for _, e := range s.entries {
 		if e.Name == g.self.Name {
@@ -39,11 +39,11 @@
 		}
 		others[e.Zone]++
 		total++
-		heard[e.Zone] = heard[e.Zone] || g.peers.recentlyHeard(e.Name)
+		reachable[e.Zone] = reachable[e.Zone] || g.peers.recentlyContacted(e.Name)
 	}
 	reached := 0
 	for zone, n := range others {
-		if heard[zone] {
+		if reachable[zone] {
 			reached += n
 		}
 	}
@@ -69,7 +69,7 @@
 	first := map[string]pafleet.Entry{}
 	for _, e := range s.entries {
 		f, ok := first[e.Zone]
-		if e.Zone == l.gate.self.Zone || ok && !l.gate.calledBefore(e, f) {
+		if e.Zone == l.gate.self.Zone || ok && !l.gate.betterSample(e, f) {
 			continue
 		}
 		first[e.Zone] = e
@@ -81,16 +81,16 @@
 	return all
 }
 
-// calledBefore reports whether a is preferred to b as a zone's sample.
-func (g *Gate) calledBefore(a, b pafleet.Entry) bool {
+// betterSample reports whether a is preferred to b as a zone's sample.
+func (g *Gate) betterSample(a, b pafleet.Entry) bool {
 	if x, y := g.peers.usable(a.Name), g.peers.usable(b.Name); x != y {
 		return x
 	}
 	return xxhash.Sum64String(a.Name) < xxhash.Sum64String(b.Name)
 }
 
-// recentlyHeard reports whether the last contact with an entry VM was within contactWindow.
-func (p *peers) recentlyHeard(name string) bool {
+// recentlyContacted reports whether the last contact with an entry VM was within contactWindow.
+func (p *peers) recentlyContacted(name string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	k := p.known[name]
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -25,17 +25,18 @@
 	// claimRenewTimeout bounds a renewal. With a longer one two renewals that a silent store does not answer
 	// would use up most of claimTTL.
 	claimRenewTimeout = claimRenewInterval / 2
-	// claimRenewRetry is the time from a failed renewal to the next, for a busy store refuses at once.
+	// claimRenewRetry is the delay after a failed renewal. Without it a busy store, which refuses at once, would
+	// be called again at once.
 	claimRenewRetry = claimRenewInterval / 3
 	// claimMargin is how long before its claim may expire the limiter stops.
 	claimMargin = 200 * time.Millisecond
-	// handOverBefore is how long before its claim may expire a limiter whose renewals fail hands over, if other
-	// entry VMs reach the store. It covers two calls. A longer one would move the pools again and again when the
-	// store loses some responses.
+	// handOverBefore is the time left of its claim at which a limiter whose renewals fail hands over, if other
+	// entry VMs reach the store. It covers two calls. With a longer one a store that loses some responses would
+	// make the pools move again and again.
 	handOverBefore = claimRenewInterval
 	// claimStagger is the delay by rank after which each further entry VM claims the role if there is no limiter.
 	claimStagger = 250 * time.Millisecond
-	// claimStartDelay is how long after its start an entry VM does not claim the role: of many that start
+	// claimStartDelay is how long after its start an entry VM waits before it claims the role. Of many that start
 	// together, each knows few others yet and would find itself first in rank.
 	claimStartDelay = time.Second
 	// claimPollInterval is the interval of checks whether there is a limiter.
@@ -142,7 +143,7 @@
 	return delay
 }
 
-// rank returns how many entry VMs come before this one.
+// rank returns how many live entry VMs rank before this one.
 func (l *limiter) rank(s *state) int {
 	all := l.gate.liveEntries(s)
 	slices.SortFunc(all, byBandwidth)
--- a/pagate/pipeline.go
+++ b/pagate/pipeline.go
@@ -15,7 +15,7 @@
 	if !x.lane.EarlierPending() || x.route.Idempotent && x.size == 0 && x.lane.MayRunEarly() {
 		return true
 	}
-	g.awaitPipeline(x)
+	g.awaitEarlierResponses(x)
 	if g.config.Clock.Now().After(x.deadline) {
 		g.refuse(w, x, reasonBehindOthers, retryAfterBehindOthers)
 		return false
@@ -23,9 +23,9 @@
 	return true
 }
 
-// awaitPipeline waits until the responses ahead on the client's connection are sent. It panics with
+// awaitEarlierResponses waits until the responses ahead on the client's connection are sent. It panics with
 // http.ErrAbortHandler if the client disconnects.
-func (g *Gate) awaitPipeline(x *exchange) {
+func (g *Gate) awaitEarlierResponses(x *exchange) {
 	if !x.lane.EarlierPending() {
 		return
 	}
@@ -42,7 +42,7 @@
 // last request on it.
 func (g *Gate) beginResponse(w http.ResponseWriter, x *exchange, bytes int) {
 	x.lane.CountBuffered(bytes)
-	g.awaitPipeline(x)
+	g.awaitEarlierResponses(x)
 	if g.closesConns() && x.lane.MarkLast() {
 		w.Header().Set("Connection", "close")
 	}
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// parseLoad parses "running,waiting,slots"; told is false if the value is malformed.
-func parseLoad(v string) (told bool, running, waiting int) {
+// parseLoad parses "running,waiting,slots" and ignores the slots; known is false if the value is malformed.
+func parseLoad(v string) (known bool, running, waiting int) {
 	n, err := fmt.Sscanf(v, "%d,%d", &running, &waiting)
 	return err == nil && n == 2, running, waiting
 }
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -125,12 +125,11 @@
 	return r, trace.Wrap(err)
 }
 
-// nextCandidate returns, in turn, one of the entry VMs that rank first: it is the limiter, or says which one it
-// presumes.
+// nextCandidate returns one of the entry VMs that rank first, a different one at each call: it is the limiter, or
+// replies which one it presumes.
 //
-// After a change of the limiter its end may be known before its successor, as the store serves only few readers. If
-// nobody was asked, all requests beyond the own few tokens would be refused until the next change read from the
-// store.
+// The end of a limiter's claim may be known here before its successor, as the store serves only few readers. If
+// nobody were asked, all requests beyond the own few tokens would be refused until the next update from the store.
 func (l *limiter) nextCandidate() string {
 	all := l.successors()
 	if len(all) == 0 {
