--- a/pagate/answer.go
+++ b/pagate/answer.go
@@ -10,79 +10,82 @@
 	"papayahead/pasteer"
 )
 
-// The reasons of answers of the gate's own, beside those of pasteer.
+// Reasons for responses that the gate generates itself; pasteer defines further ones.
 const (
-	reasonNoConfig  = "NoConfiguration"
-	reasonNoRoute   = "NoRoute"
-	reasonTooLarge  = "TooLarge"
-	reasonHeader    = "HeaderTooLarge"
-	reasonBadBody   = "BodyUnreadable"
-	reasonLost      = "TargetLost"
-	reasonDeadline  = "DeadlinePassed"
-	reasonLeaving   = "ShuttingDown"
-	reasonAttempts  = "AttemptsSpent"
-	reasonGone      = "CallerGone"
-	reasonCutAnswer = "AnswerCut"
-	reasonBehind    = "BehindOthers"
-	reasonNoKey     = "NoCredential"
-	reasonBadKey    = "CredentialMalformed"
-	reasonKey       = "KeyUnknown"
-	reasonStale     = "ConfigurationStale"
-	reasonRegions   = "NoCommonRegion"
-	reasonLimit     = "RateLimit"
+	reasonNoConfig       = "NoConfiguration"
+	reasonNoRoute        = "NoRoute"
+	reasonTooLarge       = "TooLarge"
+	reasonHeaderTooLarge = "HeaderTooLarge"
+	reasonBadBody        = "BodyUnreadable"
+	reasonTargetLost     = "TargetLost"
+	reasonDeadline       = "DeadlinePassed"
+	reasonShuttingDown   = "ShuttingDown"
+	reasonAttemptsSpent  = "AttemptsSpent"
+	reasonClientGone     = "CallerGone"
+	reasonAnswerCut      = "AnswerCut"
+	reasonBehindOthers   = "BehindOthers"
+	reasonNoCredential   = "NoCredential"
+	reasonMalformedKey   = "CredentialMalformed"
+	reasonUnknownKey     = "KeyUnknown"
+	reasonStale          = "ConfigurationStale"
+	reasonNoCommonRegion = "NoCommonRegion"
+	reasonRateLimit      = "RateLimit"
 )
 
 const (
-	// comeBackNoConfig is when a caller should try again at an entry VM that has no configuration yet.
-	comeBackNoConfig = 300 * time.Millisecond
-	// comeBackAttempts is when a caller should try again whose request found full targets only: a slot
-	// comes free within a warm run.
-	comeBackAttempts = 300 * time.Millisecond
-	// comeBackRoom sends a caller back at once to targets that turned it away though they had room.
-	comeBackRoom = 30 * time.Millisecond
-	// comeBackLeaving sends callers of a process that shuts down to another one at once.
-	comeBackLeaving = 50 * time.Millisecond
-	// comeBackBehind sends a caller back at once whose request waited behind others on its connection.
-	comeBackBehind = 30 * time.Millisecond
-	// comeBackSpread is the part of a time to come back by which it varies, so that callers that were
-	// refused together do not return together.
-	comeBackSpread = 0.5
+	// retryAfterNoConfig applies at an entry VM that has no configuration yet.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// retryAfterTargetsFull applies when all targets that were tried were full: a slot frees up within the run
+	// time of a warm request.
+	retryAfterTargetsFull = 300 * time.Millisecond
+	// retryAfterShedWithRoom applies when targets shed the request although they had free slots, so that a retry
+	// is likely to succeed at once.
+	retryAfterShedWithRoom = 30 * time.Millisecond
+	// retryAfterShutdown sends clients of a process that shuts down to another entry VM at once.
+	retryAfterShutdown = 50 * time.Millisecond
+	// retryAfterBehindOthers applies to a request whose deadline passed while it waited behind others on its
+	// connection.
+	retryAfterBehindOthers = 30 * time.Millisecond
+	// retryAfterJitter is the fraction by which a Retry-After is lengthened at random at most, so that clients
+	// that were refused together do not return together.
+	retryAfterJitter = 0.5
 )
 
-// unplaced answers a request for which there is no target.
-func (g *Gate) unplaced(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
+// answerNoTarget responds to a request for which the balancer found no target.
+func (g *Gate) answerNoTarget(w http.ResponseWriter, x *exchange, c pasteer.Choice) {
 	switch {
-	case x.failed != nil:
-		g.answer(w, x, result{reply: x.failed, outcome: pasteer.Failed})
-	case x.mayHaveRun:
-		g.answerOwn(w, x, http.StatusBadGateway, string(c.Reason))
+	case x.failedReply != nil:
+		g.writeReply(w, x, attemptResult{reply: x.failedReply, outcome: pasteer.Failed})
+	case x.mayHaveExecuted:
+		g.writeError(w, x, http.StatusBadGateway, string(c.Reason))
 	default:
 		g.refuse(w, x, string(c.Reason), c.RetryAfter)
 	}
 }
 
-// giveUp answers a request whose last attempt brought no answer.
-func (g *Gate) giveUp(w http.ResponseWriter, x *exchange, r result, room bool) {
+// answerLastFailure responds to a request whose last attempt got no reply. room says that the last target shed the
+// request although it had free slots.
+func (g *Gate) answerLastFailure(w http.ResponseWriter, x *exchange, r attemptResult, room bool) {
 	switch {
-	case x.failed != nil:
-		g.answer(w, x, result{reply: x.failed, outcome: pasteer.Failed})
-	case !x.mayHaveRun && room:
-		g.refuse(w, x, reasonAttempts, comeBackRoom)
-	case !x.mayHaveRun:
-		g.refuse(w, x, reasonAttempts, comeBackAttempts)
-	case r.outcome == pasteer.Abandoned && g.ending.Err() != nil:
-		g.answerOwn(w, x, http.StatusGatewayTimeout, reasonLeaving)
+	case x.failedReply != nil:
+		g.writeReply(w, x, attemptResult{reply: x.failedReply, outcome: pasteer.Failed})
+	case !x.mayHaveExecuted && room:
+		g.refuse(w, x, reasonAttemptsSpent, retryAfterShedWithRoom)
+	case !x.mayHaveExecuted:
+		g.refuse(w, x, reasonAttemptsSpent, retryAfterTargetsFull)
+	case r.outcome == pasteer.Abandoned && g.requestsCtx.Err() != nil:
+		g.writeError(w, x, http.StatusGatewayTimeout, reasonShuttingDown)
 	case r.outcome == pasteer.Abandoned:
-		g.answerOwn(w, x, http.StatusGatewayTimeout, reasonDeadline)
+		g.writeError(w, x, http.StatusGatewayTimeout, reasonDeadline)
 	default:
-		g.answerOwn(w, x, http.StatusBadGateway, reasonLost)
+		g.writeError(w, x, http.StatusBadGateway, reasonTargetLost)
 	}
 }
 
-// answer passes the target's answer on.
-func (g *Gate) answer(w http.ResponseWriter, x *exchange, r result) {
+// writeReply passes the target's reply on to the client.
+func (g *Gate) writeReply(w http.ResponseWriter, x *exchange, r attemptResult) {
 	p := r.reply
-	g.beginAnswer(w, x, len(p.body))
+	g.beginResponse(w, x, len(p.body))
 	h := w.Header()
 	for name, values := range p.header {
 		h[name] = values
@@ -99,59 +102,61 @@
 		p.done(err == nil)
 	}
 	if err != nil && p.rest != nil {
-		g.ended(x, p.status, reasonCutAnswer)
+		g.recordEnd(x, p.status, reasonAnswerCut)
 		panic(http.ErrAbortHandler)
 	}
-	g.ended(x, p.status, "")
+	g.recordEnd(x, p.status, "")
 }
 
-// refuse answers that the request has not run, and when to come back.
-func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, comeBack time.Duration) {
-	g.refuseAs(w, x, http.StatusServiceUnavailable, reason, comeBack)
+// refuse responds 503 with a Retry-After to a request that was not executed. retryAfter is extended by
+// the jitter.
+func (g *Gate) refuse(w http.ResponseWriter, x *exchange, reason string, retryAfter time.Duration) {
+	g.refuseWithStatus(w, x, http.StatusServiceUnavailable, reason, retryAfter)
 }
 
-// refuseAs is refuse with a status that says why.
-func (g *Gate) refuseAs(w http.ResponseWriter, x *exchange, status int, reason string, comeBack time.Duration) {
-	g.limits.giveBack(x)
-	spread := 1 + comeBackSpread*g.random()
-	seconds := comeBack.Seconds() * spread
+// refuseWithStatus is refuse with another status code. It returns the request's rate limit token.
+func (g *Gate) refuseWithStatus(w http.ResponseWriter, x *exchange, status int, reason string, retryAfter time.Duration) {
+	g.quotas.returnToken(x)
+	factor := 1 + retryAfterJitter*g.random()
+	seconds := retryAfter.Seconds() * factor
 	w.Header().Set("Retry-After", strconv.FormatFloat(seconds, 'f', 3, 64))
-	g.answerOwn(w, x, status, reason)
+	g.writeError(w, x, status, reason)
 }
 
-// answerOwn gives an answer of the gate's own.
-func (g *Gate) answerOwn(w http.ResponseWriter, x *exchange, status int, reason string) {
-	g.beginAnswer(w, x, 0)
+// writeError writes a response of the gate's own, with the reason as its body.
+func (g *Gate) writeError(w http.ResponseWriter, x *exchange, status int, reason string) {
+	g.beginResponse(w, x, 0)
 	if x.id != "" {
 		w.Header().Set(g.config.Headers.RequestID, x.id)
 	}
 	http.Error(w, reason, status)
-	g.ended(x, status, reason)
+	g.recordEnd(x, status, reason)
 }
 
-// ended logs and counts the end of a request; refusals and failures as far as there is room, and one in servedSample
-// of the others.
-func (g *Gate) ended(x *exchange, status int, reason string) {
-	took := g.config.Clock.Since(x.arrived)
-	name := ""
+// recordEnd counts the end of a request and logs it. Log lines on refusals and failures are bounded by endLog; of
+// other requests one in servedLogInterval is logged.
+func (g *Gate) recordEnd(x *exchange, status int, reason string) {
+	elapsed := g.config.Clock.Since(x.arrived)
+	route := ""
 	if x.route != nil {
-		name = x.route.Name
+		route = x.route.Name
 	}
-	g.meter.request(name, status, reason, took, x.behind)
+	g.meter.countRequest(route, status, reason, elapsed, x.pipelineWait)
 	if reason == "" && status < http.StatusInternalServerError {
-		if !g.meter.sample() {
+		if !g.meter.sampleServed() {
 			return
 		}
-	} else if !g.ends.take(g.config.Clock.Now()) {
-		g.meter.unlogged.Inc()
+	} else if !g.endLog.take(g.config.Clock.Now()) {
+		g.meter.unloggedEnds.Inc()
 		return
 	}
 	s := g.state.Load()
 	g.record(paevent.RequestEnded{
-		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: name, Status: status, Reason: reason,
-		Workspace: x.workspaceName(), Target: x.last.Target, Object: x.object, Tried: len(x.tried), Version: x.version, Microseconds: took.Microseconds(),
-		Load: x.last.Load, Warm: x.last.Warm, Held: x.last.Held, BehindMicroseconds: x.behind.Microseconds(),
-		LimitMicroseconds: x.limited.Microseconds(),
+		Subject: paevent.Subject{Request: x.id, Service: x.service}, Route: route, Status: status, Reason: reason,
+		Workspace: x.workspaceName(), Target: x.lastChoice.Target, Object: x.object,
+		Tried: len(x.tried), Version: x.version, Microseconds: elapsed.Microseconds(),
+		Load: x.lastChoice.Load, Warm: x.lastChoice.Warm, Held: x.lastChoice.Held, BehindMicroseconds: x.pipelineWait.Microseconds(),
+		LimitMicroseconds: x.limitWait.Microseconds(),
 		KnownMilliseconds: g.age(s).Milliseconds(), Revision: uint64(s.revision),
 	})
 }
--- a/pagate/directory.go
+++ b/pagate/directory.go
@@ -13,83 +13,84 @@
 	"papayahead/pafleet"
 )
 
-// lookUpLife is how long callers keep the answer of a look-up; some keep it three times as long.
-// A short life lets a planned stop end soon and a dead entry VM be avoided; each look-up costs an
-// entry VM well under a millisecond.
-const lookUpLife = time.Second
+// lookUpTTL is how long clients may cache the response to a look-up; some keep it three times as long. A short TTL
+// lets a planned stop finish soon and moves clients away from a dead entry VM; a look-up costs an entry VM well under
+// a millisecond.
+const lookUpTTL = time.Second
 
-// serveReady answers the platform's question whether the process is ready.
+// serveReady answers the platform's readiness checks.
 func (g *Gate) serveReady(w http.ResponseWriter, r *http.Request) {
 	if !g.config.Codec.IsReadyCheck(r) {
 		http.NotFound(w, r)
 		return
 	}
-	if g.leaving.Load() || g.state.Load().table == nil {
+	if g.shuttingDown.Load() || g.state.Load().table == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// serveLookUp tells a caller where to connect.
+// serveLookUp answers a client's query for entry VM addresses.
 func (g *Gate) serveLookUp(w http.ResponseWriter, r *http.Request) {
 	q, ok := g.config.Codec.ParseLookUp(r)
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	all := g.addresses(q)
-	if len(all) == 0 {
+	addresses := g.lookUpAddresses(q)
+	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if err := g.config.Codec.WriteLookUp(w, all, min(lookUpLife, g.config.Settings.MaxLookUpTTL)); err != nil {
+	if err := g.config.Codec.WriteLookUp(w, addresses, min(lookUpTTL, g.config.Settings.MaxLookUpTTL)); err != nil {
 		g.record(paevent.LookUpFailed{Reason: err.Error()})
 	}
 }
 
-// addresses returns the entry VMs of the caller's region that live, or all where there are none; of more than callers
-// take, each entry VM names others.
+// lookUpAddresses returns the addresses of live entry VMs in the client's region, or of all live ones if there are
+// none.
 //
-// Load: callers of a region of a hundred entry VMs that ask those of another region. Harm prevented: the same ones are
-// named to all of them, and the last in the list get nothing.
-func (g *Gate) addresses(q LookUp) []netip.AddrPort {
+// A client uses only the first maxAddresses, so that each entry VM starts its list at a different one. Otherwise a
+// region with a hundred entry VMs that serves clients of another region would get all of their traffic on the same
+// ones, and none on the last in the list.
+func (g *Gate) lookUpAddresses(q LookUp) []netip.AddrPort {
 	region := q.Region
 	if r := g.config.Settings.Regions[q.Zone]; r != "" {
 		region = r
 	}
-	live := g.live(g.state.Load())
-	if g.leaving.Load() && len(live) > 1 {
+	live := g.liveEntries(g.state.Load())
+	if g.shuttingDown.Load() && len(live) > 1 {
 		live = slices.DeleteFunc(live, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	}
 	near := slices.DeleteFunc(slices.Clone(live), func(e pafleet.Entry) bool { return e.Region != region })
 	if len(near) == 0 {
 		near = live
 	}
-	if region == g.self.Region && len(near) > neighboursMost {
-		near = g.watched(near)
+	if region == g.self.Region && len(near) > maxNeighbours {
+		near = g.monitored(near)
 	}
-	var all []netip.AddrPort
-	begin := xxhash.Sum64String(g.self.Name) % uint64(max(1, len(near)))
-	for i := range min(len(near), addressesMost) {
-		all = append(all, near[(int(begin)+i)%len(near)].Front)
+	var addresses []netip.AddrPort
+	start := xxhash.Sum64String(g.self.Name) % uint64(max(1, len(near)))
+	for i := range min(len(near), maxAddresses) {
+		addresses = append(addresses, near[(int(start)+i)%len(near)].Front)
 	}
-	return all
+	return addresses
 }
 
-// addressesMost is how many addresses callers take of an answer.
-const addressesMost = 64
+// maxAddresses is how many addresses clients use of a response.
+const maxAddresses = 64
 
-// watched returns this entry VM, unless it leaves, and the neighbours that it calls: of the others it would learn
-// late that they died.
-func (g *Gate) watched(near []pafleet.Entry) []pafleet.Entry {
+// monitored returns this entry VM, unless it shuts down, and the neighbours that it calls. The failure of any other
+// entry VM would be noticed late here.
+func (g *Gate) monitored(near []pafleet.Entry) []pafleet.Entry {
 	all := g.neighbours(near)
-	if !g.leaving.Load() {
+	if !g.shuttingDown.Load() {
 		all = append(all, g.self)
 	}
 	return all
 }
 
-// live returns the entry VMs that run as far as is known, this one included, in the order of their names.
-func (g *Gate) live(s *state) []pafleet.Entry {
+// liveEntries returns the entry VMs believed to be alive, including this one, ordered by name.
+func (g *Gate) liveEntries(s *state) []pafleet.Entry {
 	all := []pafleet.Entry{g.self}
 	for _, e := range s.entries {
 		if e.Name != g.self.Name && g.peers.usable(e.Name) {
@@ -105,32 +106,33 @@
 	return all
 }
 
-// byHash returns the entry VMs that run as far as is known in the order of hashes: the first of them read the store.
-func (g *Gate) byHash(s *state) []pafleet.Entry {
-	all := g.live(s)
+// liveByHash returns the entry VMs believed to be alive ordered by the hash of their names. The first of them are the
+// store readers.
+func (g *Gate) liveByHash(s *state) []pafleet.Entry {
+	all := g.liveEntries(s)
 	slices.SortFunc(all, func(a, b pafleet.Entry) int {
 		return cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name))
 	})
 	return all
 }
 
-// readers returns the entry VMs that read the store for all.
-func (g *Gate) readers(s *state) []pafleet.Entry {
-	all := g.byHash(s)
-	return all[:min(max(readers, len(all)/entriesPerReader), len(all))]
+// storeReaders returns the entry VMs that read the store on behalf of all others.
+func (g *Gate) storeReaders(s *state) []pafleet.Entry {
+	all := g.liveByHash(s)
+	return all[:min(max(minStoreReaders, len(all)/entriesPerReader), len(all))]
 }
 
-func (g *Gate) isReader() bool {
-	return slices.ContainsFunc(g.readers(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
+func (g *Gate) isStoreReader() bool {
+	return slices.ContainsFunc(g.storeReaders(g.state.Load()), func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 }
 
-// nearestReader returns another reader, one of the own region before others, or else any other entry VM.
-// One is enough to keep up, and each further one costs bytes between regions. A reader asks one too: the
-// store may refuse it and serve the others.
-func (g *Gate) nearestReader(s *state) pafleet.Entry {
-	all := g.readers(s)
+// syncSource returns the store reader that this entry VM asks for changes, in its own region if there is one; without
+// another store reader it is any other entry VM. One source is enough to keep up, and each further one costs traffic
+// between regions. A store reader has a source too, as the store may refuse it and serve the others.
+func (g *Gate) syncSource(s *state) pafleet.Entry {
+	all := g.storeReaders(s)
 	if len(all) == 1 && all[0].Name == g.self.Name {
-		all = g.live(s)
+		all = g.liveEntries(s)
 	}
 	all = slices.DeleteFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
 	near := slices.DeleteFunc(slices.Clone(all), func(e pafleet.Entry) bool { return e.Region != g.self.Region })
@@ -140,6 +142,6 @@
 	if len(near) == 0 {
 		return pafleet.Entry{}
 	}
-	// Each entry VM takes one by its own name, so that those who ask are spread over those who read.
+	// The choice by the hash of the own name spreads the entry VMs over the readers.
 	return near[xxhash.Sum64String(g.self.Name)%uint64(len(near))]
 }
--- a/pagate/fleet.go
+++ b/pagate/fleet.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// fleetMemory is how long an entry VM that is no longer registered counts: one that is cut off goes on with its part
-	// of each rate limit, which the others must not take.
-	fleetMemory = 10 * time.Minute
-	// fleetSlots is the number of parts of that time.
-	fleetSlots = 10
+	// fleetPeakWindow is how long an entry VM that is no longer registered still counts. One that is partitioned
+	// from the store goes on using its share of each rate limit, which the others must not use too.
+	fleetPeakWindow = 10 * time.Minute
+	// fleetPeakBuckets is the number of buckets of the sliding window.
+	fleetPeakBuckets = 10
 )
 
-// fleetMost is the most entry VMs that were registered at once within fleetMemory. The zero value is ready.
-type fleetMost struct {
-	slots [fleetSlots]int
-	slot  int64
+// fleetPeak is the maximum number of entry VMs registered at once within fleetPeakWindow. The zero value is ready to
+// use.
+type fleetPeak struct {
+	buckets [fleetPeakBuckets]int
+	// newest is the number of the newest bucket since uptime 0.
+	newest int64
 }
 
-// most notes a number of entry VMs and returns the most.
-func (f *fleetMost) most(n int, now time.Duration) int {
-	slot := int64(now / (fleetMemory / fleetSlots))
-	for f.slot < slot {
-		f.slot = max(f.slot+1, slot-fleetSlots)
-		f.slots[f.slot%fleetSlots] = 0
+// observe records the current number of entry VMs and returns the maximum. now is the uptime.
+func (f *fleetPeak) observe(n int, now time.Duration) int {
+	bucket := int64(now / (fleetPeakWindow / fleetPeakBuckets))
+	for f.newest < bucket {
+		f.newest = max(f.newest+1, bucket-fleetPeakBuckets)
+		f.buckets[f.newest%fleetPeakBuckets] = 0
 	}
-	f.slots[slot%fleetSlots] = max(f.slots[slot%fleetSlots], n)
-	most := 0
-	for _, s := range f.slots {
-		most = max(most, s)
+	f.buckets[bucket%fleetPeakBuckets] = max(f.buckets[bucket%fleetPeakBuckets], n)
+	peak := 0
+	for _, count := range f.buckets {
+		peak = max(peak, count)
 	}
-	return most
+	return peak
 }
--- /dev/null
+++ b/pagate/forward.go
@@ -0,0 +1,117 @@
+package pagate
+
+import (
+	"context"
+	"net/http"
+
+	"papayahead/pasteer"
+)
+
+// forward sends the request to targets until one responds, and writes the response.
+func (g *Gate) forward(ctx context.Context, w http.ResponseWriter, x *exchange) {
+	g.balancerMutex.Lock()
+	x.service = g.balancer.PickService(x.route, x.arrived)
+	g.balancerMutex.Unlock()
+	for dials, sheds := 0, 0; ; {
+		c := g.choose(x)
+		if c.Target == "" {
+			g.answerNoTarget(w, x, c)
+			return
+		}
+		r := g.send(ctx, x, c)
+		g.reportAttempt(x, r)
+		switch {
+		case r.reply != nil && !g.takeRetry(x, r):
+			g.writeReply(w, x, r)
+			return
+		case x.clientCtx.Err() != nil:
+			g.recordEnd(x, 0, reasonClientGone)
+			panic(http.ErrAbortHandler)
+		}
+		if r.reply != nil {
+			x.failedReply = r.reply
+		}
+		x.mayHaveExecuted = x.mayHaveExecuted || !r.notExecuted
+		if r.outcome == pasteer.Refused {
+			if dials++; dials < maxRefusedDials {
+				x.tried = append(x.tried, c.Target)
+				continue
+			}
+		}
+		room := g.shedWithRoom(r)
+		if r.reply == nil && (room && sheds >= maxSheds || !g.takeRetry(x, r)) {
+			g.answerLastFailure(w, x, r, room)
+			return
+		}
+		if room {
+			// Another target would be cold for the object, and this one is as likely to accept the next attempt.
+			sheds++
+			continue
+		}
+		x.tried = append(x.tried, c.Target)
+	}
+}
+
+// maxRefusedDials is how many targets that refuse the connection are tried. Nothing reached them, so that they do not
+// count as attempts; in a zone that has just failed, a service has a handful of targets.
+const maxRefusedDials = 4
+
+// maxSheds is how many times a request is sent again to a target that shed it although it had free slots.
+const maxSheds = 2
+
+// shedWithRoom reports whether a target shed the request although it had free slots.
+func (g *Gate) shedWithRoom(r attemptResult) bool {
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	return g.balancer.ShedWithFreeSlot(r.report)
+}
+
+// choose picks the target of the next attempt.
+func (g *Gate) choose(x *exchange) pasteer.Choice {
+	now := g.config.Clock.Now()
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	q := pasteer.Request{
+		Route: x.route, Service: x.service, Object: x.object, Tried: x.tried, Deadline: x.deadline, Regions: x.allowedRegions(),
+	}
+	c := g.balancer.Choose(q, now)
+	x.lastChoice = c
+	g.meter.countChoice(c)
+	if c.Target != "" {
+		g.balancer.Start(c, q, now)
+	}
+	return c
+}
+
+// reportAttempt reports the outcome of an attempt to the balancer.
+func (g *Gate) reportAttempt(x *exchange, r attemptResult) {
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	g.balancer.Finish(r.report, g.config.Clock.Now())
+	g.meter.countAttempt(x.route.Name, r.outcome)
+}
+
+// takeRetry reports whether the request may be sent again, and charges the retry budget. Only a request that is
+// idempotent, or was not executed, is sent again, and only if its body is held in memory.
+func (g *Gate) takeRetry(x *exchange, r attemptResult) bool {
+	if r.reply != nil && r.outcome == pasteer.Answered {
+		return false
+	}
+	if x.unbuffered != nil || r.outcome == pasteer.Abandoned || !x.route.Idempotent && !r.notExecuted {
+		return false
+	}
+	if len(x.tried)+1 >= x.route.MaxAttempts {
+		return false
+	}
+	now := g.config.Clock.Now()
+	if x.deadline.Sub(now) < x.route.TargetLatency/retryLatencyDivisor {
+		return false
+	}
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	return g.balancer.TakeRetry(x.service, now)
+}
+
+// retryLatencyDivisor is the divisor of a route's target latency that yields the time that must be left for another
+// attempt; a warm request takes about that long.
+const retryLatencyDivisor = 3
--- a/pagate/gate.go
+++ b/pagate/gate.go
@@ -27,40 +27,46 @@
 	config Config
 	self   pafleet.Entry
 	state  atomic.Pointer[state]
+	// events is the input of the control loop.
 	events chan event
 	peers  *peers
-	// limits are the own shares of rate limits, limiter the pools where this entry VM keeps them.
-	limits  *limits
+	// quotas holds this entry VM's shares of the rate limits, limiter the shared pools while this entry VM is the
+	// limiter.
+	quotas  *rateShares
 	limiter *limiter
-	pool    *pool
+	conns   *connPool
 	meter   *meter
-	noted   noted
-	// fleet is how many entry VMs were registered; only the control loop uses it.
-	fleet fleetMost
-	// ends bounds the lines on requests that were refused or failed.
-	ends budget
-	// startedAt is when the process began, and firstConfig is closed when a configuration came into force.
+	logged  logState
+	// fleetPeak is the peak number of registered entry VMs; only the control loop uses it.
+	fleetPeak fleetPeak
+	// endLog bounds the log lines on requests that were refused or failed.
+	endLog tokenBucket
+	// startedAt and startUptime are when the process started; firstConfig is closed when it has a configuration.
 	startedAt   time.Time
-	startedUp   time.Duration
+	startUptime time.Duration
 	firstConfig chan struct{}
-	// dropped counts log lines that were dropped; nil where nobody counts.
-	dropped *atomic.Uint64
-
-	// steering guards steer, which all requests share.
-	steering sync.Mutex
-	steer    *pasteer.Balancer
-
-	// ending ends shortly before the process is killed; requests that still run then get an answer.
-	ending context.Context
-	end    context.CancelFunc
-
-	callers   *palane.Listener
-	leaving   atomic.Bool
-	leftAt    atomic.Int64
-	inFlight  atomic.Int64
-	announced chan struct{}
-	traffic   traffic
-	work      sync.WaitGroup
+	// droppedLines counts log lines that were dropped; nil if it is not counted.
+	droppedLines *atomic.Uint64
+
+	// balancerMutex guards the balancer and the random source, which all requests share.
+	balancerMutex sync.Mutex
+	balancer      *pasteer.Balancer
+
+	// requestsCtx is canceled shortly before the process is killed, so that requests in progress still get a
+	// response.
+	requestsCtx    context.Context
+	cancelRequests context.CancelFunc
+
+	// clientListener accepts the clients' connections.
+	clientListener *palane.Listener
+	shuttingDown   atomic.Bool
+	// shutdownAt is when the shutdown started, in Unix nanoseconds.
+	shutdownAt atomic.Int64
+	inFlight   atomic.Int64
+	// reregister wakes keepRegistered.
+	reregister chan struct{}
+	traffic    controlTraffic
+	goroutines sync.WaitGroup
 }
 
 // New returns a Gate that is not running yet.
@@ -73,43 +79,44 @@
 			LinkMbps: s.LinkMbps,
 		},
 		events:    make(chan event, maxEvents),
-		noted:     noted{follows: budget{rate: followLines, burst: followBurst}},
-		ends:      budget{rate: endLines, burst: endBurst},
+		logged:    logState{appliedLines: tokenBucket{rate: appliedLineRate, burst: appliedLineBurst}},
+		endLog:    tokenBucket{rate: endLineRate, burst: endLineBurst},
 		startedAt: c.Clock.Now(), firstConfig: make(chan struct{}),
-		announced: make(chan struct{}, 1),
-		steer: pasteer.New(pasteer.Config{
+		reregister: make(chan struct{}, 1),
+		balancer: pasteer.New(pasteer.Config{
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Regions: s.Regions,
 			RetryRatio: s.RetryRatio, RetryWindow: s.RetryWindow, RetryFloor: s.RetryFloor, MaxShift: s.MaxShift, Off: c.Off,
 		}),
 	}
-	g.ending, g.end = context.WithCancel(context.Background())
-	g.startedUp = g.uptime()
-	g.self.BornUp = g.startedUp.Milliseconds()
-	g.state.Store(&state{knownAt: longAgo})
+	g.requestsCtx, g.cancelRequests = context.WithCancel(context.Background())
+	g.startUptime = g.uptime()
+	g.self.BornUp = g.startUptime.Milliseconds()
+	g.state.Store(&state{verifiedAt: longBeforeStart})
 	g.meter = newMeter(g)
-	g.pool = &pool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*conn{}}
+	g.conns = &connPool{dial: c.Network.Dial, clock: c.Clock, idle: map[netip.AddrPort][]*targetConn{}}
 	g.peers = newPeers(g)
 	g.limiter = newLimiter(g)
-	g.limits = newLimits(g)
-	g.countTraffic()
+	g.quotas = newRateShares(g)
+	g.exportTraffic()
 	return g
 }
 
-// maxEvents bounds the events that wait for the control loop. Load: answers of a few dozen
-// neighbours and the store at once; each takes microseconds.
+// maxEvents bounds the queue of the control loop. The replies of a few dozen neighbours and of the store may come at
+// once; each takes microseconds to handle.
 const maxEvents = 256
 
 const (
-	// maxHeader bounds the memory that a request's header takes; the configuration's own limit, which may
-	// change, is checked for each request.
+	// maxHeader bounds the memory for a request's header; the configured limit, which may change, is checked for
+	// each request.
 	maxHeader = 256 << 10
-	// headerTimeout and idleTimeout bound slow and silent callers where no configuration is known yet, and those
-	// who ask for look-ups or readiness.
+	// headerTimeout and idleTimeout bound slow and silent clients while there is no configuration, and on the
+	// ports for look-ups and readiness checks.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// Run serves until soft ends, then shuts down gracefully; hard ends it at once.
+// Run serves until soft is done, and then shuts down gracefully; hard ends it at once. It returns an error if it
+// cannot listen.
 func (g *Gate) Run(soft, hard context.Context) error {
 	ctx, cancel := context.WithCancel(hard)
 	defer cancel()
@@ -118,62 +125,66 @@
 		return err
 	}
 	s := g.config.Settings
-	g.record(paevent.Started{Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String()})
-	g.spawn(func() { g.follow(ctx) })
-	g.spawn(func() { g.announce(ctx) })
-	g.spawn(func() { g.keepWarm(ctx) })
+	g.record(paevent.Started{
+		Role: "gate", Version: g.config.Version, Zone: s.Zone, Callers: s.Front.String(), Peers: s.Peers.String(),
+	})
+	g.spawn(func() { g.followStore(ctx) })
+	g.spawn(func() { g.keepRegistered(ctx) })
+	g.spawn(func() { g.saveWarmNotes(ctx) })
 	g.spawn(func() { g.peers.run(ctx) })
-	g.spawn(func() { g.limits.run(ctx) })
+	g.spawn(func() { g.quotas.run(ctx) })
 	g.spawn(func() { g.limiter.run(ctx) })
 	g.spawn(func() { g.logTraffic(ctx) })
 	g.spawn(func() { g.servePeers(ctx, listeners[3]) })
-	g.callers = palane.NewListener(palane.Config{
-		Base: listeners[0], Clock: g.config.Clock, MaxHeaderBytes: maxHeader, HeaderTimeout: func() time.Duration { return g.callerLimits().HeaderTimeout },
+	g.clientListener = palane.NewListener(palane.Config{
+		Base: listeners[0], Clock: g.config.Clock, MaxHeaderBytes: maxHeader,
+		HeaderTimeout: func() time.Duration { return g.clientLimits().HeaderTimeout },
 	})
 	front := &http.Server{
-		Handler: http.HandlerFunc(g.serveCaller), MaxHeaderBytes: maxHeader, ConnState: g.callers.TrackState, ConnContext: palane.WithLane,
+		Handler: http.HandlerFunc(g.serveClient), MaxHeaderBytes: maxHeader,
+		ConnState: g.clientListener.TrackState, ConnContext: palane.WithLane,
 	}
-	g.spawn(func() { g.loop(ctx) })
-	g.spawn(func() { g.closed(g.callers.Run()) })
-	others := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
-	g.spawn(func() { g.closed(front.Serve(g.callers)) })
-	g.spawn(func() { g.closed(others[0].Serve(listeners[1])) })
-	g.spawn(func() { g.closed(others[1].Serve(listeners[2])) })
+	g.spawn(func() { g.controlLoop(ctx) })
+	g.spawn(func() { g.recordListenerError(g.clientListener.Run()) })
+	plainServers := []*http.Server{g.server(http.HandlerFunc(g.serveReady)), g.server(http.HandlerFunc(g.serveLookUp))}
+	g.spawn(func() { g.recordListenerError(front.Serve(g.clientListener)) })
+	g.spawn(func() { g.recordListenerError(plainServers[0].Serve(listeners[1])) })
+	g.spawn(func() { g.recordListenerError(plainServers[1].Serve(listeners[2])) })
 	select {
 	case <-soft.Done():
 		g.shutDown(hard, listeners[0])
 	case <-hard.Done():
 	}
-	g.end()
+	g.cancelRequests()
 	front.Close()
-	g.callers.CloseConnections()
-	for _, o := range others {
+	g.clientListener.CloseConnections()
+	for _, o := range plainServers {
 		o.Close()
 	}
 	cancel()
-	g.work.Wait()
+	g.goroutines.Wait()
 	return nil
 }
 
-// listen opens the ports for callers, ready checks, look-ups and peers, in this order.
+// listen opens the ports for clients, readiness checks, look-ups and peers, in this order.
 func (g *Gate) listen() ([]net.Listener, error) {
 	s := g.config.Settings
-	var all []net.Listener
+	var listeners []net.Listener
 	for _, a := range []netip.AddrPort{s.Front, s.Ready, s.Directory, s.Peers} {
 		l, err := g.config.Network.Listen(a)
 		if err != nil {
 			return nil, trace.Wrap(err, "listen on %s", a)
 		}
-		all = append(all, l)
+		listeners = append(listeners, l)
 	}
-	return all, nil
+	return listeners, nil
 }
 
 func (g *Gate) server(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader}
 }
 
-func (g *Gate) closed(err error) {
+func (g *Gate) recordListenerError(err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
 	}
@@ -192,9 +203,9 @@
 }
 
 func (g *Gate) spawn(f func()) {
-	g.work.Add(1)
+	g.goroutines.Add(1)
 	go func() {
-		defer g.work.Done()
+		defer g.goroutines.Done()
 		f()
 	}()
 }
@@ -205,7 +216,7 @@
 	}
 }
 
-// sleep waits and says whether the context still lasts.
+// sleep waits for a time and reports whether ctx is not done yet.
 func (g *Gate) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-g.config.Clock.After(d):
@@ -220,18 +231,18 @@
 	return paclock.WithTimeout(ctx, g.config.Clock, d)
 }
 
-// random returns a random number from 0 to 1.
+// random returns a random number in [0, 1).
 func (g *Gate) random() float64 {
-	g.steering.Lock()
-	defer g.steering.Unlock()
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
 	return g.config.Random.Float64()
 }
 
-// Reload takes new settings. The bounds of retries change at once; places and addresses are those of
-// the process's start.
+// Reload applies new settings to a running Gate. Only the retry budget and MaxShift change; zones and addresses stay
+// those of the start.
 func (g *Gate) Reload(s Settings) {
-	g.steering.Lock()
-	defer g.steering.Unlock()
-	c := &g.steer.Config
+	g.balancerMutex.Lock()
+	defer g.balancerMutex.Unlock()
+	c := &g.balancer.Config
 	c.RetryRatio, c.RetryWindow, c.RetryFloor, c.MaxShift = s.RetryRatio, s.RetryWindow, s.RetryFloor, s.MaxShift
 }
--- a/pagate/key.go
+++ b/pagate/key.go
@@ -13,64 +13,65 @@
 )
 
 const (
-	// comeBackStale is when a caller should try again, at another entry VM: one of them may be in touch.
-	comeBackStale = 200 * time.Millisecond
-	// keysNamed is how many workspaces a line on changed keys names.
-	keysNamed = 32
+	// retryAfterStaleConfig applies at an entry VM whose state is too old to check keys; another one may reach
+	// the store.
+	retryAfterStaleConfig = 200 * time.Millisecond
+	// maxLoggedWorkspaces is how many workspaces a log line on changed keys names.
+	maxLoggedWorkspaces = 32
 )
 
-// fresh says whether what is known may decide on keys: until a watch before a key that was taken away must be out of force
-// everywhere. A watch that ended early makes what is known look younger by as much as it waits.
+// keysFresh reports whether the state is recent enough to check API keys: until a watch before MaxRevocation. The
+// watch is subtracted because one that ended early makes the state look younger by up to its length.
 //
-// Failure prevented: an entry VM is cut off from the store and from all that read it, and serves a key that an operator
-// took away for as long as the cut lasts.
-func (g *Gate) fresh(s *state) bool {
+// Without the bound an entry VM that is partitioned from the store and from all store readers would accept a revoked
+// key for as long as the partition lasts.
+func (g *Gate) keysFresh(s *state) bool {
 	bound := g.config.Settings.MaxRevocation
-	return bound <= 0 || g.age(s) <= max(0, bound-g.watchTime())
+	return bound <= 0 || g.age(s) <= max(0, bound-g.watchDuration())
 }
 
-// admitKey takes the credential off a request and finds whose it is; a status is the answer to one that is refused.
-// Nothing that the caller says of its workspace reaches a target.
-func (g *Gate) admitKey(x *exchange, s *state) (status int, reason string) {
+// authenticate removes the API key from a request and looks up its workspace. A status other than 0 is the response
+// to a request that is refused. The workspace header that a client sent never reaches a target.
+func (g *Gate) authenticate(x *exchange, s *state) (status int, reason string) {
 	if !s.table.Config.Keyed {
 		return 0, ""
 	}
-	fields := x.header["Authorization"]
-	x.strip(g.config.Headers.Workspace)
+	credentials := x.header["Authorization"]
+	x.stripCredentials(g.config.Headers.Workspace)
 	if x.route.Public {
 		return 0, ""
 	}
-	if !g.fresh(s) {
-		// A key that is unknown here may have been added since.
+	if !g.keysFresh(s) {
+		// The response is not 401, as a key that is unknown here may have been added since.
 		return http.StatusServiceUnavailable, reasonStale
 	}
-	key, err := pakey.Parse(fields)
+	key, err := pakey.Parse(credentials)
 	switch {
 	case errors.Is(err, pakey.ErrMissing):
-		return http.StatusUnauthorized, reasonNoKey
+		return http.StatusUnauthorized, reasonNoCredential
 	case err != nil:
-		return http.StatusUnauthorized, reasonBadKey
+		return http.StatusUnauthorized, reasonMalformedKey
 	}
 	if x.workspace = s.table.WorkspaceByKey(key); x.workspace == nil {
-		return http.StatusUnauthorized, reasonKey
+		return http.StatusUnauthorized, reasonUnknownKey
 	}
 	x.header.Set(g.config.Headers.Workspace, x.workspace.Name)
 	return 0, ""
 }
 
-// refuseKey answers a request that admitKey refused.
-func (g *Gate) refuseKey(w http.ResponseWriter, x *exchange, status int, reason string) {
+// refuseAuthentication responds to a request that authenticate refused.
+func (g *Gate) refuseAuthentication(w http.ResponseWriter, x *exchange, status int, reason string) {
 	if status == http.StatusServiceUnavailable {
-		g.refuse(w, x, reason, comeBackStale)
+		g.refuse(w, x, reason, retryAfterStaleConfig)
 		return
 	}
 	w.Header().Set("WWW-Authenticate", "Bearer")
-	g.answerOwn(w, x, status, reason)
+	g.writeError(w, x, status, reason)
 }
 
-// strip removes the credential, and what the caller says of its workspace in any spelling that a target could take
-// for the header's name.
-func (x *exchange) strip(workspace string) {
+// stripCredentials removes the Authorization header and the workspace header, in every spelling that a target could
+// take for these names: servers may treat underscores as hyphens.
+func (x *exchange) stripCredentials(workspace string) {
 	for name := range x.header {
 		plain := strings.ReplaceAll(name, "_", "-")
 		if strings.EqualFold(plain, "Authorization") || strings.EqualFold(plain, workspace) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// workspaceName returns the name of the request's workspace, or nothing.
+// workspaceName returns the name of the request's workspace, or "".
 func (x *exchange) workspaceName() string {
 	if x.workspace == nil {
 		return ""
@@ -87,57 +88,57 @@
 	return x.workspace.Name
 }
 
-// regions returns the only regions that the request's workspace allows.
-func (x *exchange) regions() []string {
+// allowedRegions returns the regions that the request's workspace is restricted to; nil means all.
+func (x *exchange) allowedRegions() []string {
 	if x.workspace == nil {
 		return nil
 	}
 	return x.workspace.AllowedRegions
 }
 
-// noteKeys logs which workspaces' keys a new version changed.
-func (g *Gate) noteKeys(old, next *paroute.Table) {
+// logKeyChanges logs which workspaces' keys differ between two versions of the configuration.
+func (g *Gate) logKeyChanges(old, next *paroute.Table) {
 	if old == nil {
 		return
 	}
 	e := paevent.KeysChanged{Version: next.Config.Version}
-	names := map[string]bool{}
-	count := func(of, in *paroute.Table) (n int) {
+	changed := map[string]bool{}
+	countMissing := func(of, in *paroute.Table) (n int) {
 		for _, w := range of.Config.Workspaces {
 			other := in.Workspace(w.Name)
 			for _, k := range w.Keys {
 				if other == nil || !slices.Contains(other.Keys, k) {
-					names[w.Name] = true
+					changed[w.Name] = true
 					n++
 				}
 			}
 		}
 		return n
 	}
-	e.Added, e.Removed = count(next, old), count(old, next)
-	if len(names) == 0 {
+	e.Added, e.Removed = countMissing(next, old), countMissing(old, next)
+	if len(changed) == 0 {
 		return
 	}
-	for name := range names {
+	for name := range changed {
 		e.Workspaces = append(e.Workspaces, name)
 	}
 	slices.Sort(e.Workspaces)
-	e.Workspaces = e.Workspaces[:min(len(e.Workspaces), keysNamed)]
+	e.Workspaces = e.Workspaces[:min(len(e.Workspaces), maxLoggedWorkspaces)]
 	g.record(e)
 }
 
-// noteFreshness logs when requests with a key begin to be refused for the age of what is known, and when that ends.
-// Only the control loop calls it, at each tick and change.
-func (g *Gate) noteFreshness(s *state) {
+// logStaleness logs when requests with a key begin to be refused because the state is too old, and when that ends.
+// The control loop calls it at each tick.
+func (g *Gate) logStaleness(s *state) {
 	if s.table == nil || !s.table.Config.Keyed {
 		return
 	}
-	switch fresh := g.fresh(s); {
-	case !fresh && g.noted.staleAt == 0:
-		g.noted.staleAt = g.uptime()
+	switch fresh := g.keysFresh(s); {
+	case !fresh && g.logged.staleSince == 0:
+		g.logged.staleSince = g.uptime()
 		g.record(paevent.ConfigurationStale{AgeMilliseconds: g.age(s).Milliseconds()})
-	case fresh && g.noted.staleAt != 0:
-		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.noted.staleAt).Milliseconds()})
-		g.noted.staleAt = 0
+	case fresh && g.logged.staleSince != 0:
+		g.record(paevent.ConfigurationFresh{StaleMilliseconds: (g.uptime() - g.logged.staleSince).Milliseconds()})
+		g.logged.staleSince = 0
 	}
 }
--- a/pagate/stop.go
+++ b/pagate/stop.go
@@ -9,74 +9,73 @@
 )
 
 const (
-	// stayTime is how long after the start of a shutdown new requests are taken: callers keep the
-	// answer of a look-up for up to three of its lives, and then some on the way.
-	stayTime = 3*lookUpLife + 300*time.Millisecond
-	// closeAfter is when answers begin to close their connections; callers that look up again use
-	// others by then.
-	closeAfter = lookUpLife + 500*time.Millisecond
-	// graceMargin is how long before the kill the process ends by itself.
-	graceMargin = 250 * time.Millisecond
-	// answerMargin is how long before that the requests that still run are given up and answered: an
-	// answer takes a caller's way and a few milliseconds.
-	answerMargin = 200 * time.Millisecond
+	// lameDuckTime is how long after the start of a shutdown new connections are accepted: some clients cache the
+	// response to a look-up for three times its TTL, and need a little longer to connect.
+	lameDuckTime = 3*lookUpTTL + 300*time.Millisecond
+	// closeConnsAfter is when responses begin to close their connections; clients that repeat the look-up use
+	// other entry VMs by then.
+	closeConnsAfter = lookUpTTL + 500*time.Millisecond
+	// killMargin is how long before the kill the process exits by itself.
+	killMargin = 250 * time.Millisecond
+	// cancelMargin is how long before killMargin requests in progress are canceled and responded to; sending the
+	// response takes the network delay to the client and a few milliseconds.
+	cancelMargin = 200 * time.Millisecond
 )
 
-// closing says that answers close their connections.
-func (g *Gate) closing() bool {
-	return g.leaving.Load() && g.config.Clock.Now().UnixNano()-g.leftAt.Load() > int64(closeAfter)
+// closesConns reports whether responses close their connections.
+func (g *Gate) closesConns() bool {
+	return g.shuttingDown.Load() && g.config.Clock.Now().UnixNano()-g.shutdownAt.Load() > int64(closeConnsAfter)
 }
 
-// mayFinish says whether a request that arrives now can end before the process does.
-//
-// Load: callers that still use the entry VM during its shutdown. Harm prevented: a long request that
-// starts late is cut off by the kill; refused at once, it runs elsewhere.
-func (g *Gate) mayFinish(x *exchange) bool {
-	if !g.leaving.Load() {
+// canFinish reports whether a request that arrives now can complete before the process exits. During a shutdown a
+// long request that starts late would be cut off by the kill; refused at once, it runs elsewhere.
+func (g *Gate) canFinish(x *exchange) bool {
+	if !g.shuttingDown.Load() {
 		return true
 	}
-	end := time.Duration(g.leftAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - graceMargin - answerMargin
-	return x.route.TargetLatency*2 < end
+	remaining := time.Duration(g.shutdownAt.Load()-g.config.Clock.Now().UnixNano()) + g.config.Settings.GracePeriod - killMargin - cancelMargin
+	return x.route.TargetLatency*2 < remaining
 }
 
-// shutDown ends the process after all that callers may still send has its answer.
+// shutDown returns once all requests that clients may still send are responded to, or the grace period is nearly
+// over.
 func (g *Gate) shutDown(hard context.Context, listener net.Listener) {
-	g.leftAt.Store(g.config.Clock.Now().UnixNano())
-	g.leaving.Store(true)
-	g.announceAgain()
+	g.shutdownAt.Store(g.config.Clock.Now().UnixNano())
+	g.shuttingDown.Store(true)
+	g.requestRegistration()
 	g.record(paevent.Stopping{Reason: "signal", InFlight: int(g.inFlight.Load())})
-	begun := g.config.Clock.Now()
-	g.sleep(hard, min(stayTime, g.config.Settings.GracePeriod/2+stayTime/8))
-	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-graceMargin-g.config.Clock.Since(begun))
+	start := g.config.Clock.Now()
+	g.sleep(hard, min(lameDuckTime, g.config.Settings.GracePeriod/2+lameDuckTime/8))
+	ctx, cancel := g.withTimeout(hard, g.config.Settings.GracePeriod-killMargin-g.config.Clock.Since(start))
 	defer cancel()
-	giveUp := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-graceMargin-answerMargin-g.config.Clock.Since(begun), g.end)
-	defer giveUp.Stop()
+	cancelTimer := g.config.Clock.AfterFunc(g.config.Settings.GracePeriod-killMargin-cancelMargin-g.config.Clock.Since(start), g.cancelRequests)
+	defer cancelTimer.Stop()
 	if err := listener.Close(); err != nil {
 		g.record(paevent.ListenerFailed{Reason: err.Error()})
 	}
-	cut := 0
+	cutOff := 0
 	if !g.drain(ctx) {
-		cut = int(g.inFlight.Load())
+		cutOff = int(g.inFlight.Load())
 	}
-	g.record(paevent.Stopped{CutOff: cut, DrainMilliseconds: g.config.Clock.Since(begun).Milliseconds()})
+	g.record(paevent.Stopped{CutOff: cutOff, DrainMilliseconds: g.config.Clock.Since(start).Milliseconds()})
 }
 
-// newMost is how long a connection may be open during a shutdown without a whole head of a request. Callers send
-// right after they connect; a packet that is lost comes again within a second.
-const newMost = 1500 * time.Millisecond
+// newConnTimeout is how long a connection may be open during a shutdown without a complete request header. Clients
+// send right after they connect; a lost packet is retransmitted within a second.
+const newConnTimeout = 1500 * time.Millisecond
 
-// drainPace is the time between two looks at the connections that are still open: a fraction of the time
-// that callers need to go elsewhere.
-const drainPace = 20 * time.Millisecond
+// drainPollInterval is the interval of checks for open connections, a fraction of the time that clients need to move
+// to another entry VM.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain waits until callers' connections have ended and says whether all have.
+// drain waits until all client connections have ended, and reports whether they have.
 //
-// It stands in for the Shutdown of net/http, which closes a connection whose request it reads after the
-// shutdown began. Failure prevented: the process stands still for a moment while a request arrives, the
-// request is read right after, and its caller loses the connection without an answer.
+// It replaces http.Server.Shutdown, which closes a connection whose request it reads after the shutdown began. If the
+// process stalls while a request arrives and reads it right after, the client would lose the connection without a
+// response.
 func (g *Gate) drain(ctx context.Context) bool {
-	for g.callers.Drain(g.config.Clock.Now(), newMost) > 0 {
-		if !g.sleep(ctx, drainPace) {
+	for g.clientListener.Drain(g.config.Clock.Now(), newConnTimeout) > 0 {
+		if !g.sleep(ctx, drainPollInterval) {
 			return false
 		}
 	}
