--- a/palane/conn.go
+++ b/palane/conn.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// readBuffer is the size of a connection's buffer: some ten requests of usual size. What a caller sends
+	// readBufferSize is the size of a connection's buffer: some ten requests of usual size. What a caller sends
 	// beyond it while DepthMost requests are under way stays in the network, so that it feels the limit.
-	readBuffer = 4 << 10
-	// lingerTime is how long a connection is read on after its last answer. A connection that is closed with
+	readBufferSize = 4 << 10
+	// lingerTimeout is how long a connection is read on after its last answer. A connection that is closed with
 	// unread bytes is reset, and the reset can overtake the answer on its way to the caller.
-	lingerTime = 500 * time.Millisecond
-	// spareMost is how many idle lanes a connection keeps for its next request. Each holds two buffers of 4 KB and
+	lingerTimeout = 500 * time.Millisecond
+	// maxIdleLanes is how many idle lanes a connection keeps for its next request. Each holds two buffers of 4 KB and
 	// the stack of a goroutine: with four an entry VM with 300 callers' connections took 23 MB at its peak, with
 	// one 19 MB.
-	spareMost = 1
+	maxIdleLanes = 1
 )
 
 // conn is a caller's connection.
@@ -30,85 +30,85 @@
 	listener *Listener
 	raw      net.Conn
 	reader   *bufio.Reader
-	// tap is what heads are parsed from. Only run uses it and posted.
-	tap tap
-	// posted says that the last request was a POST.
-	posted bool
-	// left is closed when nothing more can reach the caller's requests: it left, or the connection ends.
-	left chan struct{}
+	// recorder is what heads are parsed from. Only run uses it and posted.
+	recorder recordingReader
+	// afterPost says that the last request was a POST.
+	afterPost bool
+	// disconnected is closed when nothing more can reach the caller's requests: it disconnected, or the connection ends.
+	disconnected chan struct{}
 
 	mutex sync.Mutex
 	// changed wakes the reader where answers end.
 	changed *sync.Cond
-	// under are the lanes whose requests are under way, in the order of the requests.
-	under []*Lane
-	spare []*Lane
-	// last says that no further request is taken, hasLeft that left is closed, ended that the last answer is out.
-	last, hasLeft, ended bool
-	// waiting says that no byte of the next request has arrived, stalled that the reader waits for answers.
-	waiting, stalled bool
+	// inFlight are the lanes whose requests are inFlight way, in the order of the requests.
+	inFlight  []*Lane
+	idleLanes []*Lane
+	// stopped says that no further request is taken, hasDisconnected that left is closed, finished that the stopped answer is out.
+	stopped, hasDisconnected, finished bool
+	// awaitingRequest says that no byte of the next request has arrived, awaitingResponses that the reader waits for answers.
+	awaitingRequest, awaitingResponses bool
 	// served says that a request was answered; since is when the connection became unused.
-	served bool
-	since  time.Time
-	// held is the bytes of answers that wait for their turn.
-	held int64
+	served      bool
+	unusedSince time.Time
+	// buffered is the bytes of answers that wait for their turn.
+	buffered int64
 }
 
 func newConn(l *Listener, raw net.Conn) *conn {
 	c := &conn{
-		listener: l, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), left: make(chan struct{}), since: l.config.Clock.Now(),
+		listener: l, raw: raw, reader: bufio.NewReaderSize(raw, readBufferSize), disconnected: make(chan struct{}), unusedSince: l.config.Clock.Now(),
 	}
 	c.changed = sync.NewCond(&c.mutex)
-	c.tap.from = c.reader
+	c.recorder.source = c.reader
 	return c
 }
 
 // run reads the caller's requests until no more are taken, and what it sends then until it leaves.
 func (c *conn) run() {
-	defer c.listener.forget(c)
-	for c.next() {
+	defer c.listener.remove(c)
+	for c.dispatchNext() {
 	}
 	c.stop()
 	for {
-		if _, err := c.reader.Discard(readBuffer); err != nil {
+		if _, err := c.reader.Discard(readBufferSize); err != nil {
 			break // The caller left, or the connection was closed.
 		}
 	}
-	c.leave()
+	c.disconnect()
 	c.raw.Close()
 }
 
-// next reads one request and hands it to a lane; false says that it was the last.
-func (c *conn) next() bool {
+// dispatchNext reads one request and hands it to a lane; false says that it was the last.
+func (c *conn) dispatchNext() bool {
 	if !c.awaitRequest() {
 		return false
 	}
-	head := heads.Get().(*bufio.Reader)
-	defer heads.Put(head)
-	r, err := c.readHead(head)
-	c.posted = err == nil && r.Method == http.MethodPost
-	lane := c.enter(r)
+	head := headerReaders.Get().(*bufio.Reader)
+	defer headerReaders.Put(head)
+	r, err := c.readHeader(head)
+	c.afterPost = err == nil && r.Method == http.MethodPost
+	lane := c.assignLane(r)
 	if lane == nil {
 		return false
 	}
 	switch {
 	case err != nil:
-		c.passOn(lane)
+		c.forwardMalformed(lane)
 		return false
-	case twoLengths(c.tap.raw, r):
-		lane.feed([]byte(noRequest))
+	case conflictingFraming(c.recorder.recorded, r):
+		lane.feed([]byte(invalidRequest))
 		return false
-	case !lane.feed(c.tap.raw) || !c.passBody(lane, r):
+	case !lane.feed(c.recorder.recorded) || !c.forwardBody(lane, r):
 		return false
 	}
-	return !r.Close && (plain(r) || c.await(func() bool { return lane.state != under }))
+	return !r.Close && (boundaryCertain(r) || c.waitUntil(func() bool { return lane.state != active }))
 }
 
-// passOn hands a malformed head and all that follows to the server, which refuses it and closes the connection.
-func (c *conn) passOn(lane *Lane) {
-	var b [readBuffer]byte
-	err := c.tap.err
-	for p := c.tap.raw; lane.feed(p) && err == nil; {
+// forwardMalformed hands a malformed head and all that follows to the server, which refuses it and closes the connection.
+func (c *conn) forwardMalformed(lane *Lane) {
+	var b [readBufferSize]byte
+	err := c.recorder.err
+	for p := c.recorder.recorded; lane.feed(p) && err == nil; {
 		var n int
 		n, err = c.reader.Read(b[:])
 		p = b[:n]
@@ -119,26 +119,26 @@
 // awaitRequest waits for the first byte of a request.
 func (c *conn) awaitRequest() bool {
 	c.mutex.Lock()
-	c.waiting = c.reader.Buffered() == 0
-	if len(c.under) == 0 {
-		c.since = c.listener.config.Clock.Now()
+	c.awaitingRequest = c.reader.Buffered() == 0
+	if len(c.inFlight) == 0 {
+		c.unusedSince = c.listener.config.Clock.Now()
 	}
 	c.mutex.Unlock()
 	err := c.skipLineEnds()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.waiting = false
-	return err == nil && !c.last
+	c.awaitingRequest = false
+	return err == nil && !c.stopped
 }
 
-// lineEndsMost is how many line ends a server of net/http skips behind a POST, which some old callers send.
-const lineEndsMost = 4
+// maxSkippedLineEnds is how many line ends a server of net/http skips behind a POST, which some old callers send.
+const maxSkippedLineEnds = 4
 
 // skipLineEnds waits for a byte, which is none of those that the server skips.
 func (c *conn) skipLineEnds() error {
 	for skipped := 0; ; skipped++ {
 		b, err := c.reader.Peek(1)
-		if err != nil || !c.posted || skipped == lineEndsMost || b[0] != '\r' && b[0] != '\n' {
+		if err != nil || !c.afterPost || skipped == maxSkippedLineEnds || b[0] != '\r' && b[0] != '\n' {
 			return err
 		}
 		if _, err := c.reader.Discard(1); err != nil {
@@ -147,28 +147,28 @@
 	}
 }
 
-// heads are the buffers of parsers of heads, which a connection needs for as long as a head takes to arrive.
-var heads = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+// headerReaders are the buffers of parsers of headerReaders, which a connection needs for as long as a head takes to arrive.
+var headerReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// readHead reads the head of a request; the tap has its bytes. The request's body reads on from head.
-func (c *conn) readHead(head *bufio.Reader) (*http.Request, error) {
+// readHeader reads the head of a request; the tap has its bytes. The request's body reads on from head.
+func (c *conn) readHeader(head *bufio.Reader) (*http.Request, error) {
 	timed := false
-	c.tap.wait = func() {
-		if d := c.headTimeout(); d > 0 && !timed {
+	c.recorder.onWait = func() {
+		if d := c.headerTimeout(); d > 0 && !timed {
 			timed = true
 			c.setReadDeadline(c.listener.config.Clock.Now().Add(d))
 		}
 	}
-	c.tap.start(c.listener.config.MaxHeaderBytes + headSlop)
-	head.Reset(&c.tap)
+	c.recorder.reset(c.listener.config.MaxHeaderBytes + headerSlop)
+	head.Reset(&c.recorder)
 	r, err := http.ReadRequest(head)
-	if c.tap.wait = nil; timed {
+	if c.recorder.onWait = nil; timed {
 		c.setReadDeadline(time.Time{})
 	}
 	return r, err
 }
 
-func (c *conn) headTimeout() time.Duration {
+func (c *conn) headerTimeout() time.Duration {
 	if c.listener.config.HeaderTimeout == nil {
 		return 0
 	}
@@ -183,13 +183,13 @@
 	}
 }
 
-// enter returns a lane whose request is the next one under way, or nil if no more are taken. It waits while
+// assignLane returns a lane whose request is the next one under way, or nil if no more are taken. It waits while
 // DepthMost are.
-func (c *conn) enter(r *http.Request) *Lane {
-	if !c.await(func() bool { return len(c.under) < MaxPipelined }) {
+func (c *conn) assignLane(r *http.Request) *Lane {
+	if !c.waitUntil(func() bool { return len(c.inFlight) < MaxPipelined }) {
 		return nil
 	}
-	lane := c.takeSpare()
+	lane := c.popIdleLane()
 	if lane == nil {
 		lane = newLane(c)
 		select {
@@ -200,87 +200,87 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.last || lane.closed {
+	if c.stopped || lane.closed {
 		lane.retire()
 		return nil
 	}
-	c.last = r == nil || r.Close
-	lane.begin()
-	c.under = append(c.under, lane)
-	if len(c.under) == 1 {
+	c.stopped = r == nil || r.Close
+	lane.start()
+	c.inFlight = append(c.inFlight, lane)
+	if len(c.inFlight) == 1 {
 		close(lane.turn)
 	}
 	return lane
 }
 
-func (c *conn) takeSpare() *Lane {
+func (c *conn) popIdleLane() *Lane {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	n := len(c.spare)
+	n := len(c.idleLanes)
 	if n == 0 {
 		return nil
 	}
-	lane := c.spare[n-1]
-	c.spare = c.spare[:n-1]
+	lane := c.idleLanes[n-1]
+	c.idleLanes = c.idleLanes[:n-1]
 	return lane
 }
 
-// await waits until ready, which is called under the mutex, and says whether the connection still takes requests.
+// waitUntil waits until ready, which is called under the mutex, and says whether the connection still takes requests.
 // It goes on reading into the connection's buffer, so that a caller that leaves meanwhile is noticed.
-func (c *conn) await(ready func() bool) bool {
-	for c.stall(ready) {
+func (c *conn) waitUntil(ready func() bool) bool {
+	for c.mustWait(ready) {
 		_, err := c.reader.Peek(c.reader.Buffered() + 1)
 		var e net.Error
 		switch {
 		case err == nil:
 		case errors.Is(err, bufio.ErrBufferFull):
-			c.awaitChange(ready)
+			c.waitForChange(ready)
 		case errors.As(err, &e) && e.Timeout():
 			// An answer ended the wait; see answered.
 			c.setReadDeadline(time.Time{})
 		default:
-			c.leave()
+			c.disconnect()
 		}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.last
+	return !c.stopped
 }
 
-// stall says whether the reader has to wait for answers.
-func (c *conn) stall(ready func() bool) bool {
+// mustWait says whether the reader has to wait for answers.
+func (c *conn) mustWait(ready func() bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	was := c.stalled
-	c.stalled = !ready() && !c.last
-	if was && !c.stalled {
+	was := c.awaitingResponses
+	c.awaitingResponses = !ready() && !c.stopped
+	if was && !c.awaitingResponses {
 		c.setReadDeadline(time.Time{})
 	}
-	return c.stalled
+	return c.awaitingResponses
 }
 
-func (c *conn) awaitChange(ready func() bool) {
+func (c *conn) waitForChange(ready func() bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for !ready() && !c.last {
+	for !ready() && !c.stopped {
 		c.changed.Wait()
 	}
 }
 
-// passBody hands the body of a request to its lane as it arrives.
-func (c *conn) passBody(lane *Lane, r *http.Request) bool {
+// forwardBody hands the body of a request to its lane as it arrives.
+func (c *conn) forwardBody(lane *Lane, r *http.Request) bool {
 	if r.ContentLength > 0 {
-		_, err := io.CopyN(lane.input(), c.reader, r.ContentLength)
+		_, err := io.CopyN(lane.inputWriter(), c.reader, r.ContentLength)
 		return err == nil
 	}
 	if r.ContentLength == 0 {
 		return true
 	}
-	var b [readBuffer]byte
+	var b [readBufferSize]byte
 	for {
-		c.tap.start(0)
+		c.recorder.reset(0)
 		_, err := r.Body.Read(b[:])
-		if !lane.feed(c.tap.raw) {
+		if !lane.feed(c.recorder.recorded) {
 			return false
 		}
 		if err != nil {
@@ -293,104 +293,104 @@
 func (c *conn) stop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last = true
-	if len(c.under) == 0 {
-		c.end()
+	c.stopped = true
+	if len(c.inFlight) == 0 {
+		c.finish()
 	}
 }
 
-// leave ends the requests of a caller that is gone.
-func (c *conn) leave() {
+// disconnect ends the requests of a caller that is gone.
+func (c *conn) disconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.leaveLocked()
+	c.disconnectLocked()
 }
 
-func (c *conn) leaveLocked() {
-	c.last = true
-	if !c.hasLeft {
-		c.hasLeft = true
-		close(c.left)
-	}
-	for _, lane := range c.under {
-		lane.release()
+func (c *conn) disconnectLocked() {
+	c.stopped = true
+	if !c.hasDisconnected {
+		c.hasDisconnected = true
+		close(c.disconnected)
+	}
+	for _, lane := range c.inFlight {
+		lane.releaseBuffered()
 		lane.wake.Broadcast()
 	}
-	for _, lane := range c.spare {
+	for _, lane := range c.idleLanes {
 		lane.retire()
 	}
-	c.spare = nil
+	c.idleLanes = nil
 	c.changed.Broadcast()
 }
 
-// end closes the connection after its last answer; the mutex is held.
-func (c *conn) end() {
-	if c.ended {
+// finish closes the connection after its last answer; the mutex is held.
+func (c *conn) finish() {
+	if c.finished {
 		return
 	}
-	c.ended = true
-	c.leaveLocked()
+	c.finished = true
+	c.disconnectLocked()
 	half, ok := c.raw.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		c.raw.Close()
 		return
 	}
-	c.listener.config.Clock.AfterFunc(lingerTime, func() { c.raw.Close() })
-	if c.stalled {
+	c.listener.config.Clock.AfterFunc(lingerTimeout, func() { c.raw.Close() })
+	if c.awaitingResponses {
 		c.setReadDeadline(c.listener.config.Clock.Now())
 	}
 }
 
-// answered notes that the answer of the first request under way is out, and gives the next one its turn.
-func (c *conn) answered(lane *Lane) {
+// responseDone notes that the answer of the first request under way is out, and gives the next one its turn.
+func (c *conn) responseDone(lane *Lane) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if lane.state != under {
+	if lane.state != active {
 		return
 	}
 	lane.state = idle
-	c.under = c.under[1:]
+	c.inFlight = c.inFlight[1:]
 	c.served = true
-	c.keep(lane)
+	c.recycle(lane)
 	switch {
-	case len(c.under) > 0:
-		next := c.under[0]
-		next.release()
+	case len(c.inFlight) > 0:
+		next := c.inFlight[0]
+		next.releaseBuffered()
 		close(next.turn)
 		if next.closed {
-			c.end()
+			c.finish()
 		}
-	case c.last:
-		c.end()
+	case c.stopped:
+		c.finish()
 	default:
-		c.since = c.listener.config.Clock.Now()
+		c.unusedSince = c.listener.config.Clock.Now()
 	}
-	if c.stalled {
+	if c.awaitingResponses {
 		c.setReadDeadline(c.listener.config.Clock.Now())
 	}
 	c.changed.Broadcast()
 }
 
-// keep makes a lane ready for another request, or ends it.
-func (c *conn) keep(lane *Lane) {
-	if len(c.spare) < spareMost && !c.last {
-		c.spare = append(c.spare, lane)
+// recycle makes a lane ready for another request, or ends it.
+func (c *conn) recycle(lane *Lane) {
+	if len(c.idleLanes) < maxIdleLanes && !c.stopped {
+		c.idleLanes = append(c.idleLanes, lane)
 		return
 	}
 	lane.retire()
 }
 
-// closeUnused closes the connection if no request runs or has arrived and due says so, and says whether it is
+// closeIfUnused closes the connection if no request runs or has arrived and due says so, and says whether it is
 // closed.
-func (c *conn) closeUnused(due func(served bool, since time.Time) bool) bool {
+func (c *conn) closeIfUnused(due func(served bool, since time.Time) bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.ended {
+	if c.finished {
 		return true
 	}
-	if !c.waiting || len(c.under) > 0 || !due(c.served, c.since) || !pasocket.NothingToRead(c.raw) {
+	if !c.awaitingRequest || len(c.inFlight) > 0 || !due(c.served, c.unusedSince) || !pasocket.NothingToRead(c.raw) {
 		return false
 	}
-	c.end()
+	c.finish()
 	return true
 }
--- a/palane/fuzz_test.go
+++ b/palane/fuzz_test.go
@@ -21,8 +21,8 @@
 
 var dates = regexp.MustCompile("Date: [^\r]*\r\n")
 
-// talk sends the bytes in pieces and returns all answers.
-func talk(c net.Conn, sent []byte, cut int) string {
+// exchange sends the bytes in pieces and returns all answers.
+func exchange(c net.Conn, sent []byte, cut int) string {
 	var got strings.Builder
 	go func() {
 		for p := sent; len(p) > 0; {
@@ -47,19 +47,19 @@
 	return dates.ReplaceAllString(got.String(), "")
 }
 
-// alone serves the bytes by net/http without lanes.
-func alone(t *testing.T, sent []byte, cut int) string {
-	base := newListener()
+// exchangeDirect serves the bytes by net/http without lanes.
+func exchangeDirect(t *testing.T, sent []byte, cut int) string {
+	base := newPipeListener()
 	server := &http.Server{Handler: http.HandlerFunc(echo), MaxHeaderBytes: 8 << 10, ReadHeaderTimeout: 3 * time.Second}
-	go func() { ended(t, server.Serve(base)) }()
+	go func() { checkStopped(t, server.Serve(base)) }()
 	defer server.Close()
 	caller, own := net.Pipe()
 	base.conns <- own
-	return talk(caller, sent, cut)
+	return exchange(caller, sent, cut)
 }
 
-// refusal is the server's answer to what is no request.
-const refusal = "HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request"
+// badRequestResponse is the server's answer to what is no request.
+const badRequestResponse = "HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request"
 
 // Whatever a caller sends, in whatever packets, it gets the answers that a server without lanes gives, but for
 // requests with two lengths. It makes no difference whether a fragment behind the last request is refused: that
@@ -102,17 +102,17 @@
 			t.Skip("two lengths are refused")
 		}
 		synctest.Test(t, func(t *testing.T) {
-			want := alone(t, sent, cut)
-			r := newFront(t, echo)
-			if got := talk(r.caller, sent, cut); strings.TrimSuffix(got, refusal) != strings.TrimSuffix(want, refusal) {
+			want := exchangeDirect(t, sent, cut)
+			r := newTestServer(t, echo)
+			if got := exchange(r.caller, sent, cut); strings.TrimSuffix(got, badRequestResponse) != strings.TrimSuffix(want, badRequestResponse) {
 				t.Errorf("%q\n got %q\nwant %q", sent, got, want)
 			}
 		})
 	})
 }
 
-// twoLengthsHeads are the orders and spellings of a head that names both a length and a coding.
-func twoLengthsHeads() []string {
+// conflictingFramings are the orders and spellings of a head that names both a length and a coding.
+func conflictingFramings() []string {
 	lengths := []string{"Content-Length: 4", "content-length:4", "CONTENT-LENGTH: \t4 ", "Content-Length: 4\r\nContent-Length: 4"}
 	codings := []string{"Transfer-Encoding: chunked", "transfer-encoding:chunked", "TRANSFER-ENCODING: \tChunked ", "Transfer-Encoding: chunked\r\nX: y"}
 	var all []string
@@ -126,12 +126,12 @@
 
 // A caller hides a request behind two lengths, in some order and spelling that one reader takes and another does not.
 func TestNothingRunsBehindTwoLengths(t *testing.T) {
-	for _, lengths := range twoLengthsHeads() {
+	for _, lengths := range conflictingFramings() {
 		for _, before := range []string{"", get("/1")} {
 			sent := before + "POST /two HTTP/1.1\r\nHost: h\r\n" + lengths + "\r\n\r\n0\r\n\r\n" + get("/hidden")
 			synctest.Test(t, func(t *testing.T) {
-				r := newFront(t, echo)
-				got := talk(r.caller, []byte(sent), 1<<16)
+				r := newTestServer(t, echo)
+				got := exchange(r.caller, []byte(sent), 1<<16)
 				if strings.Contains(got, "/hidden") || strings.Contains(got, "/two") {
 					t.Errorf("%q was answered by %q", sent, got)
 				}
--- a/palane/lane.go
+++ b/palane/lane.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// inputMost is how many bytes of a body wait for the handler before the caller has to wait.
-	inputMost = 64 << 10
-	// heldMost and heldMostAll bound the bytes of answers that wait for their turn on one connection and on
+	// maxInput is how many bytes of a body wait for the handler before the caller has to wait.
+	maxInput = 64 << 10
+	// maxBuffered and heldMostAll bound the bytes of answers that wait for their turn on one connection and on
 	// all, beyond which requests run in their turn only. Load: callers that ask for many long answers behind a
 	// slow one. Harm prevented: the answers fill the memory of the VM, of which the second is about a twentieth.
-	heldMost    = 1 << 20
-	heldMostAll = 16 << 20
+	maxBuffered      = 1 << 20
+	maxBufferedTotal = 16 << 20
 )
 
 // laneState says what a lane does.
@@ -26,7 +26,7 @@
 
 const (
 	idle laneState = iota
-	under
+	active
 	// retired lanes end, as their connection has enough of them.
 	retired
 )
@@ -43,21 +43,21 @@
 	state laneState
 	// closed says that the server closed the lane.
 	closed bool
-	in     []byte
-	// inErr is why nothing follows what is in.
-	inErr error
-	held  int64
+	input  []byte
+	// inputErr is why nothing follows what is in.
+	inputErr error
+	buffered int64
 	// expired says that the read deadline has passed; deadlines counts them, and timer ends the latest.
-	expired   bool
-	deadlines int
-	timer     clockwork.Timer
+	expired       bool
+	deadlineCount int
+	timer         clockwork.Timer
 }
 
 func newLane(c *conn) *Lane { return &Lane{conn: c, wake: sync.NewCond(&c.mutex)} }
 
-// begin makes the lane ready for a request; the mutex is held.
-func (l *Lane) begin() {
-	l.state = under
+// start makes the lane ready for a request; the mutex is held.
+func (l *Lane) start() {
+	l.state = active
 	l.turn = make(chan struct{})
 }
 
@@ -72,13 +72,13 @@
 	c := l.conn
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(l.in) >= inputMost && !l.closed && !c.hasLeft {
+	for len(l.input) >= maxInput && !l.closed && !c.hasDisconnected {
 		l.wake.Wait()
 	}
-	if l.closed || c.hasLeft {
+	if l.closed || c.hasDisconnected {
 		return false
 	}
-	l.in = append(l.in, p...)
+	l.input = append(l.input, p...)
 	l.wake.Broadcast()
 	return true
 }
@@ -87,22 +87,22 @@
 func (l *Lane) endInput(err error) {
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	l.inErr = err
+	l.inputErr = err
 	l.wake.Broadcast()
 }
 
-// feeder writes to a lane's input.
-type feeder struct{ lane *Lane }
+// laneWriter writes to a lane's input.
+type laneWriter struct{ lane *Lane }
 
 // Write hands bytes to the server.
-func (f feeder) Write(p []byte) (int, error) {
+func (f laneWriter) Write(p []byte) (int, error) {
 	if !f.lane.feed(p) {
 		return 0, net.ErrClosed
 	}
 	return len(p), nil
 }
 
-func (l *Lane) input() io.Writer { return feeder{l} }
+func (l *Lane) inputWriter() io.Writer { return laneWriter{l} }
 
 // Read is what the server reads.
 func (l *Lane) Read(p []byte) (int, error) {
@@ -115,23 +115,23 @@
 			return 0, net.ErrClosed
 		case l.expired:
 			return 0, os.ErrDeadlineExceeded
-		case len(l.in) > 0:
-			return l.take(p), nil
-		case l.inErr != nil:
-			return 0, l.inErr
-		case c.hasLeft || l.state == retired:
+		case len(l.input) > 0:
+			return l.consume(p), nil
+		case l.inputErr != nil:
+			return 0, l.inputErr
+		case c.hasDisconnected || l.state == retired:
 			return 0, io.EOF
 		}
 		l.wake.Wait()
 	}
 }
 
-// take returns what was fed; the mutex is held.
-func (l *Lane) take(p []byte) int {
-	n := copy(p, l.in)
-	l.in = l.in[:copy(l.in, l.in[n:])]
-	if len(l.in) == 0 && cap(l.in) > readBuffer {
-		l.in = nil
+// consume returns what was fed; the mutex is held.
+func (l *Lane) consume(p []byte) int {
+	n := copy(p, l.input)
+	l.input = l.input[:copy(l.input, l.input[n:])]
+	if len(l.input) == 0 && cap(l.input) > readBufferSize {
+		l.input = nil
 	}
 	l.wake.Broadcast()
 	return n
@@ -158,10 +158,10 @@
 	if l.timer != nil {
 		l.timer.Stop()
 	}
-	if l.state == under {
-		c.last = true
-		if c.under[0] == l {
-			c.end()
+	if l.state == active {
+		c.stopped = true
+		if c.inFlight[0] == l {
+			c.finish()
 		}
 	}
 	return nil
@@ -188,13 +188,13 @@
 		l.timer.Stop()
 		l.timer = nil
 	}
-	l.deadlines++
+	l.deadlineCount++
 	l.expired = false
 	if t.IsZero() {
 		return nil
 	}
 	if left := t.Sub(c.listener.config.Clock.Now()); left > 0 {
-		n := l.deadlines
+		n := l.deadlineCount
 		l.timer = c.listener.config.Clock.AfterFunc(left, func() { l.expire(n) })
 		return nil
 	}
@@ -207,7 +207,7 @@
 func (l *Lane) expire(deadline int) {
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	if l.deadlines == deadline {
+	if l.deadlineCount == deadline {
 		l.expired = true
 		l.wake.Broadcast()
 	}
--- a/palane/lane_test.go
+++ b/palane/lane_test.go
@@ -19,16 +19,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// listener is a net.Listener of connections in memory.
-type listener struct {
+// pipeListener is a net.Listener of connections in memory.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 	once  sync.Once
 }
 
-func newListener() *listener { return &listener{conns: make(chan net.Conn), done: make(chan struct{})} }
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+}
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -37,55 +39,55 @@
 	}
 }
 
-func (l *listener) Close() error {
+func (l *pipeListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// front is a server on lanes, with a connection of a caller.
-type front struct {
+// testServer is a server on lanes, with a connection of a caller.
+type testServer struct {
 	*Listener
 	server *http.Server
-	base   *listener
+	base   *pipeListener
 	caller net.Conn
 	reader *bufio.Reader
 }
 
-func newFront(t *testing.T, h http.HandlerFunc) *front {
-	f := &front{base: newListener()}
+func newTestServer(t *testing.T, h http.HandlerFunc) *testServer {
+	f := &testServer{base: newPipeListener()}
 	f.Listener = NewListener(Config{Base: f.base, Clock: clockwork.NewRealClock(), MaxHeaderBytes: 8 << 10, HeaderTimeout: func() time.Duration { return 3 * time.Second }})
 	f.server = &http.Server{Handler: h, MaxHeaderBytes: 8 << 10, ConnState: f.TrackState, ConnContext: WithLane}
-	go func() { ended(t, f.Run()) }()
-	go func() { ended(t, f.server.Serve(f.Listener)) }()
+	go func() { checkStopped(t, f.Run()) }()
+	go func() { checkStopped(t, f.server.Serve(f.Listener)) }()
 	f.caller = f.connect()
 	f.reader = bufio.NewReader(f.caller)
 	t.Cleanup(f.stop)
 	return f
 }
 
-// ended takes the end of a listener or a server.
-func ended(t *testing.T, err error) {
+// checkStopped takes the end of a listener or a server.
+func checkStopped(t *testing.T, err error) {
 	if !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		t.Error(err)
 	}
 }
 
-func (f *front) connect() net.Conn {
+func (f *testServer) connect() net.Conn {
 	caller, server := net.Pipe()
 	f.base.conns <- server
 	return caller
 }
 
-func (f *front) stop() {
+func (f *testServer) stop() {
 	f.caller.Close()
 	f.server.Close()
 	f.CloseConnections()
 	synctest.Wait()
 }
 
-func (f *front) say(text string) { go write(f.caller, text) }
+func (f *testServer) send(text string) { go write(f.caller, text) }
 
 // write sends text to a connection, or as much of it as the other end takes.
 func write(w io.Writer, text string) {
@@ -94,8 +96,8 @@
 	}
 }
 
-// answer reads the next answer.
-func (f *front) answer(t *testing.T) (status int, body string) {
+// readResponse reads the next readResponse.
+func (f *testServer) readResponse(t *testing.T) (status int, body string) {
 	t.Helper()
 	r, err := http.ReadResponse(f.reader, nil)
 	if err != nil {
@@ -115,14 +117,14 @@
 // Served one after the other the last one comes after 1.2 s.
 func TestPipelinedRequestsRunSideBySide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(300 * time.Millisecond)
 			write(w, r.URL.Path)
 		})
 		begin := time.Now()
-		f.say(get("/1") + get("/2") + get("/3") + get("/4"))
+		f.send(get("/1") + get("/2") + get("/3") + get("/4"))
 		for n := range 4 {
-			if _, body := f.answer(t); body != fmt.Sprintf("/%d", n+1) {
+			if _, body := f.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
 				t.Errorf("answer %d is that to %s", n+1, body)
 			}
 		}
@@ -135,7 +137,7 @@
 // The answers to later requests are ready first, the last one at once. Each goes to its own request's place.
 func TestAnswersKeepTheOrderOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.Atoi(r.URL.Path[1:])
 			if err != nil {
 				t.Error(err)
@@ -147,10 +149,10 @@
 		for n := range 20 {
 			all.WriteString(get(fmt.Sprintf("/%d", n)))
 		}
-		f.say(all.String())
+		f.send(all.String())
 		for n := range 20 {
 			path := fmt.Sprintf("/%d", n)
-			if _, body := f.answer(t); body != strings.Repeat(path, 3000) {
+			if _, body := f.readResponse(t); body != strings.Repeat(path, 3000) {
 				t.Fatalf("answer %d is another one's: %.20s", n, body)
 			}
 		}
@@ -162,7 +164,7 @@
 func TestARequestKnowsThatOthersAreAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := make(chan string, 4)
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			lane := FromContext(r.Context())
 			if r.Method == http.MethodPost {
 				if err := lane.AwaitTurn(r.Context()); err != nil {
@@ -176,8 +178,8 @@
 			}
 			ran <- r.Method
 		})
-		f.say(get("/") + "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab")
-		if status, _ := f.answer(t); status != http.StatusOK {
+		f.send(get("/") + "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab")
+		if status, _ := f.readResponse(t); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 		if first, second := <-ran, <-ran; first != "GET" || second != ErrConnectionEnded.Error() {
@@ -195,12 +197,12 @@
 	for _, depth := range []int{1, 2, 10, 24} {
 		synctest.Test(t, func(t *testing.T) {
 			var running atomic.Int32
-			f := newFront(t, func(_ http.ResponseWriter, r *http.Request) {
+			f := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
 				running.Add(1)
 				defer running.Add(-1)
 				<-r.Context().Done()
 			})
-			f.say(strings.Repeat(get("/"), depth))
+			f.send(strings.Repeat(get("/"), depth))
 			synctest.Wait()
 			if n := running.Load(); n != int32(min(depth, MaxPipelined)) {
 				t.Errorf("%d of %d run", n, depth)
@@ -219,9 +221,9 @@
 func TestTwoLengthsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served atomic.Int32
-		f := newFront(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
-		f.say("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get("/hidden"))
-		if status, _ := f.answer(t); status != http.StatusBadRequest {
+		f := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
+		f.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get("/hidden"))
+		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
 			t.Errorf("status %d", status)
 		}
 		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) {
@@ -238,9 +240,9 @@
 func TestNothingRunsBehindARequestThatIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served atomic.Int32
-		f := newFront(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
-		f.say("GET / HTTP/1.1\r\n\r\n" + get("/hidden"))
-		if status, _ := f.answer(t); status != http.StatusBadRequest {
+		f := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
+		f.send("GET / HTTP/1.1\r\n\r\n" + get("/hidden"))
+		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
 			t.Errorf("status %d", status)
 		}
 		synctest.Wait()
@@ -254,16 +256,16 @@
 // half one is refused, and the connection ends after the time that a head may take.
 func TestHalfAHeadEndsTheConnectionInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(t, func(w http.ResponseWriter, _ *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(4 * time.Second)
 			write(w, "late")
 		})
 		begin := time.Now()
-		f.say(get("/") + "GET /half HTTP/1.1\r\nHo")
-		if _, body := f.answer(t); body != "late" {
+		f.send(get("/") + "GET /half HTTP/1.1\r\nHo")
+		if _, body := f.readResponse(t); body != "late" {
 			t.Errorf("body %q", body)
 		}
-		if status, _ := f.answer(t); status != http.StatusBadRequest {
+		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
 			t.Errorf("status %d for half a head", status)
 		}
 		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) || time.Since(begin) > 5*time.Second {
@@ -276,7 +278,7 @@
 // one after its grace.
 func TestDrainClosesOnlyWhatIsUnused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/slow" {
 				time.Sleep(time.Second)
 			}
@@ -285,8 +287,8 @@
 		defer inHead.Close()
 		defer fresh.Close()
 		defer slow.Close()
-		f.say(get("/"))
-		f.answer(t)
+		f.send(get("/"))
+		f.readResponse(t)
 		go write(inHead, "GET / HT")
 		go write(slow, get("/slow"))
 		synctest.Wait()
@@ -304,26 +306,26 @@
 func TestHeldAnswersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var behind atomic.Int32
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			lane := FromContext(r.Context())
 			if lane.EarlierPending() {
 				if !lane.MayRunEarly() {
 					behind.Add(1)
 				}
-				lane.CountBuffered(heldMost)
+				lane.CountBuffered(maxBuffered)
 			}
 			time.Sleep(time.Second)
 		})
-		f.say(get("/1") + get("/2"))
+		f.send(get("/1") + get("/2"))
 		synctest.Wait()
-		f.say(get("/3"))
+		f.send(get("/3"))
 		for range 3 {
-			f.answer(t)
+			f.readResponse(t)
 		}
 		if n := behind.Load(); n != 1 {
 			t.Errorf("%d requests had to wait, want the third", n)
 		}
-		if n := f.held.Load(); n != 0 {
+		if n := f.buffered.Load(); n != 0 {
 			t.Errorf("%d bytes count as held at the end", n)
 		}
 	})
@@ -331,7 +333,7 @@
 
 func TestAnswerMayCloseOnlyBehindNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(100 * time.Millisecond)
 			lane := FromContext(r.Context())
 			if lane.AwaitTurn(context.Background()) == nil && lane.MarkLast() {
@@ -339,9 +341,9 @@
 			}
 			write(w, r.URL.Path)
 		})
-		f.say(get("/1") + get("/2"))
+		f.send(get("/1") + get("/2"))
 		for n := range 2 {
-			if _, body := f.answer(t); body != fmt.Sprintf("/%d", n+1) {
+			if _, body := f.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
 				t.Errorf("answer %d: %s", n+1, body)
 			}
 		}
--- a/palane/listener.go
+++ b/palane/listener.go
@@ -33,12 +33,12 @@
 	config Config
 	lanes  chan *Lane
 	ctx    context.Context
-	end    context.CancelFunc
-	// held is the bytes of answers that wait for their turn on all connections.
-	held atomic.Int64
+	cancel context.CancelFunc
+	// buffered is the bytes of answers that wait for their turn on all connections.
+	buffered atomic.Int64
 
 	mutex sync.Mutex
-	open  map[*conn]struct{}
+	conns map[*conn]struct{}
 }
 
 // NewListener returns a Listener for the connections of c.Base.
@@ -46,8 +46,8 @@
 	if c.MaxHeaderBytes <= 0 {
 		c.MaxHeaderBytes = http.DefaultMaxHeaderBytes
 	}
-	l := &Listener{config: c, lanes: make(chan *Lane), open: map[*conn]struct{}{}}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l := &Listener{config: c, lanes: make(chan *Lane), conns: map[*conn]struct{}{}}
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
@@ -60,7 +60,7 @@
 		}
 		c := newConn(l, raw)
 		l.mutex.Lock()
-		l.open[c] = struct{}{}
+		l.conns[c] = struct{}{}
 		l.mutex.Unlock()
 		go c.run()
 	}
@@ -81,22 +81,22 @@
 
 // Close ends Accept and Run. To take no more connections and serve those that are open, close the base listener.
 func (l *Listener) Close() error {
-	l.end()
+	l.cancel()
 	return l.config.Base.Close()
 }
 
 // CloseConnections closes all connections.
 func (l *Listener) CloseConnections() {
-	for _, c := range l.all() {
-		c.leave()
+	for _, c := range l.connections() {
+		c.disconnect()
 		c.raw.Close()
 	}
 }
 
 // CloseIdle closes connections that were unused for longer than the limit.
 func (l *Listener) CloseIdle(now time.Time, limit time.Duration) {
-	for _, c := range l.all() {
-		c.closeUnused(func(_ bool, since time.Time) bool { return now.Sub(since) > limit })
+	for _, c := range l.connections() {
+		c.closeIfUnused(func(_ bool, since time.Time) bool { return now.Sub(since) > limit })
 	}
 }
 
@@ -104,34 +104,34 @@
 // are younger than the grace, and returns how many are left.
 func (l *Listener) Drain(now time.Time, grace time.Duration) int {
 	left := 0
-	for _, c := range l.all() {
-		if !c.closeUnused(func(served bool, since time.Time) bool { return served || now.Sub(since) > grace }) {
+	for _, c := range l.connections() {
+		if !c.closeIfUnused(func(served bool, since time.Time) bool { return served || now.Sub(since) > grace }) {
 			left++
 		}
 	}
 	return left
 }
 
-func (l *Listener) all() []*conn {
+func (l *Listener) connections() []*conn {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	all := make([]*conn, 0, len(l.open))
-	for c := range l.open {
+	all := make([]*conn, 0, len(l.conns))
+	for c := range l.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (l *Listener) forget(c *conn) {
+func (l *Listener) remove(c *conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.open, c)
+	delete(l.conns, c)
 }
 
 // TrackState follows the lanes' states for the server that serves them.
 func (l *Listener) TrackState(n net.Conn, s http.ConnState) {
 	if lane, ok := n.(*Lane); ok && s == http.StateIdle {
-		lane.conn.answered(lane)
+		lane.conn.responseDone(lane)
 	}
 }
 
--- a/palane/turn.go
+++ b/palane/turn.go
@@ -34,7 +34,7 @@
 	select {
 	case <-l.turn:
 		return nil
-	case <-l.conn.left:
+	case <-l.conn.disconnected:
 		return ErrConnectionEnded
 	case <-ctx.Done():
 		return ctx.Err()
@@ -48,7 +48,7 @@
 	}
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	return l.conn.held < heldMost && l.conn.listener.held.Load() < heldMostAll
+	return l.conn.buffered < maxBuffered && l.conn.listener.buffered.Load() < maxBufferedTotal
 }
 
 // CountBuffered counts an answer that waits for its turn.
@@ -58,19 +58,19 @@
 	}
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	if l.conn.under[0] == l || l.conn.hasLeft {
+	if l.conn.inFlight[0] == l || l.conn.hasDisconnected {
 		return
 	}
-	l.held += int64(bytes)
-	l.conn.held += int64(bytes)
-	l.conn.listener.held.Add(int64(bytes))
+	l.buffered += int64(bytes)
+	l.conn.buffered += int64(bytes)
+	l.conn.listener.buffered.Add(int64(bytes))
 }
 
-// release takes back what Hold counted; the mutex is held.
-func (l *Lane) release() {
-	l.conn.held -= l.held
-	l.conn.listener.held.Add(-l.held)
-	l.held = 0
+// releaseBuffered takes back what Hold counted; the mutex is held.
+func (l *Lane) releaseBuffered() {
+	l.conn.buffered -= l.buffered
+	l.conn.listener.buffered.Add(-l.buffered)
+	l.buffered = 0
 }
 
 // MarkLast says whether the answer may close the connection: it may if no further request was read, and then
@@ -82,9 +82,9 @@
 	c := l.conn
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if n := len(c.under); n > 0 && c.under[n-1] != l {
+	if n := len(c.inFlight); n > 0 && c.inFlight[n-1] != l {
 		return false
 	}
-	c.last = true
+	c.stopped = true
 	return true
 }
--- a/paplatform/error.go
+++ b/paplatform/error.go
@@ -67,7 +67,7 @@
 	return Unknown
 }
 
-// fail returns a traced *Error.
-func fail(f Fault, key Key, format string, arguments ...any) error {
+// errorf returns a traced *Error.
+func errorf(f Fault, key Key, format string, arguments ...any) error {
 	return trace.Wrap(&Error{Fault: f, Key: key, Detail: fmt.Sprintf(format, arguments...)})
 }
--- a/paplatform/injection.go
+++ b/paplatform/injection.go
@@ -22,8 +22,8 @@
 	OperationList           Operation = "List"
 )
 
-// writes reports whether a lost reply leaves the effect of the operation in doubt.
-func (o Operation) writes() bool {
+// isWrite reports whether a lost reply leaves the effect of the operation in doubt.
+func (o Operation) isWrite() bool {
 	return o != OperationGet && o != OperationWatch && o != OperationList
 }
 
--- a/paplatform/memory.go
+++ b/paplatform/memory.go
@@ -25,7 +25,7 @@
 	values     map[Key]Change
 	leases     map[LeaseID]*lease
 	revision   Revision
-	granted    uint64
+	leaseCount uint64
 	changed    chan struct{}
 	injections []Injection
 	counts     Counts
@@ -33,9 +33,9 @@
 
 // lease is the time a holder has left.
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
-	stop func() bool
+	ttl       time.Duration
+	expires   time.Time
+	stopTimer func() bool
 }
 
 // As returns the store as the named caller sees it.
@@ -89,8 +89,8 @@
 	return found
 }
 
-// next returns the channel that closes at the next change; the mutex is held.
-func (m *MemoryStore) next() <-chan struct{} {
+// nextChange returns the channel that closes at the nextChange change; the mutex is held.
+func (m *MemoryStore) nextChange() <-chan struct{} {
 	if m.changed == nil {
 		m.changed = make(chan struct{})
 	}
--- a/paplatform/memory_call.go
+++ b/paplatform/memory_call.go
@@ -29,7 +29,7 @@
 
 func (c memoryCaller) CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, l LeaseID) (Revision, error) {
 	if len(data) > MaxValueSize {
-		return 0, fail(TooLarge, key, "%d bytes given, at most %d allowed", len(data), MaxValueSize)
+		return 0, errorf(TooLarge, key, "%d bytes given, at most %d allowed", len(data), MaxValueSize)
 	}
 	m := c.memory
 	var r Revision
@@ -48,7 +48,7 @@
 	m := c.memory
 	return m.call(ctx, c.caller, OperationDelete, key, func() error {
 		if expected == 0 {
-			return fail(Invalid, key, "expected revision 0 given, want the revision of the value to delete")
+			return errorf(Invalid, key, "expected revision 0 given, want the revision of the value to delete")
 		}
 		_, err := m.swap(key, expected, Change{Deleted: true})
 		return err
@@ -59,32 +59,32 @@
 	m := c.memory
 	var reply WatchReply
 	var changed <-chan struct{}
-	look := func() error {
+	collect := func() error {
 		reply = WatchReply{Changes: m.changesAfter(r), Revision: m.revision}
-		changed = m.next()
+		changed = m.nextChange()
 		return nil
 	}
-	if err := m.call(ctx, c.caller, OperationWatch, r.Key, look); err != nil {
+	if err := m.call(ctx, c.caller, OperationWatch, r.Key, collect); err != nil {
 		return WatchReply{}, err
 	}
 	if len(reply.Changes) > 0 || r.Wait <= 0 {
 		return reply, nil
 	}
-	m.waiting(1)
-	defer m.waiting(-1)
+	m.addWaiting(1)
+	defer m.addWaiting(-1)
 	end := m.Clock.After(min(r.Wait, maxWatchWait))
 	for len(reply.Changes) == 0 {
 		select {
 		case <-ctx.Done():
-			return WatchReply{}, fail(Unavailable, r.Key, "%v", context.Cause(ctx))
+			return WatchReply{}, errorf(Unavailable, r.Key, "%v", context.Cause(ctx))
 		case <-end:
 			return reply, nil
 		case <-changed:
 		}
-		if m.down(c.caller, r.Key) {
-			return WatchReply{}, fail(Unavailable, r.Key, "outage")
+		if m.inOutage(c.caller, r.Key) {
+			return WatchReply{}, errorf(Unavailable, r.Key, "outage")
 		}
-		if err := m.apply(ctx, OperationWatch, r.Key, look); err != nil {
+		if err := m.apply(ctx, OperationWatch, r.Key, collect); err != nil {
 			return WatchReply{}, err
 		}
 	}
@@ -93,14 +93,14 @@
 
 func (c memoryCaller) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	if ttl <= 0 {
-		return "", fail(Invalid, "", "lease of %s given, want a positive time", ttl)
+		return "", errorf(Invalid, "", "lease of %s given, want a positive time", ttl)
 	}
 	m := c.memory
 	var id LeaseID
 	err := m.call(ctx, c.caller, OperationGrantLease, "", func() error {
-		m.granted++
-		id = leaseID(m.granted)
-		m.hold(id, ttl)
+		m.leaseCount++
+		id = leaseID(m.leaseCount)
+		m.startLease(id, ttl)
 		return nil
 	})
 	if err != nil {
@@ -114,9 +114,9 @@
 	return m.call(ctx, c.caller, OperationRenewLease, "", func() error {
 		l := m.leases[id]
 		if l == nil {
-			return fail(LeaseLapsed, "", "lease %s has ended", id)
+			return errorf(LeaseLapsed, "", "lease %s has ended", id)
 		}
-		m.hold(id, l.ttl)
+		m.startLease(id, l.ttl)
 		return nil
 	})
 }
@@ -124,21 +124,21 @@
 func (c memoryCaller) RevokeLease(ctx context.Context, id LeaseID) error {
 	m := c.memory
 	return m.call(ctx, c.caller, OperationRevokeLease, "", func() error {
-		m.end(id)
+		m.endLease(id)
 		return nil
 	})
 }
 
-// waiting counts a watch in or out.
-func (m *MemoryStore) waiting(by int) {
+// addWaiting counts a watch in or out.
+func (m *MemoryStore) addWaiting(by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.counts.Waiting += by
 	m.counts.MostWaiting = max(m.counts.MostWaiting, m.counts.Waiting)
 }
 
-// down reports whether an outage is in force for a watch of the caller.
-func (m *MemoryStore) down(c Caller, key Key) bool {
+// inOutage reports whether an outage is in force for a watch of the caller.
+func (m *MemoryStore) inOutage(c Caller, key Key) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.ContainsFunc(m.injections, func(i Injection) bool {
--- a/paplatform/memory_change.go
+++ b/paplatform/memory_change.go
@@ -11,7 +11,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = append(m.injections, i...)
-	m.wake()
+	m.notifyWatches()
 }
 
 // ClearInjections removes all injected faults.
@@ -19,19 +19,19 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = nil
-	m.wake()
+	m.notifyWatches()
 }
 
-// wake lets waiting watches look again; the mutex is held.
-func (m *MemoryStore) wake() {
+// notifyWatches lets waiting watches look again; the mutex is held.
+func (m *MemoryStore) notifyWatches() {
 	if m.changed != nil {
 		close(m.changed)
 	}
 	m.changed = make(chan struct{})
 }
 
-// count records a call; the mutex is held.
-func (m *MemoryStore) count(c Caller, o Operation) {
+// countCall records a call; the mutex is held.
+func (m *MemoryStore) countCall(c Caller, o Operation) {
 	if m.counts.Calls == nil {
 		m.counts.Calls = map[Operation]uint64{}
 		m.counts.ByCaller = map[Caller]uint64{}
@@ -40,8 +40,8 @@
 	m.counts.ByCaller[c]++
 }
 
-// injected returns the fault that a call meets and uses it up; the mutex is held.
-func (m *MemoryStore) injected(c Caller, o Operation, key Key) (Injection, bool) {
+// takeInjection returns the fault that a call meets and uses it up; the mutex is held.
+func (m *MemoryStore) takeInjection(c Caller, o Operation, key Key) (Injection, bool) {
 	for n, i := range m.injections {
 		if !i.matches(c, o, key) {
 			continue
@@ -60,32 +60,32 @@
 // call runs one operation under the injected faults; effect runs with the mutex held.
 func (m *MemoryStore) call(ctx context.Context, c Caller, o Operation, key Key, effect func() error) error {
 	m.mutex.Lock()
-	m.count(c, o)
-	i, hit := m.injected(c, o, key)
+	m.countCall(c, o)
+	i, hit := m.takeInjection(c, o, key)
 	m.mutex.Unlock()
 	if !hit {
 		return m.apply(ctx, o, key, effect)
 	}
-	lost := Unavailable
-	if o.writes() {
-		lost = Unknown
+	lostFault := Unavailable
+	if o.isWrite() {
+		lostFault = Unknown
 	}
 	switch i.Effect {
 	case Outage:
-		return fail(Unavailable, key, "outage")
+		return errorf(Unavailable, key, "outage")
 	case LostBefore:
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case LostAfter:
 		_ = m.apply(ctx, o, key, effect)
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case LostLate:
 		m.Clock.AfterFunc(i.Delay.Duration, func() { _ = m.apply(context.WithoutCancel(ctx), o, key, effect) })
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case Slow:
 		select {
 		case <-m.Clock.After(i.Delay.Duration):
 		case <-ctx.Done():
-			return fail(lost, key, "%v", context.Cause(ctx))
+			return errorf(lostFault, key, "%v", context.Cause(ctx))
 		}
 	}
 	return m.apply(ctx, o, key, effect)
@@ -94,31 +94,31 @@
 // apply lets an operation take effect unless the caller has given up before.
 func (m *MemoryStore) apply(ctx context.Context, _ Operation, key Key, effect func() error) error {
 	if ctx.Err() != nil {
-		return fail(Unavailable, key, "%v", context.Cause(ctx))
+		return errorf(Unavailable, key, "%v", context.Cause(ctx))
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.expire()
+	m.expireLeases()
 	return effect()
 }
 
-// expire ends the leases whose time is over; the mutex is held.
-func (m *MemoryStore) expire() {
+// expireLeases ends the leases whose time is over; the mutex is held.
+func (m *MemoryStore) expireLeases() {
 	now := m.Clock.Now()
 	for id, l := range m.leases {
-		if !now.Before(l.ends) {
-			m.end(id)
+		if !now.Before(l.expires) {
+			m.endLease(id)
 		}
 	}
 }
 
-// end deletes a lease and its values; the mutex is held.
-func (m *MemoryStore) end(id LeaseID) {
+// endLease deletes a lease and its values; the mutex is held.
+func (m *MemoryStore) endLease(id LeaseID) {
 	l, ok := m.leases[id]
 	if !ok {
 		return
 	}
-	l.stop()
+	l.stopTimer()
 	delete(m.leases, id)
 	for k, c := range m.values {
 		if c.Lease == id && !c.Deleted {
@@ -141,7 +141,7 @@
 		c.Created = m.revision
 	}
 	m.values[key] = c
-	m.wake()
+	m.notifyWatches()
 	return m.revision
 }
 
@@ -150,31 +150,31 @@
 // again once the lease's end deleted the value or another holder wrote it.
 func (m *MemoryStore) swap(key Key, expected Revision, c Change) (Revision, error) {
 	if c.Lease != "" && m.leases[c.Lease] == nil {
-		return 0, fail(LeaseLapsed, key, "lease %s has ended", c.Lease)
+		return 0, errorf(LeaseLapsed, key, "lease %s has ended", c.Lease)
 	}
 	v, _ := m.read(key)
 	if v.Revision != expected {
-		return 0, fail(Conflict, key, "at revision %d, expected %d", v.Revision, expected)
+		return 0, errorf(Conflict, key, "at revision %d, expected %d", v.Revision, expected)
 	}
 	m.counts.Bytes += uint64(len(c.Data))
 	return m.write(key, c), nil
 }
 
-// hold starts or restarts the time of a lease; the mutex is held.
-func (m *MemoryStore) hold(id LeaseID, ttl time.Duration) {
+// startLease starts or restarts the time of a lease; the mutex is held.
+func (m *MemoryStore) startLease(id LeaseID, ttl time.Duration) {
 	if m.leases == nil {
 		m.leases = map[LeaseID]*lease{}
 	}
 	if l := m.leases[id]; l != nil {
-		l.stop()
+		l.stopTimer()
 	}
-	t := m.Clock.AfterFunc(ttl, m.sweep)
-	m.leases[id] = &lease{ttl: ttl, ends: m.Clock.Now().Add(ttl), stop: t.Stop}
+	t := m.Clock.AfterFunc(ttl, m.expireOnTimer)
+	m.leases[id] = &lease{ttl: ttl, expires: m.Clock.Now().Add(ttl), stopTimer: t.Stop}
 }
 
-// sweep ends lapsed leases without a call, so that watches hear of it.
-func (m *MemoryStore) sweep() {
+// expireOnTimer ends lapsed leases without a call, so that watches hear of it.
+func (m *MemoryStore) expireOnTimer() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.expire()
+	m.expireLeases()
 }
--- a/paplatform/memory_vm_list.go
+++ b/paplatform/memory_vm_list.go
@@ -17,17 +17,17 @@
 	// Clock times the lag.
 	Clock clockwork.Clock
 
-	mutex   sync.Mutex
-	lag     time.Duration
-	down    bool
-	lists   uint64
-	present map[string]VM
-	recent  []machineChange
-	shown   map[string]VM
+	mutex     sync.Mutex
+	lag       time.Duration
+	outage    bool
+	listCalls uint64
+	current   map[string]VM
+	pending   []pendingChange
+	listed    map[string]VM
 }
 
-// machineChange is a change that the list may not show yet.
-type machineChange struct {
+// pendingChange is a change that the list may not show yet.
+type pendingChange struct {
 	at   time.Time
 	name string
 	// vm is nil where the VM was removed.
@@ -39,46 +39,46 @@
 // List returns the VMs as they were one lag ago, in the order of their names.
 func (m *MemoryVMList) List(ctx context.Context) ([]VM, error) {
 	if ctx.Err() != nil {
-		return nil, fail(Unavailable, "Machines", "%v", context.Cause(ctx))
+		return nil, errorf(Unavailable, "Machines", "%v", context.Cause(ctx))
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.lists++
-	if m.down {
-		return nil, fail(Unavailable, "Machines", "outage")
+	m.listCalls++
+	if m.outage {
+		return nil, errorf(Unavailable, "Machines", "outage")
 	}
-	m.settle()
-	return sorted(m.shown), nil
+	m.applyPending()
+	return sortedByName(m.listed), nil
 }
 
 // Current returns the VMs as they are, without the lag.
 func (m *MemoryVMList) Current() []VM {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return sorted(m.present)
+	return sortedByName(m.current)
 }
 
 // ListCalls returns how many times the list was asked for.
 func (m *MemoryVMList) ListCalls() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.lists
+	return m.listCalls
 }
 
-func sorted(all map[string]VM) []VM {
+func sortedByName(all map[string]VM) []VM {
 	return slices.SortedFunc(maps.Values(all), func(a, b VM) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Put adds a VM or changes it.
-func (m *MemoryVMList) Put(v VM) { m.change(v.Name, &v) }
+func (m *MemoryVMList) Put(v VM) { m.record(v.Name, &v) }
 
 // Remove takes a VM off the list.
-func (m *MemoryVMList) Remove(name string) { m.change(name, nil) }
+func (m *MemoryVMList) Remove(name string) { m.record(name, nil) }
 
 // SetState changes the state of a VM and reports whether the VM is known.
 func (m *MemoryVMList) SetState(name string, s VMState) bool {
 	m.mutex.Lock()
-	v, ok := m.present[name]
+	v, ok := m.current[name]
 	m.mutex.Unlock()
 	if !ok {
 		return false
@@ -99,31 +99,31 @@
 func (m *MemoryVMList) SetOutage(down bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.down = down
+	m.outage = down
 }
 
-func (m *MemoryVMList) change(name string, v *VM) {
+func (m *MemoryVMList) record(name string, v *VM) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.present == nil {
-		m.present = map[string]VM{}
-		m.shown = map[string]VM{}
+	if m.current == nil {
+		m.current = map[string]VM{}
+		m.listed = map[string]VM{}
 	}
-	set(m.present, name, v)
-	m.recent = append(m.recent, machineChange{m.Clock.Now(), name, v})
+	putOrDelete(m.current, name, v)
+	m.pending = append(m.pending, pendingChange{m.Clock.Now(), name, v})
 }
 
-// settle shows the changes that are older than the lag; the mutex is held.
-func (m *MemoryVMList) settle() {
+// applyPending shows the changes that are older than the lag; the mutex is held.
+func (m *MemoryVMList) applyPending() {
 	until := m.Clock.Now().Add(-m.lag)
-	for len(m.recent) > 0 && !m.recent[0].at.After(until) {
-		c := m.recent[0]
-		set(m.shown, c.name, c.vm)
-		m.recent = m.recent[1:]
+	for len(m.pending) > 0 && !m.pending[0].at.After(until) {
+		c := m.pending[0]
+		putOrDelete(m.listed, c.name, c.vm)
+		m.pending = m.pending[1:]
 	}
 }
 
-func set(all map[string]VM, name string, v *VM) {
+func putOrDelete(all map[string]VM, name string, v *VM) {
 	if v == nil {
 		delete(all, name)
 		return
--- a/paplatform/server.go
+++ b/paplatform/server.go
@@ -23,8 +23,8 @@
 	Store *MemoryStore
 	VMs   *MemoryVMList
 
-	once  sync.Once
-	inner http.Handler
+	once    sync.Once
+	handler http.Handler
 }
 
 // VMChange adds or changes a VM, marks it or removes it.
@@ -45,33 +45,33 @@
 
 func (s *Server) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /Counts", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Store.Counts()) })
-	mux.HandleFunc("GET /Faults", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Store.Injections()) })
-	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) { s.Store.ClearInjections(); reply(w, struct{}{}) })
+	mux.HandleFunc("GET /Counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Store.Counts()) })
+	mux.HandleFunc("GET /Faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Store.Injections()) })
+	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) { s.Store.ClearInjections(); writeJSON(w, struct{}{}) })
 	mux.HandleFunc("POST /Faults", s.inject)
-	mux.HandleFunc("GET /Machines", s.list)
-	mux.HandleFunc("POST /Machines/{name}", s.change)
-	mux.HandleFunc("POST /MachineFaults", s.machineFault)
+	mux.HandleFunc("GET /Machines", s.listVMs)
+	mux.HandleFunc("POST /Machines/{name}", s.changeVM)
+	mux.HandleFunc("POST /MachineFaults", s.setVMListFault)
 	return mux
 }
 
 // ServeHTTP serves one request of the stand-in.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	s.once.Do(func() { s.inner = s.routes() })
-	s.inner.ServeHTTP(w, r)
+	s.once.Do(func() { s.handler = s.routes() })
+	s.handler.ServeHTTP(w, r)
 }
 
 func (s *Server) inject(w http.ResponseWriter, r *http.Request) {
 	data, err := readAll(r.Body, MaxValueSize)
 	if err != nil {
-		refuse(w, "Faults", fail(Invalid, "Faults", "%v", err))
+		writeError(w, "Faults", errorf(Invalid, "Faults", "%v", err))
 		return
 	}
 	var many []Injection
 	if json.Unmarshal(data, &many) != nil {
 		var one Injection
 		if err := json.Unmarshal(data, &one); err != nil {
-			refuse(w, "Faults", fail(Invalid, "Faults", "%v", err))
+			writeError(w, "Faults", errorf(Invalid, "Faults", "%v", err))
 			return
 		}
 		many = []Injection{one}
@@ -80,30 +80,30 @@
 		switch i.Effect {
 		case Outage, Slow, LostBefore, LostAfter, LostLate:
 		default:
-			refuse(w, "Faults", fail(Invalid, "Faults", "Effect %q given, want Outage, Slow, LostBefore, LostAfter or LostLate", i.Effect))
+			writeError(w, "Faults", errorf(Invalid, "Faults", "Effect %q given, want Outage, Slow, LostBefore, LostAfter or LostLate", i.Effect))
 			return
 		}
 	}
 	s.Store.Inject(many...)
-	reply(w, s.Store.Injections())
+	writeJSON(w, s.Store.Injections())
 }
 
-func (s *Server) list(w http.ResponseWriter, r *http.Request) {
+func (s *Server) listVMs(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("Present") == "true" {
-		reply(w, s.VMs.Current())
+		writeJSON(w, s.VMs.Current())
 		return
 	}
 	all, err := s.VMs.List(r.Context())
 	if err != nil {
-		refuse(w, "Machines", err)
+		writeError(w, "Machines", err)
 		return
 	}
-	reply(w, all)
+	writeJSON(w, all)
 }
 
-func (s *Server) change(w http.ResponseWriter, r *http.Request) {
+func (s *Server) changeVM(w http.ResponseWriter, r *http.Request) {
 	var q VMChange
-	if !take(w, r, &q) {
+	if !decodeBody(w, r, &q) {
 		return
 	}
 	name := r.PathValue("name")
@@ -112,46 +112,46 @@
 		s.VMs.Put(*q.Put)
 	}
 	if q.State != "" && !s.VMs.SetState(name, q.State) {
-		refuse(w, Key(name), fail(NotFound, Key(name), "no such VM"))
+		writeError(w, Key(name), errorf(NotFound, Key(name), "no such VM"))
 		return
 	}
 	if q.Remove {
 		s.VMs.Remove(name)
 	}
-	reply(w, s.VMs.Current())
+	writeJSON(w, s.VMs.Current())
 }
 
-func (s *Server) machineFault(w http.ResponseWriter, r *http.Request) {
+func (s *Server) setVMListFault(w http.ResponseWriter, r *http.Request) {
 	var q VMListFault
-	if !take(w, r, &q) {
+	if !decodeBody(w, r, &q) {
 		return
 	}
 	s.VMs.SetLag(q.Lag.Duration)
 	s.VMs.SetOutage(q.Outage)
-	reply(w, q)
+	writeJSON(w, q)
 }
 
-// take reads a request's JSON, or refuses it.
-func take(w http.ResponseWriter, r *http.Request, into any) bool {
+// decodeBody reads a request's JSON, or refuses it.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	data, err := readAll(r.Body, MaxValueSize)
 	if err == nil {
 		err = json.Unmarshal(data, into)
 	}
 	if err != nil {
-		refuse(w, Key(r.URL.Path), fail(Invalid, Key(r.URL.Path), "%v", err))
+		writeError(w, Key(r.URL.Path), errorf(Invalid, Key(r.URL.Path), "%v", err))
 		return false
 	}
 	return true
 }
 
-// reply answers with JSON.
-func reply(w http.ResponseWriter, v any) {
+// writeJSON answers with JSON.
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// refuse answers with the error, or with silence where the injected fault is a lost reply.
-func refuse(w http.ResponseWriter, key Key, err error) {
+// writeError answers with the error, or with silence where the injected fault is a lost reply.
+func writeError(w http.ResponseWriter, key Key, err error) {
 	e := &Error{Fault: FaultOf(err), Key: key, Detail: err.Error()}
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/paplatform/vm_list_client.go
+++ b/paplatform/vm_list_client.go
@@ -10,8 +10,8 @@
 // listTimeout bounds a call for the VM list; whoever asks comes back by itself.
 const listTimeout = 3 * time.Second
 
-// maxList bounds the VM list, in bytes: a few thousand VMs of a few hundred bytes.
-const maxList = 64 << 20
+// maxListBytes bounds the VM list, in bytes: a few thousand VMs of a few hundred bytes.
+const maxListBytes = 64 << 20
 
 // VMListClient is a VMList over HTTP.
 type VMListClient struct {
@@ -29,7 +29,7 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+"/Machines", http.NoBody)
 	if err != nil {
-		return nil, fail(Invalid, "Machines", "%v", err)
+		return nil, errorf(Invalid, "Machines", "%v", err)
 	}
 	transport := c.Transport
 	if transport == nil {
@@ -37,19 +37,19 @@
 	}
 	w, err := transport.RoundTrip(r)
 	if err != nil {
-		return nil, fail(Unavailable, "Machines", "%v", err)
+		return nil, errorf(Unavailable, "Machines", "%v", err)
 	}
 	defer w.Body.Close()
-	body, err := readAll(w.Body, maxList)
+	body, err := readAll(w.Body, maxListBytes)
 	if err != nil {
-		return nil, fail(Unavailable, "Machines", "reply: %v", err)
+		return nil, errorf(Unavailable, "Machines", "reply: %v", err)
 	}
 	if w.StatusCode != http.StatusOK {
-		return nil, fail(Unavailable, "Machines", "status %d", w.StatusCode)
+		return nil, errorf(Unavailable, "Machines", "status %d", w.StatusCode)
 	}
 	var all []VM
 	if err := json.Unmarshal(body, &all); err != nil {
-		return nil, fail(Unavailable, "Machines", "reply: %v", err)
+		return nil, errorf(Unavailable, "Machines", "reply: %v", err)
 	}
 	return all, nil
 }
--- a/pasocket/traffic.go
+++ b/pasocket/traffic.go
@@ -9,22 +9,22 @@
 type Traffic struct{ Sent, Received atomic.Uint64 }
 
 // Wrap returns the connection with its bytes counted.
-func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countedConn{c, t} }
+func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countingConn{c, t} }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
 // Read counts what came.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Received.Add(uint64(n))
 	return n, err
 }
 
 // Write counts what went.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Sent.Add(uint64(n))
 	return n, err
