--- a/palane/conn.go
+++ b/palane/conn.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// readBufferSize is the size of a connection's buffer: some ten requests of usual size. What a caller sends
-	// beyond it while DepthMost requests are under way stays in the network, so that it feels the limit.
+	// readBufferSize is the size of a connection's read buffer, which holds about ten requests of usual size. Further
+	// input stays in the network while MaxPipelined requests are in flight, so that TCP flow control slows the client.
 	readBufferSize = 4 << 10
-	// lingerTimeout is how long a connection is read on after its last answer. A connection that is closed with
-	// unread bytes is reset, and the reset can overtake the answer on its way to the caller.
+	// lingerTimeout is how long a connection is still read after its last response. Closing it with unread input
+	// sends a TCP reset, which can reach the client before the response.
 	lingerTimeout = 500 * time.Millisecond
-	// maxIdleLanes is how many idle lanes a connection keeps for its next request. Each holds two buffers of 4 KB and
-	// the stack of a goroutine: with four an entry VM with 300 callers' connections took 23 MB at its peak, with
-	// one 19 MB.
+	// maxIdleLanes is how many idle lanes a connection keeps for further requests. Each holds two 4 KB buffers and
+	// a goroutine stack: an entry VM with 300 client connections peaked at 23 MB with four lanes each, at 19 MB with one.
 	maxIdleLanes = 1
 )
 
-// conn is a caller's connection.
+// conn is a client connection. Its reader goroutine (run) splits the input into requests, one per lane.
 type conn struct {
 	listener *Listener
 	raw      net.Conn
 	reader   *bufio.Reader
-	// recorder is what heads are parsed from. Only run uses it and posted.
+	// recorder is the source of the header parser. Only the reader goroutine uses recorder and afterPost.
 	recorder recordingReader
-	// afterPost says that the last request was a POST.
+	// afterPost is set if the previous request was a POST.
 	afterPost bool
-	// disconnected is closed when nothing more can reach the caller's requests: it disconnected, or the connection ends.
+	// disconnected is closed when no response can be sent any more: the client disconnected or the connection was closed.
 	disconnected chan struct{}
 
 	mutex sync.Mutex
-	// changed wakes the reader where answers end.
+	// changed wakes the reader goroutine when a response ends.
 	changed *sync.Cond
-	// inFlight are the lanes whose requests are inFlight way, in the order of the requests.
+	// inFlight are the lanes with a request in flight, in request order.
 	inFlight  []*Lane
 	idleLanes []*Lane
-	// stopped says that no further request is taken, hasDisconnected that left is closed, finished that the stopped answer is out.
+	// stopped: no further requests are read; hasDisconnected: disconnected is closed; finished: the last response was sent.
 	stopped, hasDisconnected, finished bool
-	// awaitingRequest says that no byte of the next request has arrived, awaitingResponses that the reader waits for answers.
+	// awaitingRequest: no byte of the next request has arrived; awaitingResponses: the reader waits for responses.
 	awaitingRequest, awaitingResponses bool
-	// served says that a request was answered; since is when the connection became unused.
+	// served is set once a request has been answered; unusedSince is when the connection became unused.
 	served      bool
 	unusedSince time.Time
-	// buffered is the bytes of answers that wait for their turn.
+	// buffered is the number of response bytes that wait for their turn.
 	buffered int64
 }
 
 func newConn(l *Listener, raw net.Conn) *conn {
 	c := &conn{
-		listener: l, raw: raw, reader: bufio.NewReaderSize(raw, readBufferSize), disconnected: make(chan struct{}), unusedSince: l.config.Clock.Now(),
+		listener: l, raw: raw, reader: bufio.NewReaderSize(raw, readBufferSize),
+		disconnected: make(chan struct{}), unusedSince: l.config.Clock.Now(),
 	}
 	c.changed = sync.NewCond(&c.mutex)
 	c.recorder.source = c.reader
 	return c
 }
 
-// run reads the caller's requests until no more are taken, and what it sends then until it leaves.
+// run reads requests until no more are accepted, then discards input until the client disconnects, so that the last
+// response isn't lost to a TCP reset.
 func (c *conn) run() {
 	defer c.listener.remove(c)
 	for c.dispatchNext() {
@@ -71,21 +72,21 @@
 	c.stop()
 	for {
 		if _, err := c.reader.Discard(readBufferSize); err != nil {
-			break // The caller left, or the connection was closed.
+			break // The client disconnected, or the connection was closed.
 		}
 	}
 	c.disconnect()
 	c.raw.Close()
 }
 
-// dispatchNext reads one request and hands it to a lane; false says that it was the last.
+// dispatchNext reads one request and passes it to a lane. It returns false after the last one.
 func (c *conn) dispatchNext() bool {
 	if !c.awaitRequest() {
 		return false
 	}
-	head := headerReaders.Get().(*bufio.Reader)
-	defer headerReaders.Put(head)
-	r, err := c.readHeader(head)
+	br := headerReaders.Get().(*bufio.Reader)
+	defer headerReaders.Put(br)
+	r, err := c.readHeader(br)
 	c.afterPost = err == nil && r.Method == http.MethodPost
 	lane := c.assignLane(r)
 	if lane == nil {
@@ -104,7 +105,8 @@
 	return !r.Close && (boundaryCertain(r) || c.waitUntil(func() bool { return lane.state != active }))
 }
 
-// forwardMalformed hands a malformed head and all that follows to the server, which refuses it and closes the connection.
+// forwardMalformed passes a malformed header and all further input to the server, which rejects it and closes the
+// connection.
 func (c *conn) forwardMalformed(lane *Lane) {
 	var b [readBufferSize]byte
 	err := c.recorder.err
@@ -116,7 +118,7 @@
 	lane.endInput(err)
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request and reports whether the request may be read.
 func (c *conn) awaitRequest() bool {
 	c.mutex.Lock()
 	c.awaitingRequest = c.reader.Buffered() == 0
@@ -131,10 +133,10 @@
 	return err == nil && !c.stopped
 }
 
-// maxSkippedLineEnds is how many line ends a server of net/http skips behind a POST, which some old callers send.
+// maxSkippedLineEnds is how many CR or LF bytes net/http skips after a POST: some old clients send an extra line end.
 const maxSkippedLineEnds = 4
 
-// skipLineEnds waits for a byte, which is none of those that the server skips.
+// skipLineEnds waits for the first byte that isn't one of the line ends that the server skips.
 func (c *conn) skipLineEnds() error {
 	for skipped := 0; ; skipped++ {
 		b, err := c.reader.Peek(1)
@@ -147,11 +149,12 @@
 	}
 }
 
-// headerReaders are the buffers of parsers of headerReaders, which a connection needs for as long as a head takes to arrive.
+// headerReaders pools the header parser's buffers, which a connection needs only while a header arrives.
 var headerReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
-// readHeader reads the head of a request; the tap has its bytes. The request's body reads on from head.
-func (c *conn) readHeader(head *bufio.Reader) (*http.Request, error) {
+// readHeader parses a request's header, whose bytes are then in the recorder, within the header timeout. The request's
+// body continues to read from br.
+func (c *conn) readHeader(br *bufio.Reader) (*http.Request, error) {
 	timed := false
 	c.recorder.onWait = func() {
 		if d := c.headerTimeout(); d > 0 && !timed {
@@ -160,8 +163,8 @@
 		}
 	}
 	c.recorder.reset(c.listener.config.MaxHeaderBytes + headerSlop)
-	head.Reset(&c.recorder)
-	r, err := http.ReadRequest(head)
+	br.Reset(&c.recorder)
+	r, err := http.ReadRequest(br)
 	if c.recorder.onWait = nil; timed {
 		c.setReadDeadline(time.Time{})
 	}
@@ -175,16 +178,16 @@
 	return c.listener.config.HeaderTimeout()
 }
 
-// setReadDeadline bounds reads of the caller's connection. It fails only where the connection is closed, which
-// the next read shows.
+// setReadDeadline sets the read deadline of the client connection. That fails only if the connection is closed, which
+// the next read reports.
 func (c *conn) setReadDeadline(t time.Time) {
 	if err := c.raw.SetReadDeadline(t); err != nil {
 		c.raw.Close()
 	}
 }
 
-// assignLane returns a lane whose request is the next one under way, or nil if no more are taken. It waits while
-// DepthMost are.
+// assignLane returns a lane for the next request, or nil if no more requests are accepted. It waits while MaxPipelined
+// requests are in flight. r is nil for a malformed request.
 func (c *conn) assignLane(r *http.Request) *Lane {
 	if !c.waitUntil(func() bool { return len(c.inFlight) < MaxPipelined }) {
 		return nil
@@ -225,8 +228,8 @@
 	return lane
 }
 
-// waitUntil waits until ready, which is called under the mutex, and says whether the connection still takes requests.
-// It goes on reading into the connection's buffer, so that a caller that leaves meanwhile is noticed.
+// waitUntil waits until ready, which is called with the mutex held, returns true, and reports whether the connection
+// still accepts requests. It keeps reading into the connection's buffer to detect a client that disconnects meanwhile.
 func (c *conn) waitUntil(ready func() bool) bool {
 	for c.mustWait(ready) {
 		_, err := c.reader.Peek(c.reader.Buffered() + 1)
@@ -236,7 +239,7 @@
 		case errors.Is(err, bufio.ErrBufferFull):
 			c.waitForChange(ready)
 		case errors.As(err, &e) && e.Timeout():
-			// An answer ended the wait; see answered.
+			// responseDone or finish set a deadline to interrupt the read.
 			c.setReadDeadline(time.Time{})
 		default:
 			c.disconnect()
@@ -247,7 +250,7 @@
 	return !c.stopped
 }
 
-// mustWait says whether the reader has to wait for answers.
+// mustWait reports whether the reader still has to wait for responses, and records it in awaitingResponses.
 func (c *conn) mustWait(ready func() bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -267,7 +270,7 @@
 	}
 }
 
-// forwardBody hands the body of a request to its lane as it arrives.
+// forwardBody passes a request's body to its lane as it arrives, and reports whether it was passed on completely.
 func (c *conn) forwardBody(lane *Lane, r *http.Request) bool {
 	if r.ContentLength > 0 {
 		_, err := io.CopyN(lane.inputWriter(), c.reader, r.ContentLength)
@@ -289,7 +292,7 @@
 	}
 }
 
-// stop takes no more requests. The connection ends with the last answer.
+// stop accepts no more requests. The connection is closed after the last response.
 func (c *conn) stop() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -299,7 +302,7 @@
 	}
 }
 
-// disconnect ends the requests of a caller that is gone.
+// disconnect ends the requests of a client that disconnected.
 func (c *conn) disconnect() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -323,7 +326,8 @@
 	c.changed.Broadcast()
 }
 
-// finish closes the connection after its last answer; the mutex is held.
+// finish closes the connection after its last response: the write side at once, the rest after lingerTimeout. The mutex
+// is held.
 func (c *conn) finish() {
 	if c.finished {
 		return
@@ -341,7 +345,7 @@
 	}
 }
 
-// responseDone notes that the answer of the first request under way is out, and gives the next one its turn.
+// responseDone records that the first request in flight has been answered in full, and gives the next one its turn.
 func (c *conn) responseDone(lane *Lane) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -371,7 +375,7 @@
 	c.changed.Broadcast()
 }
 
-// recycle makes a lane ready for another request, or ends it.
+// recycle keeps a lane for another request, or retires it. The mutex is held.
 func (c *conn) recycle(lane *Lane) {
 	if len(c.idleLanes) < maxIdleLanes && !c.stopped {
 		c.idleLanes = append(c.idleLanes, lane)
@@ -380,8 +384,8 @@
 	lane.retire()
 }
 
-// closeIfUnused closes the connection if no request runs or has arrived and due says so, and says whether it is
-// closed.
+// closeIfUnused closes the connection if no request is in flight or has begun to arrive and due returns true. It
+// reports whether the connection is closed.
 func (c *conn) closeIfUnused(due func(served bool, since time.Time) bool) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/palane/doc.go
+++ b/palane/doc.go
@@ -1,11 +1,11 @@
-// Package palane lets net/http serve the pipelined requests of a connection side by side.
+// Package palane lets net/http serve pipelined HTTP/1.1 requests of one connection concurrently.
 //
-// A server of net/http reads the next request of a connection after it has answered the one before. A Listener
-// splits each caller's connection into lanes: net.Conns that carry one request at a time, which a server takes
-// for connections of their own. Answers leave in the order of their requests: what a lane writes waits for the
-// answers ahead of it.
+// An http.Server reads the next request of a connection only after it has answered the previous one. A Listener
+// splits each client connection into lanes: virtual net.Conns that carry one request at a time and that the server
+// treats as separate connections. Responses are sent in request order: a write to a lane blocks until the responses
+// to earlier requests have been sent.
 //
-// The ends of requests are found by http.ReadRequest, and the server reads the same bytes again, so that it
-// answers whatever is malformed as it would without lanes. Bytes behind a request that it may refuse to read
-// are not taken for another one before that request is answered.
+// http.ReadRequest finds the end of each request, and the server then parses the same bytes again, so that it
+// handles malformed requests as it would without lanes. Input after a request that the server may reject isn't
+// read as a new request until that request has been answered.
 package palane
--- a/palane/frame.go
+++ b/palane/frame.go
@@ -8,29 +8,29 @@
 	"net/textproto"
 )
 
-// headerSlop is how many bytes beyond MaxHeaderBytes a server of net/http takes before it answers 431.
+// headerSlop is how many bytes beyond MaxHeaderBytes an http.Server reads before it answers 431.
 const headerSlop = 4 << 10
 
-// recordingReader hands out the bytes of a connection one by one and remembers them. A parser above it never reads beyond
-// what it needs, so that the end of a request is known to the byte.
+// recordingReader reads a connection byte by byte and records the bytes. A parser on top of it never reads ahead, so
+// that the exact end of a request is known.
 type recordingReader struct {
 	source *bufio.Reader
-	// recorded is what was read since start, most its greatest length; zero is no bound.
+	// recorded is what was read since reset; limit is its maximum length, zero for none.
 	recorded []byte
 	limit    int
-	// err is why the connection brought no more bytes.
+	// err is the last error of source.
 	err error
-	// onWait is called before a read that has to onWait for the caller.
+	// onWait is called before a read that has to wait for the client.
 	onWait func()
 }
 
-// reset forgets the bytes that were read.
+// reset discards the recorded bytes and sets a new limit.
 func (t *recordingReader) reset(limit int) { t.recorded, t.limit = t.recorded[:0], limit }
 
-// errHeaderTooLong says that a head is longer than the server takes.
-var errHeaderTooLong = errors.New("the head of the request is too long")
+// errHeaderTooLong reports a header that is longer than the server accepts.
+var errHeaderTooLong = errors.New("request header is too long")
 
-// Read reads one byte.
+// Read reads one byte. It fails with errHeaderTooLong at the limit, otherwise with the error of source.
 func (t *recordingReader) Read(p []byte) (int, error) {
 	if t.limit > 0 && len(t.recorded) >= t.limit {
 		return 0, errHeaderTooLong
@@ -48,23 +48,24 @@
 	return 1, nil
 }
 
-// boundaryCertain says that the server certainly reads the request to the end that was found, and what follows it as the
-// next one. Of other requests the answer is awaited: behind one that the server refuses, the caller may have
-// hidden another one.
+// boundaryCertain reports whether the server is certain to read the request up to the end that was found, and what
+// follows as the next request. For other requests the response is awaited first: a client can smuggle a second
+// request behind one that the server rejects.
 func boundaryCertain(r *http.Request) bool {
 	return r.ProtoMajor == 1 && r.ProtoMinor == 1 && r.Host != "" && len(r.TransferEncoding) == 0 &&
 		r.Header.Get("Expect") == "" && r.Header.Get("Upgrade") == ""
 }
 
-// conflictingFraming says that a head names both a length and a coding for its body.
+// conflictingFraming reports whether a header has both Content-Length and Transfer-Encoding.
 //
-// Two servers on the way can take different ends for such a request, and the caller's next bytes for another
-// caller's request. RFC 9112 lets a server refuse it; http.ReadRequest takes it and drops the length.
-func conflictingFraming(head []byte, r *http.Request) bool {
+// Two servers on the path can find different ends for such a request, and take the bytes that follow for another
+// client's request (request smuggling). RFC 9112 lets a server reject it; http.ReadRequest accepts it and drops
+// Content-Length.
+func conflictingFraming(header []byte, r *http.Request) bool {
 	if len(r.TransferEncoding) == 0 {
 		return false
 	}
-	lines := textproto.NewReader(bufio.NewReader(bytes.NewReader(head)))
+	lines := textproto.NewReader(bufio.NewReader(bytes.NewReader(header)))
 	if _, err := lines.ReadLine(); err != nil {
 		return false
 	}
@@ -72,5 +73,5 @@
 	return err == nil && h["Content-Length"] != nil
 }
 
-// invalidRequest stands for a request that is to be refused: the server answers 400 to it and closes.
+// invalidRequest replaces a request that is rejected: the server answers it with 400 and closes the connection.
 const invalidRequest = "-\r\n\r\n"
--- a/palane/lane.go
+++ b/palane/lane.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// maxInput is how many bytes of a body wait for the handler before the caller has to wait.
+	// maxInput is how many bytes may wait for the server and its handler before reading from the client pauses.
 	maxInput = 64 << 10
-	// maxBuffered and heldMostAll bound the bytes of answers that wait for their turn on one connection and on
-	// all, beyond which requests run in their turn only. Load: callers that ask for many long answers behind a
-	// slow one. Harm prevented: the answers fill the memory of the VM, of which the second is about a twentieth.
+	// maxBuffered and maxBufferedTotal limit the response bytes that wait for their turn, per connection and in total.
+	// Beyond them requests run only in their turn, so that clients that request many long responses behind a slow one
+	// can't exhaust the VM's memory. The total is about a twentieth of that memory.
 	maxBuffered      = 1 << 20
 	maxBufferedTotal = 16 << 20
 )
 
-// laneState says what a lane does.
+// laneState is the state of a lane.
 type laneState int
 
 const (
 	idle laneState = iota
 	active
-	// retired lanes end, as their connection has enough of them.
+	// retired lanes take no further request: their connection has enough idle lanes or accepts no more requests.
 	retired
 )
 
-// Lane carries requests of a caller's connection one at a time. For a server it is a net.Conn, for a handler it
-// knows of the requests ahead. A nil Lane is one without any.
+// Lane carries the requests of a client connection one at a time. The server uses it as a net.Conn; a handler asks it
+// about earlier requests on the connection. The methods for handlers treat a nil Lane as one without earlier requests.
 type Lane struct {
 	conn *conn
-	// turn is closed when the answers ahead are out.
+	// turn is closed when the responses to earlier requests have been sent.
 	turn chan struct{}
 
-	// conn.mutex guards the rest; wake wakes those that wait for input or for room for it.
+	// conn.mutex guards the fields below; wake signals new input, room for input, and the end of the lane.
 	wake  *sync.Cond
 	state laneState
-	// closed says that the server closed the lane.
+	// closed is set once the server has closed the lane.
 	closed bool
 	input  []byte
-	// inputErr is why nothing follows what is in.
+	// inputErr is the error to return after input, if no more follows.
 	inputErr error
 	buffered int64
-	// expired says that the read deadline has passed; deadlines counts them, and timer ends the latest.
+	// expired is set once the read deadline has passed. deadlineCount tells the timer of an earlier deadline from the latest.
 	expired       bool
 	deadlineCount int
 	timer         clockwork.Timer
@@ -55,19 +55,19 @@
 
 func newLane(c *conn) *Lane { return &Lane{conn: c, wake: sync.NewCond(&c.mutex)} }
 
-// start makes the lane ready for a request; the mutex is held.
+// start prepares the lane for a request. The mutex is held.
 func (l *Lane) start() {
 	l.state = active
 	l.turn = make(chan struct{})
 }
 
-// retire ends the lane; the mutex is held.
+// retire ends the lane: the server reads EOF. The mutex is held.
 func (l *Lane) retire() {
 	l.state = retired
 	l.wake.Broadcast()
 }
 
-// feed hands bytes to the server, and says whether it takes more.
+// feed adds bytes to the server's input, waiting while maxInput bytes are unread. It reports whether the lane is still open.
 func (l *Lane) feed(p []byte) bool {
 	c := l.conn
 	c.mutex.Lock()
@@ -83,7 +83,7 @@
 	return true
 }
 
-// endInput tells the server why nothing follows.
+// endInput makes the server read err after the remaining input.
 func (l *Lane) endInput(err error) {
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
@@ -91,10 +91,10 @@
 	l.wake.Broadcast()
 }
 
-// laneWriter writes to a lane's input.
+// laneWriter is an io.Writer on a lane's input.
 type laneWriter struct{ lane *Lane }
 
-// Write hands bytes to the server.
+// Write adds bytes to the server's input. It fails with net.ErrClosed if the lane is closed.
 func (f laneWriter) Write(p []byte) (int, error) {
 	if !f.lane.feed(p) {
 		return 0, net.ErrClosed
@@ -104,7 +104,8 @@
 
 func (l *Lane) inputWriter() io.Writer { return laneWriter{l} }
 
-// Read is what the server reads.
+// Read returns the input of the lane's requests to the server. It blocks between requests and returns io.EOF once the
+// client has disconnected or the lane is retired.
 func (l *Lane) Read(p []byte) (int, error) {
 	c := l.conn
 	c.mutex.Lock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// consume returns what was fed; the mutex is held.
+// consume moves input to p. The mutex is held.
 func (l *Lane) consume(p []byte) int {
 	n := copy(p, l.input)
 	l.input = l.input[:copy(l.input, l.input[n:])]
@@ -137,7 +138,7 @@
 	return n
 }
 
-// Write writes a part of the answer, in the answer's turn.
+// Write sends a part of the response once its turn has come. It fails with ErrConnectionEnded if the turn never comes.
 func (l *Lane) Write(p []byte) (int, error) {
 	if err := l.AwaitTurn(context.Background()); err != nil {
 		return 0, err
@@ -145,7 +146,8 @@
 	return l.conn.raw.Write(p)
 }
 
-// Close is called by the server: after an answer that closes the connection, or one that it breaks off.
+// Close is called by the server after a response that closes the connection, or to abort a response. The client
+// connection is closed once the responses to earlier requests have been sent.
 func (l *Lane) Close() error {
 	c := l.conn
 	c.mutex.Lock()
@@ -167,19 +169,19 @@
 	return nil
 }
 
-// CloseWrite closes the lane: the connection is read on for a while by itself.
+// CloseWrite closes the lane. The connection itself keeps reading for lingerTimeout.
 func (l *Lane) CloseWrite() error { return l.Close() }
 
-// LocalAddr returns that of the caller's connection.
+// LocalAddr returns the local address of the client connection.
 func (l *Lane) LocalAddr() net.Addr { return l.conn.raw.LocalAddr() }
 
-// RemoteAddr returns that of the caller's connection.
+// RemoteAddr returns the remote address of the client connection.
 func (l *Lane) RemoteAddr() net.Addr { return l.conn.raw.RemoteAddr() }
 
-// SetDeadline sets the deadline for reads.
+// SetDeadline sets the read deadline; see SetWriteDeadline.
 func (l *Lane) SetDeadline(t time.Time) error { return l.SetReadDeadline(t) }
 
-// SetReadDeadline sets the deadline for reads.
+// SetReadDeadline sets the read deadline, on the Listener's clock.
 func (l *Lane) SetReadDeadline(t time.Time) error {
 	c := l.conn
 	c.mutex.Lock()
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// expire ends reads at a deadline, unless another one was set meanwhile.
+// expire ends reads at a deadline, unless another deadline was set since.
 func (l *Lane) expire(deadline int) {
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
@@ -213,5 +215,5 @@
 	}
 }
 
-// SetWriteDeadline has no effect: an answer may wait for its turn.
+// SetWriteDeadline has no effect, because a response may have to wait for its turn.
 func (l *Lane) SetWriteDeadline(time.Time) error { return nil }
--- a/palane/listener.go
+++ b/palane/listener.go
@@ -11,37 +11,40 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Config is what a Listener needs.
+// Config configures a Listener.
 type Config struct {
+	// Base accepts the client connections.
 	Base  net.Listener
 	Clock clockwork.Clock
-	// MaxHeaderBytes is the MaxHeaderBytes of the server.
+	// MaxHeaderBytes is that of the http.Server; zero or less is http.DefaultMaxHeaderBytes.
 	MaxHeaderBytes int
-	// HeaderTimeout returns how long a caller may take to send the head of a request; zero is no limit.
+	// HeaderTimeout returns how long a client may take to send a request header; a nil function or zero is no limit.
 	HeaderTimeout func() time.Duration
 }
 
-// MaxPipelined is how many requests of one connection are under way at once.
+// MaxPipelined is the maximum number of requests in flight on one connection.
 //
-// Load: a caller that writes request after request and reads no answer. Harm prevented: each takes a goroutine,
-// buffers of 8 KB and a slot of a target. Callers that wait for some answers at a time stay well below it.
+// Each takes a goroutine, 8 KB of buffers and a slot of a target, so that a client that sends request after request
+// without reading responses would exhaust them. Ordinary pipelining clients stay well below the limit.
 const MaxPipelined = 16
 
-// Listener accepts lanes. Set Observe as ConnState and WithLane as ConnContext of the server that serves it, and
-// leave the server's timeouts at zero: the Listener keeps those of callers' connections.
+// Listener is a net.Listener whose connections are the lanes of client connections.
+//
+// Set TrackState as ConnState and WithLane as ConnContext of the http.Server on it. Leave the server's timeouts at zero:
+// the Listener applies the header timeout, and CloseIdle the idle timeout, to the client connections.
 type Listener struct {
 	config Config
 	lanes  chan *Lane
 	ctx    context.Context
 	cancel context.CancelFunc
-	// buffered is the bytes of answers that wait for their turn on all connections.
+	// buffered is the number of response bytes that wait for their turn on all connections.
 	buffered atomic.Int64
 
 	mutex sync.Mutex
 	conns map[*conn]struct{}
 }
 
-// NewListener returns a Listener for the connections of c.Base.
+// NewListener returns a Listener for the connections of c.Base. Call Run to accept them.
 func NewListener(c Config) *Listener {
 	if c.MaxHeaderBytes <= 0 {
 		c.MaxHeaderBytes = http.DefaultMaxHeaderBytes
@@ -51,7 +54,7 @@
 	return l
 }
 
-// Run accepts callers' connections until the base listener is closed, and returns its error.
+// Run accepts client connections until the base listener fails or is closed, and returns its error.
 func (l *Listener) Run() error {
 	for {
 		raw, err := l.config.Base.Accept()
@@ -66,7 +69,7 @@
 	}
 }
 
-// Accept returns the next lane, for the server.
+// Accept returns the next lane to the server. It fails with net.ErrClosed after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case lane := <-l.lanes:
@@ -79,13 +82,13 @@
 // Addr returns the base listener's address.
 func (l *Listener) Addr() net.Addr { return l.config.Base.Addr() }
 
-// Close ends Accept and Run. To take no more connections and serve those that are open, close the base listener.
+// Close ends Accept and Run. To stop accepting connections but serve the open ones, close the base listener instead.
 func (l *Listener) Close() error {
 	l.cancel()
 	return l.config.Base.Close()
 }
 
-// CloseConnections closes all connections.
+// CloseConnections closes all client connections, also those with requests in flight.
 func (l *Listener) CloseConnections() {
 	for _, c := range l.connections() {
 		c.disconnect()
@@ -93,15 +96,15 @@
 	}
 }
 
-// CloseIdle closes connections that were unused for longer than the limit.
+// CloseIdle closes the connections that have been unused for longer than limit.
 func (l *Listener) CloseIdle(now time.Time, limit time.Duration) {
 	for _, c := range l.connections() {
 		c.closeIfUnused(func(_ bool, since time.Time) bool { return now.Sub(since) > limit })
 	}
 }
 
-// Drain closes the connections on which no request runs or has arrived, but for those that never carried one and
-// are younger than the grace, and returns how many are left.
+// Drain closes the connections without a request in flight or arriving, and returns how many are left. A connection
+// that hasn't carried a request yet is closed only once it is older than grace.
 func (l *Listener) Drain(now time.Time, grace time.Duration) int {
 	left := 0
 	for _, c := range l.connections() {
@@ -128,7 +131,7 @@
 	delete(l.conns, c)
 }
 
-// TrackState follows the lanes' states for the server that serves them.
+// TrackState is the ConnState hook of the http.Server: a lane that becomes idle has sent its response.
 func (l *Listener) TrackState(n net.Conn, s http.ConnState) {
 	if lane, ok := n.(*Lane); ok && s == http.StateIdle {
 		lane.conn.responseDone(lane)
@@ -137,7 +140,7 @@
 
 type laneKey struct{}
 
-// WithLane makes the lane of a request known to its handler.
+// WithLane is the ConnContext hook of the http.Server: it adds the lane to the context of its requests, for FromContext.
 func WithLane(ctx context.Context, n net.Conn) context.Context {
 	if lane, ok := n.(*Lane); ok {
 		return context.WithValue(ctx, laneKey{}, lane)
@@ -145,7 +148,7 @@
 	return ctx
 }
 
-// FromContext returns the lane of a request, or nil if it has none.
+// FromContext returns the lane of a request from the request's context, or nil if it has none.
 func FromContext(ctx context.Context) *Lane {
 	lane, _ := ctx.Value(laneKey{}).(*Lane)
 	return lane
--- a/palane/turn.go
+++ b/palane/turn.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// ErrConnectionEnded says that the caller left, or that an answer ahead closed the connection.
-var ErrConnectionEnded = errors.New("the caller's connection has ended")
+// ErrConnectionEnded reports that the client disconnected, or that the response to an earlier request closed the connection.
+var ErrConnectionEnded = errors.New("client connection has ended")
 
-// EarlierPending says that answers to requests before this one are not out yet.
+// EarlierPending reports whether responses to earlier requests on the connection are still pending.
 func (l *Lane) EarlierPending() bool {
 	if l == nil {
 		return false
@@ -21,7 +21,8 @@
 	}
 }
 
-// AwaitTurn waits until the answers to the requests before this one are out.
+// AwaitTurn waits until the responses to earlier requests on the connection have been sent. It fails with
+// ErrConnectionEnded or the error of ctx.
 func (l *Lane) AwaitTurn(ctx context.Context) error {
 	if l == nil {
 		return nil
@@ -41,7 +42,7 @@
 	}
 }
 
-// MayRunEarly says whether a request may run before its turn, as far as the answers allow that wait already.
+// MayRunEarly reports whether a request may run before its turn: the buffered responses are below their limits.
 func (l *Lane) MayRunEarly() bool {
 	if l == nil {
 		return true
@@ -51,7 +52,7 @@
 	return l.conn.buffered < maxBuffered && l.conn.listener.buffered.Load() < maxBufferedTotal
 }
 
-// CountBuffered counts an answer that waits for its turn.
+// CountBuffered adds bytes of the response to the buffered total if the response has to wait for its turn.
 func (l *Lane) CountBuffered(bytes int) {
 	if l == nil {
 		return
@@ -66,15 +67,15 @@
 	l.conn.listener.buffered.Add(int64(bytes))
 }
 
-// releaseBuffered takes back what Hold counted; the mutex is held.
+// releaseBuffered takes the lane's bytes out of the buffered totals. The mutex is held.
 func (l *Lane) releaseBuffered() {
 	l.conn.buffered -= l.buffered
 	l.conn.listener.buffered.Add(-l.buffered)
 	l.buffered = 0
 }
 
-// MarkLast says whether the answer may close the connection: it may if no further request was read, and then
-// none is.
+// MarkLast makes the request the last one of its connection, unless a later one has already been read. It reports
+// whether it did, in which case the response may close the connection.
 func (l *Lane) MarkLast() bool {
 	if l == nil {
 		return true
