--- a/palane/fuzz_test.go
+++ b/palane/fuzz_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// echo answers what it understood of a request.
+// echo responds with the request as the handler sees it.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header()["Date"] = nil
 	b, err := io.ReadAll(r.Body)
@@ -21,7 +21,7 @@
 
 var dates = regexp.MustCompile("Date: [^\r]*\r\n")
 
-// exchange sends the bytes in pieces and returns all answers.
+// exchange sends the bytes in pieces of cut bytes and returns all responses, without their Date headers.
 func exchange(c net.Conn, sent []byte, cut int) string {
 	var got strings.Builder
 	go func() {
@@ -47,24 +47,24 @@
 	return dates.ReplaceAllString(got.String(), "")
 }
 
-// exchangeDirect serves the bytes by net/http without lanes.
+// exchangeDirect does the same with an http.Server without lanes.
 func exchangeDirect(t *testing.T, sent []byte, cut int) string {
 	base := newPipeListener()
 	server := &http.Server{Handler: http.HandlerFunc(echo), MaxHeaderBytes: 8 << 10, ReadHeaderTimeout: 3 * time.Second}
 	go func() { checkStopped(t, server.Serve(base)) }()
 	defer server.Close()
-	caller, own := net.Pipe()
-	base.conns <- own
-	return exchange(caller, sent, cut)
+	client, accepted := net.Pipe()
+	base.conns <- accepted
+	return exchange(client, sent, cut)
 }
 
-// badRequestResponse is the server's answer to what is no request.
-const badRequestResponse = "HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request"
+// badRequest is the server's response to input that isn't a request.
+const badRequest = "HTTP/1.1 400 Bad Request\r\nContent-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n400 Bad Request"
 
-// Whatever a caller sends, in whatever packets, it gets the answers that a server without lanes gives, but for
-// requests with two lengths. It makes no difference whether a fragment behind the last request is refused: that
-// server closes on up to three bytes without a word.
-func FuzzLanesAnswerAsTheServerAlone(f *testing.F) {
+// Any input, split in any way, gets the same responses as from a server without lanes, except for requests with both
+// Content-Length and Transfer-Encoding. A 400 to a fragment after the last request is ignored in the comparison: the
+// server without lanes closes the connection on up to three bytes without a response.
+func FuzzLanesMatchPlainServer(f *testing.F) {
 	for _, seed := range []string{
 		get("/1") + get("/2") + get("/3"),
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc" + get("/b"),
@@ -99,22 +99,25 @@
 	f.Fuzz(func(t *testing.T, sent []byte, cut int) {
 		lower := strings.ToLower(string(sent))
 		if strings.Contains(lower, "content-length") && strings.Contains(lower, "transfer-encoding") {
-			t.Skip("two lengths are refused")
+			t.Skip("conflicting framing is rejected, which http.Server alone does not do")
 		}
 		synctest.Test(t, func(t *testing.T) {
 			want := exchangeDirect(t, sent, cut)
 			r := newTestServer(t, echo)
-			if got := exchange(r.caller, sent, cut); strings.TrimSuffix(got, badRequestResponse) != strings.TrimSuffix(want, badRequestResponse) {
+			if got := exchange(r.client, sent, cut); strings.TrimSuffix(got, badRequest) != strings.TrimSuffix(want, badRequest) {
 				t.Errorf("%q\n got %q\nwant %q", sent, got, want)
 			}
 		})
 	})
 }
 
-// conflictingFramings are the orders and spellings of a head that names both a length and a coding.
+// conflictingFramings returns headers with both Content-Length and Transfer-Encoding in various orders and spellings.
 func conflictingFramings() []string {
 	lengths := []string{"Content-Length: 4", "content-length:4", "CONTENT-LENGTH: \t4 ", "Content-Length: 4\r\nContent-Length: 4"}
-	codings := []string{"Transfer-Encoding: chunked", "transfer-encoding:chunked", "TRANSFER-ENCODING: \tChunked ", "Transfer-Encoding: chunked\r\nX: y"}
+	codings := []string{
+		"Transfer-Encoding: chunked", "transfer-encoding:chunked", "TRANSFER-ENCODING: \tChunked ",
+		"Transfer-Encoding: chunked\r\nX: y",
+	}
 	var all []string
 	for _, l := range lengths {
 		for _, c := range codings {
@@ -124,19 +127,20 @@
 	return all
 }
 
-// A caller hides a request behind two lengths, in some order and spelling that one reader takes and another does not.
-func TestNothingRunsBehindTwoLengths(t *testing.T) {
+// Request smuggling: a client hides a request behind conflicting framing headers, in an order and spelling that one
+// parser accepts and another does not.
+func TestNothingRunsAfterConflictingFraming(t *testing.T) {
 	for _, lengths := range conflictingFramings() {
 		for _, before := range []string{"", get("/1")} {
 			sent := before + "POST /two HTTP/1.1\r\nHost: h\r\n" + lengths + "\r\n\r\n0\r\n\r\n" + get("/hidden")
 			synctest.Test(t, func(t *testing.T) {
 				r := newTestServer(t, echo)
-				got := exchange(r.caller, []byte(sent), 1<<16)
+				got := exchange(r.client, []byte(sent), 1<<16)
 				if strings.Contains(got, "/hidden") || strings.Contains(got, "/two") {
-					t.Errorf("%q was answered by %q", sent, got)
+					t.Errorf("%q was served: %q", sent, got)
 				}
 				if !strings.Contains(got, "400 Bad Request") {
-					t.Errorf("%q was not refused: %q", sent, got)
+					t.Errorf("%q was not rejected: %q", sent, got)
 				}
 			})
 		}
--- a/palane/lane_test.go
+++ b/palane/lane_test.go
@@ -19,7 +19,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// pipeListener is a net.Listener of connections in memory.
+// pipeListener is a net.Listener of in-memory connections.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -46,98 +46,100 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testServer is a server on lanes, with a connection of a caller.
+// testServer is an http.Server on lanes, with one client connection.
 type testServer struct {
 	*Listener
 	server *http.Server
 	base   *pipeListener
-	caller net.Conn
+	client net.Conn
 	reader *bufio.Reader
 }
 
 func newTestServer(t *testing.T, h http.HandlerFunc) *testServer {
-	f := &testServer{base: newPipeListener()}
-	f.Listener = NewListener(Config{Base: f.base, Clock: clockwork.NewRealClock(), MaxHeaderBytes: 8 << 10, HeaderTimeout: func() time.Duration { return 3 * time.Second }})
-	f.server = &http.Server{Handler: h, MaxHeaderBytes: 8 << 10, ConnState: f.TrackState, ConnContext: WithLane}
-	go func() { checkStopped(t, f.Run()) }()
-	go func() { checkStopped(t, f.server.Serve(f.Listener)) }()
-	f.caller = f.connect()
-	f.reader = bufio.NewReader(f.caller)
-	t.Cleanup(f.stop)
-	return f
+	s := &testServer{base: newPipeListener()}
+	s.Listener = NewListener(Config{
+		Base: s.base, Clock: clockwork.NewRealClock(),
+		MaxHeaderBytes: 8 << 10, HeaderTimeout: func() time.Duration { return 3 * time.Second },
+	})
+	s.server = &http.Server{Handler: h, MaxHeaderBytes: 8 << 10, ConnState: s.TrackState, ConnContext: WithLane}
+	go func() { checkStopped(t, s.Run()) }()
+	go func() { checkStopped(t, s.server.Serve(s.Listener)) }()
+	s.client = s.connect()
+	s.reader = bufio.NewReader(s.client)
+	t.Cleanup(s.stop)
+	return s
 }
 
-// checkStopped takes the end of a listener or a server.
+// checkStopped fails the test unless err reports a closed listener or server.
 func checkStopped(t *testing.T, err error) {
 	if !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
 		t.Error(err)
 	}
 }
 
-func (f *testServer) connect() net.Conn {
-	caller, server := net.Pipe()
-	f.base.conns <- server
-	return caller
+func (s *testServer) connect() net.Conn {
+	client, server := net.Pipe()
+	s.base.conns <- server
+	return client
 }
 
-func (f *testServer) stop() {
-	f.caller.Close()
-	f.server.Close()
-	f.CloseConnections()
+func (s *testServer) stop() {
+	s.client.Close()
+	s.server.Close()
+	s.CloseConnections()
 	synctest.Wait()
 }
 
-func (f *testServer) send(text string) { go write(f.caller, text) }
+func (s *testServer) send(text string) { go write(s.client, text) }
 
-// write sends text to a connection, or as much of it as the other end takes.
+// write sends text to a connection, or as much of it as the other end reads.
 func write(w io.Writer, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		return
 	}
 }
 
-// readResponse reads the next readResponse.
-func (f *testServer) readResponse(t *testing.T) (status int, body string) {
+// readResponse reads the next response.
+func (s *testServer) readResponse(t *testing.T) (status int, body string) {
 	t.Helper()
-	r, err := http.ReadResponse(f.reader, nil)
+	r, err := http.ReadResponse(s.reader, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	defer r.Body.Close()
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("incomplete response: %v", err)
 	}
 	return r.StatusCode, string(b)
 }
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n" }
 
-// A clerk's page sends four look-ups on one connection before the first is answered, and each takes 300 ms.
-// Served one after the other the last one comes after 1.2 s.
-func TestPipelinedRequestsRunSideBySide(t *testing.T) {
+// A client pipelines four requests that take 300 ms each. Served one after the other, the last response would take 1.2 s.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(300 * time.Millisecond)
 			write(w, r.URL.Path)
 		})
 		begin := time.Now()
-		f.send(get("/1") + get("/2") + get("/3") + get("/4"))
+		s.send(get("/1") + get("/2") + get("/3") + get("/4"))
 		for n := range 4 {
-			if _, body := f.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
-				t.Errorf("answer %d is that to %s", n+1, body)
+			if _, body := s.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
+				t.Errorf("response %d is that to %s", n+1, body)
 			}
 		}
 		if took := time.Since(begin); took > 400*time.Millisecond {
-			t.Errorf("four answers after %v", took)
+			t.Errorf("four responses took %v", took)
 		}
 	})
 }
 
-// The answers to later requests are ready first, the last one at once. Each goes to its own request's place.
-func TestAnswersKeepTheOrderOfRequests(t *testing.T) {
+// The responses to later requests are ready first. They must still be sent in request order.
+func TestResponsesKeepRequestOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, err := strconv.Atoi(r.URL.Path[1:])
 			if err != nil {
 				t.Error(err)
@@ -149,22 +151,22 @@
 		for n := range 20 {
 			all.WriteString(get(fmt.Sprintf("/%d", n)))
 		}
-		f.send(all.String())
+		s.send(all.String())
 		for n := range 20 {
 			path := fmt.Sprintf("/%d", n)
-			if _, body := f.readResponse(t); body != strings.Repeat(path, 3000) {
-				t.Fatalf("answer %d is another one's: %.20s", n, body)
+			if _, body := s.readResponse(t); body != strings.Repeat(path, 3000) {
+				t.Fatalf("response %d belongs to another request: %.20s", n, body)
 			}
 		}
 	})
 }
 
-// A caller sends a deposit behind a look-up. An answer that closes the connection before the deposit's turn tells
-// the caller that it was not read; had it run, it would run twice.
-func TestARequestKnowsThatOthersAreAhead(t *testing.T) {
+// A POST waits behind a GET whose response closes the connection. The client takes the POST as not executed and sends
+// it again, so that running it here would execute it twice.
+func TestPendingRequestFailsWhenEarlierResponseCloses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ran := make(chan string, 4)
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			lane := FromContext(r.Context())
 			if r.Method == http.MethodPost {
 				if err := lane.AwaitTurn(r.Context()); err != nil {
@@ -178,56 +180,56 @@
 			}
 			ran <- r.Method
 		})
-		f.send(get("/") + "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab")
-		if status, _ := f.readResponse(t); status != http.StatusOK {
+		s.send(get("/") + "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab")
+		if status, _ := s.readResponse(t); status != http.StatusOK {
 			t.Errorf("status %d", status)
 		}
 		if first, second := <-ran, <-ran; first != "GET" || second != ErrConnectionEnded.Error() {
 			t.Errorf("%s, %s", first, second)
 		}
-		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("after the last answer: %v, want its end", err)
+		if _, err := s.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read after the last response: %v, want EOF", err)
 		}
 	})
 }
 
-// A caller closes its connection while ten of its requests run and more wait to be read. Their work goes on and
-// keeps slots from callers who still wait, as nobody reads the connection's end behind the bytes of a request.
-func TestACallerThatLeavesIsNoticedAtAnyDepth(t *testing.T) {
+// A client disconnects while several of its requests run and more wait to be read. If EOF behind unread requests goes
+// unnoticed, the handlers keep running and take slots from clients that still wait.
+func TestDisconnectDetectedAtAnyDepth(t *testing.T) {
 	for _, depth := range []int{1, 2, 10, 24} {
 		synctest.Test(t, func(t *testing.T) {
 			var running atomic.Int32
-			f := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
+			s := newTestServer(t, func(_ http.ResponseWriter, r *http.Request) {
 				running.Add(1)
 				defer running.Add(-1)
 				<-r.Context().Done()
 			})
-			f.send(strings.Repeat(get("/"), depth))
+			s.send(strings.Repeat(get("/"), depth))
 			synctest.Wait()
 			if n := running.Load(); n != int32(min(depth, MaxPipelined)) {
 				t.Errorf("%d of %d run", n, depth)
 			}
-			f.caller.Close()
+			s.client.Close()
 			time.Sleep(10 * time.Millisecond)
 			if n := running.Load(); n != 0 {
-				t.Errorf("depth %d: %d still run after the caller left", depth, n)
+				t.Errorf("depth %d: %d still run after the client disconnected", depth, n)
 			}
 		})
 	}
 }
 
-// A caller sends a request that names two ends for its body. A server on the way that takes the other end sees
-// another caller's request in what follows.
-func TestTwoLengthsAreRefused(t *testing.T) {
+// Request smuggling: a request has both Content-Length and Transfer-Encoding. A proxy that uses the other one than this
+// server would take the bytes that follow for another client's request.
+func TestConflictingFramingRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served atomic.Int32
-		f := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
-		f.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get("/hidden"))
-		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
+		s := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
+		s.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get("/hidden"))
+		if status, _ := s.readResponse(t); status != http.StatusBadRequest {
 			t.Errorf("status %d", status)
 		}
-		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%v after the refusal, want the connection's end", err)
+		if _, err := s.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read after the rejection: %v, want EOF", err)
 		}
 		if n := served.Load(); n != 0 {
 			t.Errorf("%d requests were served", n)
@@ -235,14 +237,14 @@
 	})
 }
 
-// The server refuses a request for its missing host, which the parser of heads takes. What follows may be hidden
-// in it and must not run.
-func TestNothingRunsBehindARequestThatIsRefused(t *testing.T) {
+// The server rejects a request without a Host header, which http.ReadRequest accepts. The bytes that follow may be
+// smuggled and must not run as a request.
+func TestNothingRunsAfterRejectedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served atomic.Int32
-		f := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
-		f.send("GET / HTTP/1.1\r\n\r\n" + get("/hidden"))
-		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
+		s := newTestServer(t, func(http.ResponseWriter, *http.Request) { served.Add(1) })
+		s.send("GET / HTTP/1.1\r\n\r\n" + get("/hidden"))
+		if status, _ := s.readResponse(t); status != http.StatusBadRequest {
 			t.Errorf("status %d", status)
 		}
 		synctest.Wait()
@@ -252,88 +254,88 @@
 	})
 }
 
-// A caller sends half a head behind a request and then nothing. The request before it is answered in full, the
-// half one is refused, and the connection ends after the time that a head may take.
-func TestHalfAHeadEndsTheConnectionInTime(t *testing.T) {
+// A client sends a request and then a partial header. The request is answered in full; the partial header is rejected
+// and the connection closed after the header timeout.
+func TestPartialHeaderTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(4 * time.Second)
 			write(w, "late")
 		})
 		begin := time.Now()
-		f.send(get("/") + "GET /half HTTP/1.1\r\nHo")
-		if _, body := f.readResponse(t); body != "late" {
+		s.send(get("/") + "GET /half HTTP/1.1\r\nHo")
+		if _, body := s.readResponse(t); body != "late" {
 			t.Errorf("body %q", body)
 		}
-		if status, _ := f.readResponse(t); status != http.StatusBadRequest {
-			t.Errorf("status %d for half a head", status)
+		if status, _ := s.readResponse(t); status != http.StatusBadRequest {
+			t.Errorf("status %d for a partial header", status)
 		}
-		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) || time.Since(begin) > 5*time.Second {
+		if _, err := s.reader.ReadByte(); !errors.Is(err, io.EOF) || time.Since(begin) > 5*time.Second {
 			t.Errorf("%v after %v", err, time.Since(begin))
 		}
 	})
 }
 
-// A stop finds connections that are idle, new, in a head, and under way. Only the first may be closed, and a new
-// one after its grace.
-func TestDrainClosesOnlyWhatIsUnused(t *testing.T) {
+// Drain meets connections that are idle, new, partway through a header, and with a request in flight. It may close only
+// the idle one, and the new one after the grace period.
+func TestDrainClosesOnlyUnused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/slow" {
 				time.Sleep(time.Second)
 			}
 		})
-		inHead, fresh, slow := f.connect(), f.connect(), f.connect()
-		defer inHead.Close()
+		partial, fresh, slow := s.connect(), s.connect(), s.connect()
+		defer partial.Close()
 		defer fresh.Close()
 		defer slow.Close()
-		f.send(get("/"))
-		f.readResponse(t)
-		go write(inHead, "GET / HT")
+		s.send(get("/"))
+		s.readResponse(t)
+		go write(partial, "GET / HT")
 		go write(slow, get("/slow"))
 		synctest.Wait()
-		if left := f.Drain(time.Now(), time.Second); left != 3 {
-			t.Errorf("%d connections are left, want those in a head, new and under way", left)
+		if left := s.Drain(time.Now(), time.Second); left != 3 {
+			t.Errorf("%d connections are left, want 3: partial header, new, in flight", left)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		if left := f.Drain(time.Now(), time.Second); left != 2 {
-			t.Errorf("%d are left, want those in a head and with an answer that nobody reads", left)
+		if left := s.Drain(time.Now(), time.Second); left != 2 {
+			t.Errorf("%d are left, want 2: partial header, unread response", left)
 		}
 	})
 }
 
-// Many long answers wait behind a slow one. Beyond the bound requests run in their turn only.
-func TestHeldAnswersAreBounded(t *testing.T) {
+// Long responses wait behind a slow one. Once the buffered bytes reach their limit, requests may run only in their turn.
+func TestBufferedResponsesBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var behind atomic.Int32
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		var waited atomic.Int32
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			lane := FromContext(r.Context())
 			if lane.EarlierPending() {
 				if !lane.MayRunEarly() {
-					behind.Add(1)
+					waited.Add(1)
 				}
 				lane.CountBuffered(maxBuffered)
 			}
 			time.Sleep(time.Second)
 		})
-		f.send(get("/1") + get("/2"))
+		s.send(get("/1") + get("/2"))
 		synctest.Wait()
-		f.send(get("/3"))
+		s.send(get("/3"))
 		for range 3 {
-			f.readResponse(t)
+			s.readResponse(t)
 		}
-		if n := behind.Load(); n != 1 {
-			t.Errorf("%d requests had to wait, want the third", n)
+		if n := waited.Load(); n != 1 {
+			t.Errorf("%d requests had to wait, want 1: the third", n)
 		}
-		if n := f.buffered.Load(); n != 0 {
-			t.Errorf("%d bytes count as held at the end", n)
+		if n := s.buffered.Load(); n != 0 {
+			t.Errorf("%d bytes still count as buffered at the end", n)
 		}
 	})
 }
 
-func TestAnswerMayCloseOnlyBehindNothing(t *testing.T) {
+func TestOnlyLastResponseMayClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(100 * time.Millisecond)
 			lane := FromContext(r.Context())
 			if lane.AwaitTurn(context.Background()) == nil && lane.MarkLast() {
@@ -341,14 +343,14 @@
 			}
 			write(w, r.URL.Path)
 		})
-		f.send(get("/1") + get("/2"))
+		s.send(get("/1") + get("/2"))
 		for n := range 2 {
-			if _, body := f.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
-				t.Errorf("answer %d: %s", n+1, body)
+			if _, body := s.readResponse(t); body != fmt.Sprintf("/%d", n+1) {
+				t.Errorf("response %d: %s", n+1, body)
 			}
 		}
-		if _, err := f.reader.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("%v, want the connection's end", err)
+		if _, err := s.reader.ReadByte(); !errors.Is(err, io.EOF) {
+			t.Errorf("read after the last response: %v, want EOF", err)
 		}
 	})
 }
