--- a/paclock/doc.go
+++ b/paclock/doc.go
@@ -1,2 +1,2 @@
-// Package paclock has what the standard library's context does on its own clock, on one that is passed in.
+// Package paclock provides functions of the standard context package on an injected clock.
 package paclock
--- a/paclock/timeout.go
+++ b/paclock/timeout.go
@@ -7,7 +7,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// WithTimeout is context.WithTimeout on a clock that is passed in.
+// WithTimeout is context.WithTimeout on an injected clock. After the timeout, context.Cause returns
+// context.DeadlineExceeded, but Err returns context.Canceled.
 func WithTimeout(ctx context.Context, c clockwork.Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := c.AfterFunc(d, func() { cancel(context.DeadlineExceeded) })
--- a/paheader/doc.go
+++ b/paheader/doc.go
@@ -1,2 +1,2 @@
-// Package paheader tells the HTTP headers that a proxy passes on from those of one connection.
+// Package paheader removes hop-by-hop header fields, which a proxy must not forward.
 package paheader
--- a/paheader/header.go
+++ b/paheader/header.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// HopByHop are the fields that concern one connection only (RFC 9110, 7.6.1).
+// HopByHop are the header fields that apply to a single connection (RFC 9110, section 7.6.1).
 var HopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the header without the fields of the connection.
+// EndToEnd returns a copy of a header without the HopByHop fields and those listed in its Connection field.
 func EndToEnd(h http.Header) http.Header {
 	c := h.Clone()
 	if c == nil {
--- a/paretry/doc.go
+++ b/paretry/doc.go
@@ -1,5 +1,5 @@
-// Package paretry is the budget of retries and hedges, which shrinks as load grows.
+// Package paretry implements a retry budget for retries and hedged requests, which shrinks as load grows.
 //
-// A Budget is a token bucket that first attempts fill and further attempts empty, so that further
-// attempts stay a stated share of first ones whatever fails.
+// A Budget is a token bucket: first attempts add tokens and further attempts spend them, so that further attempts
+// stay at most a given ratio of first attempts, whatever fails.
 package paretry
--- a/pasocket/doc.go
+++ b/pasocket/doc.go
@@ -1,2 +1,2 @@
-// Package pasocket asks the system about connections and counts their bytes.
+// Package pasocket checks the sockets of connections for pending input and counts the bytes of connections.
 package pasocket
--- a/pasocket/pending.go
+++ b/pasocket/pending.go
@@ -5,8 +5,9 @@
 	"syscall"
 )
 
-// NothingToRead says that neither bytes nor the end of the connection wait to be read. It may be called beside a read
-// that waits. Of a connection without a file descriptor nothing is known, and it counts as quiet.
+// NothingToRead reports whether neither data nor EOF is pending on a connection's socket. It peeks, so that it can be
+// called during a blocked read. It returns true for a connection without a file descriptor, and false if the socket
+// can't be read.
 func NothingToRead(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -16,11 +17,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	var b [1]byte
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/pasocket/traffic.go
+++ b/pasocket/traffic.go
@@ -16,14 +16,14 @@
 	traffic *Traffic
 }
 
-// Read counts what came.
+// Read counts the received bytes.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Received.Add(uint64(n))
 	return n, err
 }
 
-// Write counts what went.
+// Write counts the sent bytes.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Sent.Add(uint64(n))
