--- a/paplatform/doc.go
+++ b/paplatform/doc.go
@@ -1,8 +1,8 @@
-// Package paplatform holds the two services that the platform gives to a deployment: a small
-// key-value Store with compare-and-swap, leases and watches, and a VMList that lags.
+// Package paplatform defines the two services that the platform provides to a deployment: a small
+// key-value Store with compare-and-swap, leases and watches, and a VMList, which lags.
 //
-// Every part of the system reaches the platform through these interfaces. Memory is a store on an
-// injected clock with injected faults, for tests and demonstrations; the package platform has the client
-// of the real one. The revision of a value is the fencing token of whoever writes it: revisions rise over
-// the whole store and are never used again, so a writer that was paused can only lose.
+// All packages access the platform through these interfaces. MemoryStore is a store on an injected clock
+// with fault injection, for tests and demonstrations; package platform has the client of the real store.
+// The revision of a value is the fencing token of its writer: revisions increase across the whole store and
+// are never reused, so that a write with an outdated revision, by a process that was paused, always fails.
 package paplatform
--- a/paplatform/error.go
+++ b/paplatform/error.go
@@ -7,55 +7,54 @@
 	"github.com/gravitational/trace"
 )
 
-// Fault is the closed set of ways in which a call to the platform fails.
+// Fault is the kind of failure of a call to the platform.
 type Fault string
 
-// The faults of the platform.
+// The complete set of faults.
 const (
-	// None is the fault of a call that succeeded.
+	// None is the fault of a successful call.
 	None Fault = ""
-	// Conflict says that the key is at another revision; the call had no effect.
+	// Conflict: the key is at another revision. The call had no effect.
 	Conflict Fault = "Conflict"
-	// NotFound says that the name is not known.
+	// NotFound: the name is unknown.
 	NotFound Fault = "NotFound"
-	// Unavailable says that the call had no effect; it may be tried again.
+	// Unavailable: the call had no effect and may be retried.
 	Unavailable Fault = "Unavailable"
-	// TooLarge says that the data is over MaxValueSize; the call had no effect.
+	// TooLarge: the data exceeds MaxValueSize. The call had no effect.
 	TooLarge Fault = "TooLarge"
-	// LeaseLapsed says that the lease has ended; the call had no effect.
+	// LeaseLapsed: the lease has ended. The call had no effect.
 	LeaseLapsed Fault = "LeaseLapsed"
-	// HistoryLost says that a watch asked for changes that the store has forgotten; everything must be
-	// read anew.
+	// HistoryLost: a watch asked for changes that the store no longer keeps. The caller must read all values again.
 	HistoryLost Fault = "HistoryLost"
-	// Limited says that there were too many calls; the call had no effect.
+	// Limited: the call exceeded a rate limit. It had no effect.
 	Limited Fault = "Limited"
-	// Invalid says that the request itself is wrong; the call had no effect.
+	// Invalid: the request is invalid. The call had no effect.
 	Invalid Fault = "Invalid"
-	// Unknown says that the reply was lost: the call may have had its effect, or may have it yet.
+	// Unknown: the reply was lost. The call may have taken effect, or may still do so later.
 	Unknown Fault = "Unknown"
 )
 
-// String returns the fault's name.
+// String returns the name of the fault.
 func (f Fault) String() string { return string(f) }
 
-// Error is a failed call to the platform.
+// Error is the error of a failed call to the platform.
 type Error struct {
 	Fault Fault
-	// Key is the key or other name that the call was for.
+	// Key is the key, or another name, that the call was for.
 	Key    Key    `json:",omitempty"`
 	Detail string `json:",omitempty"`
-	// Current is the revision at which the key is, of a Conflict; nil where the store did not tell, and 0 where there
-	// is no such key.
+	// Current is the current revision of the key on a Conflict: 0 if the key doesn't exist, nil if the store didn't
+	// return it.
 	Current *Revision `json:",omitempty"`
 }
 
-// Error says what failed, where and why.
+// Error returns the fault, the key and the detail.
 func (e *Error) Error() string {
 	return fmt.Sprintf("platform: %s at %q: %s", e.Fault, string(e.Key), e.Detail)
 }
 
-// FaultOf returns the fault of an error that a Store or a VMList returned; an error of any other
-// kind is Unknown, because nothing is known of the call's effect.
+// FaultOf returns the fault of an error that a Store or a VMList returned, or None for nil. Any other error
+// is Unknown, because the call may have taken effect.
 func FaultOf(err error) Fault {
 	if err == nil {
 		return None
@@ -67,7 +66,7 @@
 	return Unknown
 }
 
-// errorf returns a traced *Error.
+// errorf returns an *Error with a stack trace.
 func errorf(f Fault, key Key, format string, arguments ...any) error {
 	return trace.Wrap(&Error{Fault: f, Key: key, Detail: fmt.Sprintf(format, arguments...)})
 }
--- a/paplatform/example_test.go
+++ b/paplatform/example_test.go
@@ -9,7 +9,7 @@
 	"papayahead/paplatform"
 )
 
-// The store loses the reply of a write: the caller learns that it does not know, and reads back.
+// The store loses the reply to a write. The caller gets Unknown and reads the key to find out whether it was written.
 func ExampleMemoryStore() {
 	ctx := context.Background()
 	store := &paplatform.MemoryStore{Clock: clockwork.NewRealClock()}
--- a/paplatform/injection.go
+++ b/paplatform/injection.go
@@ -10,7 +10,7 @@
 // Operation names a kind of call to the platform.
 type Operation string
 
-// The operations that are counted and can be made to fail.
+// The operations that are counted and that an Injection can match.
 const (
 	OperationGet            Operation = "Get"
 	OperationCompareAndSwap Operation = "CompareAndSwap"
@@ -22,12 +22,12 @@
 	OperationList           Operation = "List"
 )
 
-// isWrite reports whether a lost reply leaves the effect of the operation in doubt.
+// isWrite reports whether the operation has an effect, which a lost reply leaves unknown.
 func (o Operation) isWrite() bool {
 	return o != OperationGet && o != OperationWatch && o != OperationList
 }
 
-// Caller names who makes a call, for counts and injected faults.
+// Caller identifies the client of a call, for counts and fault injection.
 type Caller string
 
 // Effect is what an injected fault does to a call.
@@ -35,28 +35,28 @@
 
 // The effects that can be injected.
 const (
-	// Outage refuses the call without effect, and ends waiting watches.
+	// Outage fails the call without effect, and ends waiting watches.
 	Outage Effect = "Outage"
 	// Slow delays the call.
 	Slow Effect = "Slow"
-	// LostBefore loses the call on its way in: no effect, and no reply.
+	// LostBefore loses the request: no effect and no reply.
 	LostBefore Effect = "LostBefore"
-	// LostAfter loses the reply: the call takes effect.
+	// LostAfter loses the reply after the call has taken effect.
 	LostAfter Effect = "LostAfter"
-	// LostLate loses the reply, and the call takes effect only after the delay.
+	// LostLate loses the reply, and the call takes effect after Delay.
 	LostLate Effect = "LostLate"
 )
 
-// Injection makes calls that match it fail; an empty field matches all.
+// Injection applies an effect to the calls that match it. An empty Caller, Operation or Prefix matches all.
 type Injection struct {
 	Caller    Caller    `json:",omitempty"`
 	Operation Operation `json:",omitempty"`
-	// Prefix matches keys that begin with it.
+	// Prefix is the key prefix to match.
 	Prefix Key `json:",omitempty"`
 	Effect Effect
-	// Delay is the time of Slow and LostLate.
+	// Delay applies to Slow and LostLate.
 	Delay pabundle.Duration
-	// Times is how many calls it hits before it is used up; 0 is no limit.
+	// Times is the number of calls to apply the effect to; 0 is no limit.
 	Times int `json:",omitempty"`
 }
 
@@ -70,24 +70,24 @@
 	return strings.HasPrefix(string(key), string(i.Prefix))
 }
 
-// DelayAll returns an injection of Slow for all calls.
+// DelayAll returns an injection that delays all calls.
 func DelayAll(d time.Duration) Injection {
 	return Injection{Effect: Slow, Delay: pabundle.Duration{Duration: d}}
 }
 
-// Counts is what a store counted since it started.
+// Counts are the counters of a store since its start.
 type Counts struct {
-	// Calls counts the calls by kind; a waiting watch is one.
+	// Calls counts the calls by operation. A watch counts once, however long it waits.
 	Calls map[Operation]uint64
-	// ByCaller counts all calls of each caller.
+	// ByCaller counts the calls by caller.
 	ByCaller map[Caller]uint64
-	// Bytes counts the bytes of data written and read.
+	// Bytes counts the value bytes that Get returned and CompareAndSwap wrote.
 	Bytes uint64
-	// Waiting is how many watches wait now, MostWaiting the most there were.
+	// Waiting is the current number of waiting watches, MostWaiting its maximum.
 	Waiting, MostWaiting int
 }
 
-// Total returns the sum of all calls.
+// Total returns the number of all calls.
 func (c Counts) Total() uint64 {
 	var sum uint64
 	for _, n := range c.Calls {
--- a/paplatform/memory.go
+++ b/paplatform/memory.go
@@ -11,14 +11,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// maxWatchWait bounds a waiting watch, as the platform does, so that a caller that went away
-// without a word does not hold one of its watches for good.
+// maxWatchWait limits the wait of a watch, as the platform does, so that a client that disappeared without
+// closing its connection doesn't occupy one of its watches forever.
 const maxWatchWait = 5 * time.Minute
 
-// MemoryStore is a store in memory on an injected clock, with counts and injected faults. The zero
-// value with a Clock is ready to use. Its own methods act for the caller with the empty name.
+// MemoryStore is an in-memory Store on an injected clock, with counters and fault injection. The zero value
+// with a Clock is ready to use. Its own Store methods act for the caller with the empty name.
 type MemoryStore struct {
-	// Clock times leases, waits and delays.
+	// Clock is the clock of leases, watches and delays.
 	Clock clockwork.Clock
 
 	mutex      sync.Mutex
@@ -31,17 +31,17 @@
 	counts     Counts
 }
 
-// lease is the time a holder has left.
+// lease is a granted lease.
 type lease struct {
 	ttl       time.Duration
 	expires   time.Time
 	stopTimer func() bool
 }
 
-// As returns the store as the named caller sees it.
+// As returns the store for calls by the named caller.
 func (m *MemoryStore) As(c Caller) Store { return memoryCaller{m, c} }
 
-// Counts returns what was counted so far.
+// Counts returns a copy of the counters.
 func (m *MemoryStore) Counts() Counts {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -51,14 +51,14 @@
 	return c
 }
 
-// Injections returns the faults that are in force.
+// Injections returns the active injections.
 func (m *MemoryStore) Injections() []Injection {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.injections)
 }
 
-// read returns the live value of a key; the mutex is held.
+// read returns the value of a key and whether it exists. The mutex is held.
 func (m *MemoryStore) read(key Key) (Value, bool) {
 	c, ok := m.values[key]
 	if !ok || c.Deleted {
@@ -69,7 +69,7 @@
 	return v, true
 }
 
-// changesAfter returns what a watch has to hear; the mutex is held.
+// changesAfter returns the changes that a watch reports, in revision order. The mutex is held.
 func (m *MemoryStore) changesAfter(r WatchRequest) []Change {
 	var found []Change
 	for k, c := range m.values {
@@ -89,7 +89,7 @@
 	return found
 }
 
-// nextChange returns the channel that closes at the nextChange change; the mutex is held.
+// nextChange returns the channel that is closed at the next notification of watches. The mutex is held.
 func (m *MemoryStore) nextChange() <-chan struct{} {
 	if m.changed == nil {
 		m.changed = make(chan struct{})
--- a/paplatform/memory_call.go
+++ b/paplatform/memory_call.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// memoryCaller is a Memory as one caller sees it.
+// memoryCaller is a MemoryStore for calls by one caller.
 type memoryCaller struct {
 	memory *MemoryStore
 	caller Caller
@@ -29,7 +29,7 @@
 
 func (c memoryCaller) CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, l LeaseID) (Revision, error) {
 	if len(data) > MaxValueSize {
-		return 0, errorf(TooLarge, key, "%d bytes given, at most %d allowed", len(data), MaxValueSize)
+		return 0, errorf(TooLarge, key, "value has %d bytes, at most %d are allowed", len(data), MaxValueSize)
 	}
 	m := c.memory
 	var r Revision
@@ -48,7 +48,7 @@
 	m := c.memory
 	return m.call(ctx, c.caller, OperationDelete, key, func() error {
 		if expected == 0 {
-			return errorf(Invalid, key, "expected revision 0 given, want the revision of the value to delete")
+			return errorf(Invalid, key, "expected revision is 0, must be the revision of the value to delete")
 		}
 		_, err := m.swap(key, expected, Change{Deleted: true})
 		return err
@@ -93,7 +93,7 @@
 
 func (c memoryCaller) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	if ttl <= 0 {
-		return "", errorf(Invalid, "", "lease of %s given, want a positive time", ttl)
+		return "", errorf(Invalid, "", "lease ttl is %s, must be positive", ttl)
 	}
 	m := c.memory
 	var id LeaseID
@@ -129,7 +129,7 @@
 	})
 }
 
-// addWaiting counts a watch in or out.
+// addWaiting adjusts the number of waiting watches.
 func (m *MemoryStore) addWaiting(by int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -137,7 +137,7 @@
 	m.counts.MostWaiting = max(m.counts.MostWaiting, m.counts.Waiting)
 }
 
-// inOutage reports whether an outage is in force for a watch of the caller.
+// inOutage reports whether an injected outage matches a watch of the caller.
 func (m *MemoryStore) inOutage(c Caller, key Key) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/paplatform/memory_change.go
+++ b/paplatform/memory_change.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Inject adds a fault to those in force; an outage ends all waiting watches that it matches.
+// Inject adds injections to the active ones. An outage ends the waiting watches that it matches.
 func (m *MemoryStore) Inject(i ...Injection) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -14,7 +14,7 @@
 	m.notifyWatches()
 }
 
-// ClearInjections removes all injected faults.
+// ClearInjections removes all injections.
 func (m *MemoryStore) ClearInjections() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -22,7 +22,7 @@
 	m.notifyWatches()
 }
 
-// notifyWatches lets waiting watches look again; the mutex is held.
+// notifyWatches makes waiting watches check for changes and outages. The mutex is held.
 func (m *MemoryStore) notifyWatches() {
 	if m.changed != nil {
 		close(m.changed)
@@ -30,7 +30,7 @@
 	m.changed = make(chan struct{})
 }
 
-// countCall records a call; the mutex is held.
+// countCall counts a call. The mutex is held.
 func (m *MemoryStore) countCall(c Caller, o Operation) {
 	if m.counts.Calls == nil {
 		m.counts.Calls = map[Operation]uint64{}
@@ -40,7 +40,7 @@
 	m.counts.ByCaller[c]++
 }
 
-// takeInjection returns the fault that a call meets and uses it up; the mutex is held.
+// takeInjection returns the first injection that matches a call and counts it as used once. The mutex is held.
 func (m *MemoryStore) takeInjection(c Caller, o Operation, key Key) (Injection, bool) {
 	for n, i := range m.injections {
 		if !i.matches(c, o, key) {
@@ -57,7 +57,7 @@
 	return Injection{}, false
 }
 
-// call runs one operation under the injected faults; effect runs with the mutex held.
+// call runs one operation subject to the injections. effect runs with the mutex held.
 func (m *MemoryStore) call(ctx context.Context, c Caller, o Operation, key Key, effect func() error) error {
 	m.mutex.Lock()
 	m.countCall(c, o)
@@ -91,7 +91,7 @@
 	return m.apply(ctx, o, key, effect)
 }
 
-// apply lets an operation take effect unless the caller has given up before.
+// apply runs effect with the mutex held, after ending expired leases. It fails with Unavailable if ctx has ended.
 func (m *MemoryStore) apply(ctx context.Context, _ Operation, key Key, effect func() error) error {
 	if ctx.Err() != nil {
 		return errorf(Unavailable, key, "%v", context.Cause(ctx))
@@ -102,7 +102,7 @@
 	return effect()
 }
 
-// expireLeases ends the leases whose time is over; the mutex is held.
+// expireLeases ends the expired leases. The mutex is held.
 func (m *MemoryStore) expireLeases() {
 	now := m.Clock.Now()
 	for id, l := range m.leases {
@@ -112,7 +112,7 @@
 	}
 }
 
-// endLease deletes a lease and its values; the mutex is held.
+// endLease deletes a lease and its values. The mutex is held.
 func (m *MemoryStore) endLease(id LeaseID) {
 	l, ok := m.leases[id]
 	if !ok {
@@ -127,7 +127,7 @@
 	}
 }
 
-// write puts a change under the next revision; the mutex is held.
+// write stores a change under the next revision and notifies watches. The mutex is held.
 func (m *MemoryStore) write(key Key, c Change) Revision {
 	if m.values == nil {
 		m.values = map[Key]Change{}
@@ -145,9 +145,9 @@
 	return m.revision
 }
 
-// swap is the effect of CompareAndSwap and Delete. The expected revision is the fence: a holder
-// that was paused past its lease still writes with the revision it knew, which is never current
-// again once the lease's end deleted the value or another holder wrote it.
+// swap is the effect of CompareAndSwap and Delete. The expected revision is the fencing token: a lease holder
+// that was paused past its lease still writes with the revision it knows, which is never current again once
+// the end of the lease has deleted the value or another holder has written it. The mutex is held.
 func (m *MemoryStore) swap(key Key, expected Revision, c Change) (Revision, error) {
 	if c.Lease != "" && m.leases[c.Lease] == nil {
 		return 0, errorf(LeaseLapsed, key, "lease %s has ended", c.Lease)
@@ -160,7 +160,7 @@
 	return m.write(key, c), nil
 }
 
-// startLease starts or restarts the time of a lease; the mutex is held.
+// startLease starts or renews a lease. The mutex is held.
 func (m *MemoryStore) startLease(id LeaseID, ttl time.Duration) {
 	if m.leases == nil {
 		m.leases = map[LeaseID]*lease{}
@@ -172,7 +172,7 @@
 	m.leases[id] = &lease{ttl: ttl, expires: m.Clock.Now().Add(ttl), stopTimer: t.Stop}
 }
 
-// expireOnTimer ends lapsed leases without a call, so that watches hear of it.
+// expireOnTimer ends expired leases at the end of a lease's ttl, so that watches are notified without a further call.
 func (m *MemoryStore) expireOnTimer() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/paplatform/memory_test.go
+++ b/paplatform/memory_test.go
@@ -11,10 +11,9 @@
 	"papayahead/pabundle"
 )
 
-// A process holds a lease and is paused. The lease ends, another process takes the key. The first
-// wakes and writes as if nothing had happened; the write must not take effect, also where the
-// other's value happens to be gone again.
-func TestLapsedHolderCannotWrite(t *testing.T) {
+// A lease holder is paused past its lease, and another process takes the key. When the first process resumes, its
+// writes with the old revision must fail, even after the other process has deleted its value.
+func TestWriteAfterLeaseExpiryFails(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewFakeClock()
@@ -38,7 +37,7 @@
 	g.Expect(found).To(BeFalse())
 }
 
-func TestLateWriteTakesEffectAfterItsReplyWasLost(t *testing.T) {
+func TestLostLateWriteTakesEffectAfterDelay(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewFakeClock()
--- a/paplatform/memory_vm_list.go
+++ b/paplatform/memory_vm_list.go
@@ -11,8 +11,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// MemoryVMList is a VM list in memory that lags: a change shows after the lag. The zero value with a
-// Clock is ready to use.
+// MemoryVMList is an in-memory VM list with a lag: List shows a change once it is as old as the lag. The zero
+// value with a Clock is ready to use.
 type MemoryVMList struct {
 	// Clock times the lag.
 	Clock clockwork.Clock
@@ -26,17 +26,17 @@
 	listed    map[string]VM
 }
 
-// pendingChange is a change that the list may not show yet.
+// pendingChange is a change that List doesn't show yet.
 type pendingChange struct {
 	at   time.Time
 	name string
-	// vm is nil where the VM was removed.
+	// vm is nil for a removed VM.
 	vm *VM
 }
 
 var _ VMList = (*MemoryVMList)(nil)
 
-// List returns the VMs as they were one lag ago, in the order of their names.
+// List returns the VMs as they were one lag ago, sorted by name. During an outage it fails with Unavailable.
 func (m *MemoryVMList) List(ctx context.Context) ([]VM, error) {
 	if ctx.Err() != nil {
 		return nil, errorf(Unavailable, "Machines", "%v", context.Cause(ctx))
@@ -51,14 +51,14 @@
 	return sortedByName(m.listed), nil
 }
 
-// Current returns the VMs as they are, without the lag.
+// Current returns the current VMs, sorted by name, without the lag.
 func (m *MemoryVMList) Current() []VM {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return sortedByName(m.current)
 }
 
-// ListCalls returns how many times the list was asked for.
+// ListCalls returns the number of calls of List.
 func (m *MemoryVMList) ListCalls() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -69,13 +69,13 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b VM) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Put adds a VM or changes it.
+// Put adds or replaces a VM.
 func (m *MemoryVMList) Put(v VM) { m.record(v.Name, &v) }
 
-// Remove takes a VM off the list.
+// Remove removes a VM.
 func (m *MemoryVMList) Remove(name string) { m.record(name, nil) }
 
-// SetState changes the state of a VM and reports whether the VM is known.
+// SetState sets the state of a VM. It reports whether the VM exists.
 func (m *MemoryVMList) SetState(name string, s VMState) bool {
 	m.mutex.Lock()
 	v, ok := m.current[name]
@@ -88,14 +88,14 @@
 	return true
 }
 
-// SetLag sets how late changes show, those of the past included.
+// SetLag sets the lag. It also applies to earlier changes that List doesn't show yet.
 func (m *MemoryVMList) SetLag(d time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.lag = d
 }
 
-// SetOutage starts or ends an outage of the list.
+// SetOutage starts or ends an outage of List.
 func (m *MemoryVMList) SetOutage(down bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -113,7 +113,7 @@
 	m.pending = append(m.pending, pendingChange{m.Clock.Now(), name, v})
 }
 
-// applyPending shows the changes that are older than the lag; the mutex is held.
+// applyPending applies the changes that are at least as old as the lag to the listed VMs. The mutex is held.
 func (m *MemoryVMList) applyPending() {
 	until := m.Clock.Now().Add(-m.lag)
 	for len(m.pending) > 0 && !m.pending[0].at.After(until) {
--- a/paplatform/server.go
+++ b/paplatform/server.go
@@ -11,14 +11,14 @@
 	"papayahead/pabundle"
 )
 
-// Server serves the VM list of a stand-in for the platform over HTTP, and the faults of its store:
+// Server serves the VM list of a simulated platform over HTTP, and controls fault injection in its store:
 //
-//	GET, DELETE /Faults       the injections in force; DELETE heals all
-//	POST /Faults              an Injection, or a list of them
-//	GET /Counts               the store's Counts
-//	GET /Machines             the VMs, with the lag; ?Present=true shows them without
-//	POST /Machines/{name}     a MachineChange
-//	POST /MachineFaults       a MachineFault
+//	GET, DELETE /Faults       returns or removes the active injections
+//	POST /Faults              adds an Injection, or a list of them
+//	GET /Counts               returns the store's Counts
+//	GET /Machines             returns the VMs, with the lag; with ?Present=true without it
+//	POST /Machines/{name}     applies a VMChange
+//	POST /MachineFaults       applies a VMListFault
 type Server struct {
 	Store *MemoryStore
 	VMs   *MemoryVMList
@@ -27,17 +27,17 @@
 	handler http.Handler
 }
 
-// VMChange adds or changes a VM, marks it or removes it.
+// VMChange adds, changes or removes a VM. If several fields are set, they apply in their order.
 type VMChange struct {
-	// Put is the VM to add or change, if any; its name is that of the path.
+	// Put is the VM to add or replace, if any. Its name is taken from the path.
 	Put *VM `json:",omitempty"`
-	// State marks the VM, if any.
+	// State is the new state of the VM, if any.
 	State VMState `json:",omitempty"`
-	// Remove takes the VM off the list.
+	// Remove removes the VM.
 	Remove bool `json:",omitempty"`
 }
 
-// VMListFault makes the VM list lag or fail.
+// VMListFault sets the lag and the outage of the VM list.
 type VMListFault struct {
 	Lag    pabundle.Duration
 	Outage bool
@@ -47,7 +47,10 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /Counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Store.Counts()) })
 	mux.HandleFunc("GET /Faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Store.Injections()) })
-	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) { s.Store.ClearInjections(); writeJSON(w, struct{}{}) })
+	mux.HandleFunc("DELETE /Faults", func(w http.ResponseWriter, _ *http.Request) {
+		s.Store.ClearInjections()
+		writeJSON(w, struct{}{})
+	})
 	mux.HandleFunc("POST /Faults", s.inject)
 	mux.HandleFunc("GET /Machines", s.listVMs)
 	mux.HandleFunc("POST /Machines/{name}", s.changeVM)
@@ -55,7 +58,7 @@
 	return mux
 }
 
-// ServeHTTP serves one request of the stand-in.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(func() { s.handler = s.routes() })
 	s.handler.ServeHTTP(w, r)
@@ -80,7 +83,8 @@
 		switch i.Effect {
 		case Outage, Slow, LostBefore, LostAfter, LostLate:
 		default:
-			writeError(w, "Faults", errorf(Invalid, "Faults", "Effect %q given, want Outage, Slow, LostBefore, LostAfter or LostLate", i.Effect))
+			writeError(w, "Faults", errorf(Invalid, "Faults",
+				"unknown Effect %q, want Outage, Slow, LostBefore, LostAfter or LostLate", i.Effect))
 			return
 		}
 	}
@@ -131,7 +135,7 @@
 	writeJSON(w, q)
 }
 
-// decodeBody reads a request's JSON, or refuses it.
+// decodeBody decodes the JSON body of a request. On failure it writes an Invalid error and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	data, err := readAll(r.Body, MaxValueSize)
 	if err == nil {
@@ -144,13 +148,13 @@
 	return true
 }
 
-// writeJSON answers with JSON.
+// writeJSON responds with v as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// writeError answers with the error, or with silence where the injected fault is a lost reply.
+// writeError responds with the error, or aborts the response if the fault is Unknown: an injected loss of the reply.
 func writeError(w http.ResponseWriter, key Key, err error) {
 	e := &Error{Fault: FaultOf(err), Key: key, Detail: err.Error()}
 	var typed *Error
@@ -182,14 +186,14 @@
 	}
 }
 
-// readAll reads at most limit bytes and fails on more.
+// readAll reads until EOF. It fails if there are more than limit bytes.
 func readAll(r io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("over %d bytes", limit)
+		return nil, fmt.Errorf("body exceeds %d bytes", limit)
 	}
 	return data, nil
 }
--- a/paplatform/store.go
+++ b/paplatform/store.go
@@ -5,70 +5,70 @@
 	"time"
 )
 
-// MaxValueSize is the most bytes that the platform's store takes as one value.
+// MaxValueSize is the maximum size of a value in the platform's store, in bytes.
 const MaxValueSize = 1 << 20
 
-// Key names a value; its parts are separated by slashes.
+// Key is the name of a value. Its parts are separated by slashes.
 type Key string
 
-// Revision identifies one write of the store; it rises with each, and 0 means absent.
+// Revision identifies one write to the store and increases with each write. 0 is the revision of an absent key.
 type Revision uint64
 
-// LeaseID identifies a lease; the empty ID is no lease.
+// LeaseID identifies a lease. The empty ID means no lease.
 type LeaseID string
 
-// Value is what the store holds under a key.
+// Value is the value of a key, with its metadata.
 type Value struct {
 	Key      Key
 	Data     []byte
 	Revision Revision
-	// Created is the revision of the write that created the key, which is later than a removal before it; 0 is not known.
+	// Created is the revision of the write that created the key, after its last deletion if any; 0 if unknown.
 	Created Revision
-	// Lease is the lease whose end deletes the value, if any.
+	// Lease is the lease to which the value is bound, if any: the value is deleted when it ends.
 	Lease LeaseID
 }
 
-// Change is the latest state of one key since the revision a watch began from.
+// Change is the latest state of a key that has changed since the revision that a watch started from.
 type Change struct {
 	Value
-	// Deleted says that the key is gone; Data is empty then.
+	// Deleted is set if the key was deleted. Data is empty then.
 	Deleted bool
 }
 
 // WatchRequest asks for changes after a revision.
 type WatchRequest struct {
 	Key Key
-	// Prefix widens the watch to all keys that begin with Key.
+	// Prefix extends the watch to all keys with the prefix Key.
 	Prefix bool
-	// After is the revision of the latest known state; 0 asks for everything that exists.
+	// After is the revision of the latest known state. 0 asks for all existing values.
 	After Revision
-	// Wait bounds how long the call stays open without a change; 0 returns at once.
+	// Wait is how long to wait for a change. 0 returns immediately.
 	Wait time.Duration
 }
 
-// WatchReply is the answer to a watch; Changes is empty when the wait ended first.
+// WatchReply is the result of a watch. Changes is empty if the wait ended without a change.
 type WatchReply struct {
-	// Changes are in the order of their revisions.
+	// Changes are in revision order.
 	Changes []Change
-	// Revision is the store's revision at the answer: the After of the next watch.
+	// Revision is the store's revision at the time of the reply, to be used as After of the next watch.
 	Revision Revision
 }
 
-// Store is the platform's key-value service. Its errors carry a Fault, which FaultOf returns.
+// Store is the platform's key-value store. FaultOf returns the Fault of its errors.
 type Store interface {
-	// Get returns the value of a key and whether it exists.
+	// Get returns the value of a key and whether the key exists.
 	Get(ctx context.Context, key Key) (Value, bool, error)
-	// CompareAndSwap writes data if the key is at the expected revision, 0 for an absent key.
-	// It fails with Conflict, TooLarge, LeaseLapsed, Unavailable (no effect) or Unknown.
+	// CompareAndSwap writes data, bound to the lease if there is one, if the key is at the expected revision (0 for an
+	// absent key), and returns the new revision. It fails with Conflict, TooLarge, LeaseLapsed, Unavailable (no effect) or Unknown.
 	CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, lease LeaseID) (Revision, error)
-	// Delete removes the key if it is at the expected revision; it fails as CompareAndSwap does.
+	// Delete deletes the key if it is at the expected revision. It fails like CompareAndSwap.
 	Delete(ctx context.Context, key Key, expected Revision) error
-	// Watch waits for changes; a waiting watch counts as one call.
+	// Watch waits for changes. It counts as one call, however long it waits.
 	Watch(ctx context.Context, r WatchRequest) (WatchReply, error)
-	// GrantLease begins a lease that ends unless it is renewed within ttl.
+	// GrantLease starts a lease that expires unless it is renewed within ttl.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// RenewLease starts the lease's time anew, or fails with LeaseLapsed.
+	// RenewLease restarts the lease's ttl. It fails with LeaseLapsed if the lease has expired.
 	RenewLease(ctx context.Context, id LeaseID) error
-	// RevokeLease ends a lease and deletes its values; a lapsed lease is no error.
+	// RevokeLease ends a lease and deletes its values. It is no error if the lease has already expired.
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
--- a/paplatform/vm.go
+++ b/paplatform/vm.go
@@ -5,51 +5,51 @@
 	"net/netip"
 )
 
-// VMKind says what runs on a VM.
+// VMKind is the kind of process that runs on a VM.
 type VMKind string
 
 // The kinds of VM.
 const (
-	// Entry is a VM that runs the daemon.
+	// Entry is a VM that runs the papayahead daemon.
 	Entry VMKind = "Entry"
 	// Target is a VM that runs a service.
 	Target VMKind = "Target"
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k VMKind) String() string { return string(k) }
 
-// VMState says whether the platform is about to take a VM away.
+// VMState tells whether the platform is about to remove a VM.
 type VMState string
 
-// The states of a VM; one that is gone is not listed.
+// The states of a VM. A removed VM isn't listed.
 const (
-	// Live is a VM that stays.
+	// Live is the state of a VM that is not about to be removed.
 	Live VMState = "Live"
-	// Leaving is a VM that must get no new work.
+	// Leaving is the state of a VM that is about to be removed and must not get new requests.
 	Leaving VMState = "Leaving"
 )
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s VMState) String() string { return string(s) }
 
-// VM is one entry of the platform's list.
+// VM is a VM in the platform's list.
 type VM struct {
 	Name  string
 	Kind  VMKind
 	Zone  string
 	State VMState
-	// CallerAddress is where an entry VM takes callers' requests.
+	// CallerAddress is the address of an entry VM for clients' requests.
 	CallerAddress netip.AddrPort
-	// PeerAddress is where an entry VM takes other entry VMs' calls.
+	// PeerAddress is the address of an entry VM for calls from other entry VMs.
 	PeerAddress netip.AddrPort
-	// ServiceAddress is where a target VM takes requests.
+	// ServiceAddress is the address of a target VM for requests.
 	ServiceAddress netip.AddrPort
 }
 
-// VMList is the platform's list of live and leaving VMs. It lags: a VM may be listed after it died
-// and be missing after it started.
+// VMList is the platform's list of live and leaving VMs. It lags: a VM may still be listed after it has failed,
+// and be missing after it has started.
 type VMList interface {
-	// List returns all VMs in the order of their names; it fails with Unavailable.
+	// List returns all VMs, sorted by name. It fails with Unavailable.
 	List(ctx context.Context) ([]VM, error)
 }
--- a/paplatform/vm_list_client.go
+++ b/paplatform/vm_list_client.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// listTimeout bounds a call for the VM list; whoever asks comes back by itself.
+// listTimeout limits a request for the VM list. The caller polls the list and so retries by itself.
 const listTimeout = 3 * time.Second
 
-// maxListBytes bounds the VM list, in bytes: a few thousand VMs of a few hundred bytes.
+// maxListBytes limits the size of the VM list, which has a few thousand VMs of a few hundred bytes each.
 const maxListBytes = 64 << 20
 
-// VMListClient is a VMList over HTTP.
+// VMListClient is the HTTP client of a VMList.
 type VMListClient struct {
-	// Base is the list's address, such as http://127.0.0.1:7000.
+	// Base is the base URL of the VM list service, such as http://127.0.0.1:7000.
 	Base string
 	// Transport carries the requests; nil is http.DefaultTransport.
 	Transport http.RoundTripper
@@ -42,14 +42,14 @@
 	defer w.Body.Close()
 	body, err := readAll(w.Body, maxListBytes)
 	if err != nil {
-		return nil, errorf(Unavailable, "Machines", "reply: %v", err)
+		return nil, errorf(Unavailable, "Machines", "reading the reply: %v", err)
 	}
 	if w.StatusCode != http.StatusOK {
-		return nil, errorf(Unavailable, "Machines", "status %d", w.StatusCode)
+		return nil, errorf(Unavailable, "Machines", "HTTP status %d", w.StatusCode)
 	}
 	var all []VM
 	if err := json.Unmarshal(body, &all); err != nil {
-		return nil, errorf(Unavailable, "Machines", "reply: %v", err)
+		return nil, errorf(Unavailable, "Machines", "decoding the reply: %v", err)
 	}
 	return all, nil
 }
--- a/paplatform/vm_list_client_test.go
+++ b/paplatform/vm_list_client_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestListClientSeesTheListAsItLags(t *testing.T) {
+func TestVMListClientReportsLagAndOutage(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	clock := clockwork.NewRealClock()
