--- a/paplatform/store.go
+++ b/paplatform/store.go
@@ -59,7 +59,8 @@
 	// Get returns the value of a key and whether the key exists.
 	Get(ctx context.Context, key Key) (Value, bool, error)
 	// CompareAndSwap writes data, bound to the lease if there is one, if the key is at the expected revision (0 for an
-	// absent key), and returns the new revision. It fails with Conflict, TooLarge, LeaseLapsed, Unavailable (no effect) or Unknown.
+	// absent key), and returns the new revision. It fails with Conflict, TooLarge, LeaseLapsed, Unavailable (no effect) or
+	// Unknown.
 	CompareAndSwap(ctx context.Context, key Key, expected Revision, data []byte, lease LeaseID) (Revision, error)
 	// Delete deletes the key if it is at the expected revision. It fails like CompareAndSwap.
 	Delete(ctx context.Context, key Key, expected Revision) error
