--- a/pasteer/turn_test.go
+++ b/pasteer/turn_test.go
@@ -10,21 +10,21 @@
 
 // anywhere is a route whose requests have no object.
 var anywhere = &paroute.Route{
-	Name: "r", Parts: []paroute.Part{{Service: "s", Weight: 1}}, Idempotent: true,
+	Name: "r", Parts: []paroute.WeightedService{{Service: "s", Weight: 1}}, Idempotent: true,
 	TargetLatency: 600 * time.Millisecond, Timeout: 3 * time.Second, MaxAttempts: 2,
 }
 
 // Guards against targets of the own availability zone that get nothing while one before them in the list has room.
 func TestRequestsWithoutObjectUseAllTargetsOfTheZone(t *testing.T) {
 	for _, perZone := range []int{2, 4, 8, 12, 40} {
-		s := newSteer("a1", fleet(perZone))
+		s := newBalancer("a1", fleet(perZone))
 		got := map[string]int{}
 		for i := range 20 * perZone {
 			now := begin.Add(time.Duration(i) * time.Second)
 			q := Request{Route: anywhere, Service: "s", Deadline: now.Add(3 * time.Second)}
 			c := s.Choose(q, now)
 			s.Start(c, q, now)
-			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Took: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
+			s.Finish(Report{Target: c.Target, Route: "r", Outcome: Answered, Duration: 300 * time.Millisecond}, now.Add(300*time.Millisecond))
 			got[c.Target]++
 		}
 		for i := range perZone {
