--- a/pasteer/newcomer_test.go
+++ b/pasteer/newcomer_test.go
@@ -15,9 +15,9 @@
 	v := fleet(2)
 	for i := range 12 {
 		e := pafleet.Entry{Name: fmt.Sprint("more-", i), Zone: "a1", Region: "a", Revision: pafleet.Revision(1000 + i)}
-		v.Apply(pafleet.EntrySaid{Entry: e}, begin)
+		v.Apply(pafleet.EntryUpdated{Entry: e}, begin)
 	}
-	var all []*Steer
+	var all []*Balancer
 	for name, e := range v.Entries {
 		if e.Region != "a" {
 			continue
@@ -28,13 +28,13 @@
 			q := request(fmt.Sprint("object-", i), begin)
 			c := s.Choose(q, begin)
 			s.Start(c, q, begin)
-			s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Took: time.Second}, begin)
+			s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: time.Second}, begin)
 		}
 		all = append(all, s)
 	}
 	joined := begin.Add(5 * time.Second)
 	for i := range 10 {
-		v.Apply(pafleet.TargetSaid{Target: pafleet.Target{
+		v.Apply(pafleet.TargetUpdated{Target: pafleet.Target{
 			ID: fmt.Sprint("new-", i), Service: "s", Zone: "a1", Slots: 3, Born: 1, Sequence: 1, Revision: pafleet.Revision(2000 + i),
 			Address: netip.MustParseAddrPort("10.0.0.2:80"),
 		}}, joined)
@@ -49,7 +49,7 @@
 			q := request(fmt.Sprint("object-", (tick*7+k)%100), now)
 			if c := s.Choose(q, now); c.Target != "" {
 				s.Start(c, q, now)
-				s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Took: 300 * time.Millisecond, Warm: c.Warm}, now)
+				s.Finish(Report{Target: c.Target, Route: "r", Object: q.Object, Outcome: Answered, Duration: 300 * time.Millisecond, Warm: c.Warm}, now)
 				if !c.Warm && len(c.Target) > 3 && c.Target[:3] == "new" {
 					sent[c.Target]++
 				}
