--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -145,7 +145,7 @@
 		reports:  map[pabundle.EntryName]report{},
 		changed:  true,
 	}
-	k.owner = paowner.New(paowner.Config{Elsewhere: k, Rand: fork(c.Random)})
+	k.owner = paowner.New(paowner.Config{Candidates: k, Rand: fork(c.Random)})
 	k.prepareLimits()
 	// Guards against a peer that knew this entry VM's predecessor and speaks before the first VM list
 	// was read: every step finds a view, if one of this entry VM alone.
@@ -266,7 +266,7 @@
 	k.leaving[t] = true
 	if k.owned[t] {
 		k.note(paevent.TargetLeaving{Target: string(t), Source: source})
-		k.decisions = k.owner.Leaving(now, t, k.decisions)
+		k.decisions = k.owner.MarkLeaving(now, t, k.decisions)
 	}
 }
 
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -69,7 +69,7 @@
 		return
 	}
 	v := k.member.View(now)
-	var mine []paowner.Owned
+	var mine []paowner.OwnedTarget
 	owned := map[pabundle.TargetName]bool{}
 	for i := range k.bundle.Services {
 		s := &k.bundle.Services[i]
@@ -95,9 +95,9 @@
 
 // take describes a target for its owner. One that is new here is taken as orphaned: what its
 // former owner, or this VM's former process, sent to it may still run.
-func (k *Control) take(s *pabundle.Service, t pabundle.Target) paowner.Owned {
+func (k *Control) take(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
 	t.Slots = k.index.slots[t.Name]
-	return paowner.Owned{
+	return paowner.OwnedTarget{
 		Target: t, Service: s.Name, Connections: k.connections(t),
 		Join: patarget.Orphaned, Leaving: k.leaving[t.Name],
 	}
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -88,7 +88,7 @@
 // when neighbours or the store answer.
 const noBundleComeBack = 2 * time.Second
 
-// Candidates implements paowner.Elsewhere with the other owners of the region.
+// Candidates implements paowner.CandidateSource with the other owners of the region.
 func (k *Control) Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate {
 	n, ok := k.index.services[s]
 	if !ok || k.view == nil {
@@ -131,21 +131,21 @@
 			k.sending(v.Request)
 			k.effects = append(k.effects, k.forward(v))
 		case paowner.Refuse:
-			k.refuse(v.Request, v.Reason.String(), v.ComeBack)
+			k.refuse(v.Request, v.Reason.String(), v.RetryAfter)
 		case paowner.Fail:
 			k.effects = append(k.effects, Fail{Request: v.Request, Outcome: v.Outcome})
 		case paowner.Probe:
 			k.effects = append(k.effects, Probe{Target: v.Target, Address: k.index.targets[v.Target].Address})
 		case paowner.CloseConnections:
 			k.effects = append(k.effects, CloseConnections{Address: k.index.targets[v.Target].Address})
-		case paowner.Changed:
+		case paowner.PhaseChanged:
 			k.note(paevent.TargetChanged{Subject: k.serviceOf(v.Target), Target: string(v.Target), Phase: v.Phase.String()})
 		}
 	}
 }
 
 func (k *Control) forward(v paowner.Forward) Forward {
-	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, Patience: v.Patience}
+	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, Patience: v.MaxWait}
 	if m, ok := k.view.Find(v.Entry); ok {
 		f.Address = m.PeerAddress
 		f.Incarnation = uint64(m.Incarnation)
--- a/pacontrol/remote.go
+++ b/pacontrol/remote.go
@@ -169,7 +169,7 @@
 	}
 	f.running = false
 	notRun := v.Result.Outcome.DidNotRun()
-	if notRun && v.Result.ComeBack == 0 {
+	if notRun && v.Result.RetryAfter == 0 {
 		// The peer is gone, restarted or takes the credit for void: so are its other ones.
 		k.holder.Void(f.entry)
 		k.note(paevent.CreditsVoided{Granter: string(f.entry), Reason: "its call was lost or its credit void"})
@@ -182,7 +182,7 @@
 		k.tryRemote(now, v.Request)
 	case notRun:
 		delete(k.remotes, v.Request)
-		k.refuse(v.Request, paowner.Attempts.String(), max(v.Result.ComeBack, k.jitter(remoteComeBack)))
+		k.refuse(v.Request, paowner.Attempts.String(), max(v.Result.RetryAfter, k.jitter(remoteComeBack)))
 	default:
 		delete(k.remotes, v.Request)
 		k.effects = append(k.effects, Fail{Request: v.Request, Outcome: v.Result.Outcome})
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -96,7 +96,7 @@
 	o := pacontrol.Offered{
 		Request: paowner.Request{
 			ID: id, Service: r.Service, Deadline: r.Deadline, Idempotent: r.Idempotent,
-			Bytes: max(0, r.Size), Patience: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
+			Bytes: max(0, r.Size), MaxWait: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
 		},
 		// The caller's own identity may come twice; this one names this copy alone.
 		Identity:  d.copyID(id),
@@ -202,7 +202,7 @@
 
 // ended tells the control state how an attempt ended.
 func ended(attempt int, r paproxy.Result) paowner.Result {
-	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, ComeBack: r.ComeBack}
+	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, RetryAfter: r.ComeBack}
 }
 
 // firstServerError is the least HTTP status by which a target says that it failed.
--- a/paowner/bench_test.go
+++ b/paowner/bench_test.go
@@ -23,7 +23,7 @@
 func benchmarkOwner(b *testing.B, queued int) {
 	now := time.Unix(1_000_000, 0)
 	o := paowner.New(paowner.Config{Services: services(), Rand: rand.New(rand.NewPCG(1, 2))})
-	var all []paowner.Owned
+	var all []paowner.OwnedTarget
 	for n := range 8 {
 		all = append(all, owned("deposits", 3*n+2, patarget.Warm))
 	}
--- a/paowner/command.go
+++ b/paowner/command.go
@@ -29,7 +29,7 @@
 
 // SetTargets says which targets the entry VM owns from now on. A target that is no longer among
 // them gets no new work; what runs there goes on.
-func (o *Owner) SetTargets(now time.Time, owned []Owned, into []Decision) []Decision {
+func (o *Owner) SetTargets(now time.Time, owned []OwnedTarget, into []Decision) []Decision {
 	keep := map[pabundle.TargetName]bool{}
 	for _, w := range owned {
 		keep[w.Target.Name] = true
@@ -50,7 +50,7 @@
 	return into
 }
 
-func (o *Owner) own(now time.Time, w Owned) {
+func (o *Owner) own(now time.Time, w OwnedTarget) {
 	s := o.services[w.Service]
 	if s == nil {
 		return
@@ -92,9 +92,9 @@
 	}
 }
 
-// Leaving says that a target is about to stop, by the VM list or by observation; it gets no new
+// MarkLeaving says that a target is about to stop, by the VM list or by observation; it gets no new
 // work from here on. What waits is not bound to a target, so that it goes to the others.
-func (o *Owner) Leaving(now time.Time, name pabundle.TargetName, into []Decision) []Decision {
+func (o *Owner) MarkLeaving(now time.Time, name pabundle.TargetName, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
 		return into
@@ -123,8 +123,8 @@
 	return o.pump(now, t.service, into)
 }
 
-// SetRoom says how much the entry VM itself can hold.
-func (o *Owner) SetRoom(r Room) { o.room = r }
+// SetLimits says how much the entry VM itself can hold.
+func (o *Owner) SetLimits(r Limits) { o.room = r }
 
 // Stop refuses every new request from here on; what is held goes on to its end.
 func (o *Owner) Stop() { o.stopping = true }
--- a/paowner/constants.go
+++ b/paowner/constants.go
@@ -7,8 +7,8 @@
 	// over at random. Harm of less: slots idle between arrivals; of more: each answer waits longer
 	// and gains nothing.
 	StandingRuns = 1.0
-	// LeastStanding keeps the standing wait above the noise of timers for very short work.
-	LeastStanding = 5 * time.Millisecond
+	// MinStandingWait keeps the standing wait above the noise of timers for very short work.
+	MinStandingWait = 5 * time.Millisecond
 	// Deviations is how many mean deviations above the mean a run has to fit before the deadline.
 	// Load: saturation, where waits reach up to the deadline. Harm of less: answers that come late;
 	// of more: refusals of work that would have been in time.
@@ -18,16 +18,16 @@
 	// seconds of silence. Harm of less: long runs overlap with new ones; of more: half a region's
 	// slots stand idle although nothing runs there.
 	TakeoverRuns = 5
-	// TakeoverLeast keeps the wait above the time that a closed connection takes to be noticed.
-	TakeoverLeast = 250 * time.Millisecond
-	// ComeBackLeast and ComeBackMost bound the time to come back. Harm of less: a refused caller
+	// MinTakeover keeps the wait above the time that a closed connection takes to be noticed.
+	MinTakeover = 250 * time.Millisecond
+	// MinRetryAfter and MaxRetryAfter bound the time to come back. Harm of less: a refused caller
 	// returns to the same backlog; of more: capacity that is free again stands unused.
-	ComeBackLeast = 50 * time.Millisecond
-	// ComeBackMost bounds the time to come back from above.
-	ComeBackMost = 10 * time.Second
-	// ComeBackJitter is the random part of the time to come back, as a fraction added to it. Load:
+	MinRetryAfter = 50 * time.Millisecond
+	// MaxRetryAfter bounds the time to come back from above.
+	MaxRetryAfter = 10 * time.Second
+	// RetryAfterJitter is the random part of the time to come back, as a fraction added to it. Load:
 	// hundreds of callers refused in one burst. Harm prevented: they return as one burst.
-	ComeBackJitter = 0.5
+	RetryAfterJitter = 0.5
 	// MaxAttempts bounds the attempts at one request, whatever the budget. Load: a service whose
 	// targets all fail. Harm prevented: each request costs as many runs as there are targets.
 	MaxAttempts = 3
--- a/paowner/decision.go
+++ b/paowner/decision.go
@@ -25,16 +25,16 @@
 	Region  pabundle.RegionName
 	// Attempt numbers the attempts at this owner, from 1.
 	Attempt int
-	// Patience goes with the request: the wait here, which the other owner has to undercut.
-	Patience time.Duration
+	// MaxWait goes with the request: the wait here, which the other owner has to undercut.
+	MaxWait time.Duration
 }
 
 // Refuse is the final answer to a request that did not run.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
-	// ComeBack is how long the caller should wait before it tries again.
-	ComeBack time.Duration
+	// RetryAfter is how long the caller should wait before it tries again.
+	RetryAfter time.Duration
 }
 
 // Fail is the final answer to a request that may have run.
@@ -49,13 +49,13 @@
 // CloseConnections closes the connections to a target that carry no request.
 type CloseConnections struct{ Target pabundle.TargetName }
 
-// Changed says that a target went into another phase, for the time line; nothing has to be done.
-type Changed struct {
+// PhaseChanged says that a target went into another phase, for the time line; nothing has to be done.
+type PhaseChanged struct {
 	Target pabundle.TargetName
 	Phase  patarget.Phase
 }
 
-func (Changed) decision()          {}
+func (PhaseChanged) decision()     {}
 func (Start) decision()            {}
 func (Forward) decision()          {}
 func (Refuse) decision()           {}
--- a/paowner/finish.go
+++ b/paowner/finish.go
@@ -28,7 +28,7 @@
 	case s == nil && res.Outcome.DidNotRun():
 		// A new bundle has no such service any more: there is nowhere to try again.
 		o.forget(f)
-		into = append(into, Refuse{Request: id, Reason: NoService, ComeBack: ComeBackMost})
+		into = append(into, Refuse{Request: id, Reason: NoService, RetryAfter: MaxRetryAfter})
 	case s == nil:
 		o.forget(f)
 		into = append(into, Fail{Request: id, Outcome: res.Outcome})
@@ -99,7 +99,7 @@
 // probe appends a probe when the target needs one and nothing waits for the slot that it takes:
 // live traffic stands in for a probe. A silent connection is judged at once.
 func (o *Owner) probe(now time.Time, t *target, into []Decision) []Decision {
-	if !t.NeedsProbe(now) || !t.Doubted() && t.service.queue.Length() > 0 {
+	if !t.NeedsProbe(now) || !t.Doubted() && t.service.queue.Len() > 0 {
 		return into
 	}
 	t.BeginProbe()
--- a/paowner/fuzz_test.go
+++ b/paowner/fuzz_test.go
@@ -39,7 +39,7 @@
 	slots   map[pabundle.TargetName]int
 	probing map[pabundle.TargetName]bool
 	leaving map[pabundle.TargetName]bool
-	owned   []paowner.Owned
+	owned   []paowner.OwnedTarget
 	room    []paplacement.Candidate
 	// services is how many of services are configured.
 	services int
@@ -66,8 +66,8 @@
 			if h := o.waiting(d.Request); h.touched && !h.request.Idempotent {
 				o.t.Fatalf("request %d may have run and was refused as not run", d.Request)
 			}
-			if d.ComeBack <= 0 || d.ComeBack > 2*paowner.ComeBackMost {
-				o.t.Fatalf("time to come back: %v", d.ComeBack)
+			if d.RetryAfter <= 0 || d.RetryAfter > 2*paowner.MaxRetryAfter {
+				o.t.Fatalf("time to come back: %v", d.RetryAfter)
 			}
 			delete(o.held, d.Request)
 		case paowner.Fail:
@@ -184,7 +184,7 @@
 	}
 }
 
-func (o *oracle) set(owned []paowner.Owned) {
+func (o *oracle) set(owned []paowner.OwnedTarget) {
 	had := map[pabundle.TargetName]bool{}
 	for _, w := range o.owned {
 		had[w.Target.Name] = true
@@ -199,7 +199,7 @@
 		if !had[n] && w.Join == patarget.Orphaned {
 			// The former owner's work: all slots, for the least time that a new owner waits.
 			for range w.Target.Slots - o.running[n] {
-				o.lost[n] = append(o.lost[n], o.now.Add(paowner.TakeoverLeast-1))
+				o.lost[n] = append(o.lost[n], o.now.Add(paowner.MinTakeover-1))
 			}
 		}
 	}
@@ -225,9 +225,9 @@
 
 func flying(h *held) bool { return h.target != "" || h.entry != "" }
 
-func owned(service pabundle.ServiceName, n int, j patarget.Join) paowner.Owned {
+func owned(service pabundle.ServiceName, n int, j patarget.Join) paowner.OwnedTarget {
 	t := pabundle.Target{Name: pabundle.TargetName(fmt.Sprintf("%s-%d", service, n)), Slots: 1 + n%3}
-	return paowner.Owned{Target: t, Service: service, Connections: 40, Join: j}
+	return paowner.OwnedTarget{Target: t, Service: service, Connections: 40, Join: j}
 }
 
 func services() []pabundle.Service {
@@ -249,12 +249,12 @@
 			lost: map[pabundle.TargetName][]time.Time{}, services: 2,
 		}
 		o.owner = paowner.New(paowner.Config{
-			Services: services(), Elsewhere: o, QueueLimit: 4, Rand: rand.New(rand.NewPCG(1, 2)),
+			Services: services(), Candidates: o, QueueLimit: 4, Rand: rand.New(rand.NewPCG(1, 2)),
 			Order:  paqueue.Order(rapid.IntRange(0, 1).Draw(t, "order")),
 			Policy: pabundle.Policy{First: rapid.SampledFrom([]pabundle.Preference{pabundle.HeadroomFirst, pabundle.LatencyFirst}).Draw(t, "first"), Reserve: 0.1},
 		})
-		o.owner.SetRoom(paowner.Room{Requests: roomForRequests})
-		var all []paowner.Owned
+		o.owner.SetLimits(paowner.Limits{Requests: roomForRequests})
+		var all []paowner.OwnedTarget
 		for n := range 3 {
 			for _, s := range []pabundle.ServiceName{"deposits", "archive"} {
 				w := owned(s, n, patarget.Join(n))
@@ -268,7 +268,7 @@
 	})
 }
 
-func (o *oracle) actions(all []paowner.Owned) map[string]func(*rapid.T) {
+func (o *oracle) actions(all []paowner.OwnedTarget) map[string]func(*rapid.T) {
 	name := func(t *rapid.T) pabundle.TargetName {
 		return all[rapid.IntRange(0, len(all)-1).Draw(t, "target")].Target.Name
 	}
@@ -328,7 +328,7 @@
 		"Leaving": func(t *rapid.T) {
 			n := name(t)
 			o.leaving[n] = true
-			o.check(o.owner.Leaving(o.now, n, nil))
+			o.check(o.owner.MarkLeaving(o.now, n, nil))
 		},
 		"Report": func(t *rapid.T) {
 			n := name(t)
@@ -342,7 +342,7 @@
 			o.set(nil)
 		},
 		"Own": func(t *rapid.T) {
-			var some []paowner.Owned
+			var some []paowner.OwnedTarget
 			for _, w := range all {
 				if rapid.IntRange(0, 3).Draw(t, "keep") > 0 && (o.services == 2 || w.Service == services()[0].Name) {
 					w.Leaving = o.leaving[w.Target.Name] && rapid.Bool().Draw(t, "left")
@@ -359,12 +359,12 @@
 			}}
 		},
 		"": func(t *rapid.T) {
-			if len(o.held) != o.owner.Held() {
-				t.Fatalf("the oracle holds %d requests, the owner %d", len(o.held), o.owner.Held())
+			if len(o.held) != o.owner.ActiveRequests() {
+				t.Fatalf("the oracle holds %d requests, the owner %d", len(o.held), o.owner.ActiveRequests())
 			}
 			o.noneWaitsForNothing()
-			if o.owner.Held() > roomForRequests {
-				t.Fatalf("%d requests are held with room for %d", o.owner.Held(), roomForRequests)
+			if o.owner.ActiveRequests() > roomForRequests {
+				t.Fatalf("%d requests are held with room for %d", o.owner.ActiveRequests(), roomForRequests)
 			}
 		},
 	}
@@ -395,7 +395,7 @@
 		}
 		o.tick(10 * time.Second)
 	}
-	if o.owner.Held() != 0 {
-		t.Fatalf("%d requests never ended", o.owner.Held())
+	if o.owner.ActiveRequests() != 0 {
+		t.Fatalf("%d requests never ended", o.owner.ActiveRequests())
 	}
 }
--- a/paowner/offer.go
+++ b/paowner/offer.go
@@ -16,7 +16,7 @@
 	}
 	s := o.services[r.Service]
 	if s == nil {
-		return append(into, Refuse{Request: r.ID, Reason: NoService, ComeBack: ComeBackMost})
+		return append(into, Refuse{Request: r.ID, Reason: NoService, RetryAfter: MaxRetryAfter})
 	}
 	switch {
 	case o.stopping:
@@ -41,7 +41,7 @@
 		return o.end(now, s, f, DeadlineTooNear, 0, into)
 	}
 	slots := s.slots(now)
-	if slots > 0 && s.queue.Length() == 0 && s.room(now) > 0 {
+	if slots > 0 && s.queue.Len() == 0 && s.room(now) > 0 {
 		if c, ok := o.spread(now, s, f); ok {
 			return o.forward(now, s, f, c, 0, into)
 		}
@@ -57,10 +57,10 @@
 	}
 	// Load: demand above capacity. Harm prevented: a request waits until its deadline and is then
 	// refused, when its caller has no time left. So it is refused now, on the predicted wait.
-	if r.Patience > 0 && wait > r.Patience {
+	if r.MaxWait > 0 && wait > r.MaxWait {
 		return o.end(now, s, f, WaitTooLong, wait, into)
 	}
-	if bound := s.queue.Bound(now, f.item()); wait > bound {
+	if bound := s.queue.MaxWait(now, f.item()); wait > bound {
 		return o.end(now, s, f, s.reason(), wait, into)
 	}
 	return o.enqueue(now, s, f, into)
@@ -73,16 +73,16 @@
 // prevented: the targets of the other owners get nothing for hours; nobody knows whether they answer,
 // and the first burst finds them cold.
 func (o *Owner) spread(now time.Time, s *service, f *flight) (paplacement.Candidate, bool) {
-	if f.request.Origin != Caller || f.attempt > 0 || o.config.Elsewhere == nil {
+	if f.request.Origin != Caller || f.attempt > 0 || o.config.Candidates == nil {
 		return paplacement.Candidate{}, false
 	}
 	s.offers++
 	if s.offers%spreadEvery != 0 {
 		return paplacement.Candidate{}, false
 	}
-	o.candidates = o.config.Elsewhere.Candidates(now, f.request.Service, o.candidates[:0])
+	o.candidates = o.config.Candidates.Candidates(now, f.request.Service, o.candidates[:0])
 	idle := slices.DeleteFunc(o.candidates, func(c paplacement.Candidate) bool {
-		return c.Distance != paplacement.SameRegion || c.Slots <= 0 || c.Free < c.Slots || c.Full || c.Age > paplacement.ReportAge
+		return c.Distance != paplacement.SameRegion || c.Slots <= 0 || c.Free < c.Slots || c.Full || c.Age > paplacement.MaxReportAge
 	})
 	if len(idle) == 0 {
 		return paplacement.Candidate{}, false
@@ -94,16 +94,16 @@
 // choose compares the own queue with the places elsewhere. A request that was forwarded here stays:
 // otherwise owners could pass it round.
 func (o *Owner) choose(now time.Time, s *service, f *flight, slots int, wait time.Duration) (paplacement.Candidate, bool) {
-	if f.request.Origin != Caller || o.config.Elsewhere == nil || f.bounced == paplacement.OtherRegion {
+	if f.request.Origin != Caller || o.config.Candidates == nil || f.bounced == paplacement.OtherRegion {
 		return paplacement.Candidate{}, false
 	}
 	o.candidates = o.candidates[:0]
-	if bound := s.queue.Bound(now, f.item()); wait <= bound {
-		own := paplacement.Candidate{Slots: slots, Wait: wait, Used: s.load(now)}
+	if bound := s.queue.MaxWait(now, f.item()); wait <= bound {
+		own := paplacement.Candidate{Slots: slots, Wait: wait, Utilization: s.load(now)}
 		o.candidates = append(o.candidates, own)
 	}
 	own := len(o.candidates)
-	o.candidates = o.config.Elsewhere.Candidates(now, f.request.Service, o.candidates)
+	o.candidates = o.config.Candidates.Candidates(now, f.request.Service, o.candidates)
 	// Equal ones take turns: the first in the list would get the overflow of every owner.
 	o.config.Rand.Shuffle(len(o.candidates)-own, func(i, j int) {
 		o.candidates[own+i], o.candidates[own+j] = o.candidates[own+j], o.candidates[own+i]
@@ -114,7 +114,7 @@
 			return c.Distance == paplacement.SameRegion
 		})
 	}
-	r := paplacement.Request{Left: f.request.Deadline.Sub(now), Run: f.high, Bytes: f.request.Bytes}
+	r := paplacement.Request{TimeLeft: f.request.Deadline.Sub(now), Run: f.high, Bytes: f.request.Bytes}
 	n := paplacement.Choose(o.config.Policy, r, o.candidates)
 	if n == paplacement.None {
 		return paplacement.Candidate{}, false
@@ -128,8 +128,8 @@
 // the request back at once, which costs one round trip within the region.
 func (o *Owner) forward(now time.Time, s *service, f *flight, c paplacement.Candidate, wait time.Duration, into []Decision) []Decision {
 	d := Forward{Request: f.request.ID, Entry: c.Entry, Region: c.Region, Attempt: f.attempt + 1}
-	if c.Distance == paplacement.SameRegion && s.slots(now) > 0 && wait <= s.queue.Bound(now, f.item()) {
-		d.Patience = max(wait, 1)
+	if c.Distance == paplacement.SameRegion && s.slots(now) > 0 && wait <= s.queue.MaxWait(now, f.item()) {
+		d.MaxWait = max(wait, 1)
 	}
 	f.attempt++
 	f.entry = c.Entry
@@ -153,7 +153,7 @@
 
 // pump starts what waits while targets have room, then shortens a queue that stands.
 func (o *Owner) pump(now time.Time, s *service, into []Decision) []Decision {
-	for s.queue.Length() > 0 {
+	for s.queue.Len() > 0 {
 		if i, ok := s.queue.Expire(now); ok {
 			into = o.drop(now, s, i, DeadlineTooNear, into)
 			continue
@@ -167,14 +167,14 @@
 	for _, t := range s.targets {
 		if t.Phase() != t.told {
 			t.told = t.Phase()
-			into = append(into, Changed{Target: t.name, Phase: t.told})
+			into = append(into, PhaseChanged{Target: t.name, Phase: t.told})
 		}
 	}
 	slots := s.slots(now)
 	if slots == 0 {
 		return o.placeAnew(now, s, into)
 	}
-	s.queue.Standing = s.standing()
+	s.queue.StandingWait = s.standing()
 	s.queue.Observe(now, slots)
 	for {
 		i, ok := s.queue.Shorten(slots)
@@ -191,7 +191,7 @@
 	for _, t := range s.targets {
 		o.options = append(o.options, t.option(now, f.tried))
 	}
-	t := s.targets[paplacement.Pick(o.options)]
+	t := s.targets[paplacement.PickTarget(o.options)]
 	t.Begin()
 	s.starts++
 	t.starts = s.starts
@@ -227,7 +227,7 @@
 		return o.place(now, s, f, into)
 	}
 	if notRun {
-		return o.end(now, s, f, Attempts, res.ComeBack, into)
+		return o.end(now, s, f, Attempts, res.RetryAfter, into)
 	}
 	o.forget(f)
 	return append(into, Fail{Request: f.request.ID, Outcome: res.Outcome})
@@ -236,7 +236,7 @@
 // drop refuses an item that the queue gave up.
 func (o *Owner) drop(now time.Time, s *service, i paqueue.Item, why Reason, into []Decision) []Decision {
 	f := o.flights[RequestID(i.ID)]
-	return o.end(now, s, f, why, s.queue.Backlog(s.slots(now)), into)
+	return o.end(now, s, f, why, s.queue.DrainTime(s.slots(now)), into)
 }
 
 // end refuses a request for good.
@@ -246,7 +246,7 @@
 }
 
 func (o *Owner) refuse(now time.Time, s *service, id RequestID, why Reason, wait time.Duration, into []Decision) []Decision {
-	return append(into, Refuse{Request: id, Reason: why, ComeBack: o.comeBack(now, s, wait)})
+	return append(into, Refuse{Request: id, Reason: why, RetryAfter: o.comeBack(now, s, wait)})
 }
 
 // comeBack books the refused caller behind the others that were refused, at the rate at which the
@@ -258,12 +258,12 @@
 	}
 	mean, _ := s.expectAny()
 	s.booked = s.booked.Add(mean / time.Duration(max(1, s.slots(now))))
-	if most := now.Add(ComeBackMost); s.booked.After(most) {
+	if most := now.Add(MaxRetryAfter); s.booked.After(most) {
 		s.booked = most
 	}
-	d := max(ComeBackLeast, wait, s.booked.Sub(now))
-	jitter := time.Duration(ComeBackJitter * o.config.Rand.Float64() * float64(d))
-	return min(d, ComeBackMost) + jitter
+	d := max(MinRetryAfter, wait, s.booked.Sub(now))
+	jitter := time.Duration(RetryAfterJitter * o.config.Rand.Float64() * float64(d))
+	return min(d, MaxRetryAfter) + jitter
 }
 
 func (o *Owner) newFlight(now time.Time, r Request) *flight {
--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -11,8 +11,8 @@
 	"papayahead/patarget"
 )
 
-// Elsewhere names the places outside this entry VM that could answer a request.
-type Elsewhere interface {
+// CandidateSource names the places outside this entry VM that could answer a request.
+type CandidateSource interface {
 	// Candidates appends the places for a service to a slice and returns it. A Forward to one of
 	// them has to be charged before the next call.
 	Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate
@@ -24,8 +24,8 @@
 	Policy pabundle.Policy
 	// Services are the services of the bundle; their Targets are not used.
 	Services []pabundle.Service
-	// Elsewhere may be nil: then only own targets are used.
-	Elsewhere Elsewhere
+	// Candidates may be nil: then only own targets are used.
+	Candidates CandidateSource
 	// Rand is the source of jitter and of random choices.
 	Rand *rand.Rand
 	// Order chooses the queue order; the zero value is the one that the measurements support.
@@ -49,8 +49,8 @@
 	Ramp, Takeover time.Duration
 }
 
-// Room is the entry VM's own room.
-type Room struct {
+// Limits is the entry VM's own room.
+type Limits struct {
 	// Requests is the most requests it holds at once, running, waiting and forwarded; zero means
 	// no bound.
 	Requests int
@@ -58,8 +58,8 @@
 	Bytes int64
 }
 
-// Owned is a target that this entry VM owns from now on.
-type Owned struct {
+// OwnedTarget is a target that this entry VM owns from now on.
+type OwnedTarget struct {
 	Target  pabundle.Target
 	Service pabundle.ServiceName
 	// Connections is this entry VM's part of Target.MaxConnections; zero means no bound.
@@ -82,7 +82,7 @@
 	flights map[RequestID]*flight
 	// unused are flights that ended, kept so that a request allocates nothing.
 	unused   []*flight
-	room     Room
+	room     Limits
 	bytes    int64
 	stopping bool
 	// scratch slices live between calls so that decisions allocate nothing.
--- a/paowner/query.go
+++ b/paowner/query.go
@@ -23,7 +23,7 @@
 // FreeSlots returns how many more requests of a service could start now, less for failing targets.
 func (o *Owner) FreeSlots(now time.Time, name pabundle.ServiceName) int {
 	s := o.services[name]
-	if s == nil || s.queue.Length() > 0 {
+	if s == nil || s.queue.Len() > 0 {
 		return 0
 	}
 	n := 0.0
@@ -47,7 +47,7 @@
 	if s == nil {
 		return true
 	}
-	return s.queue.Stands() && s.queue.Backlog(s.slots(now)) >= s.standing()
+	return s.queue.Standing() && s.queue.DrainTime(s.slots(now)) >= s.standing()
 }
 
 // InFlight returns how many requests of a service run at own targets, probes included.
@@ -82,8 +82,8 @@
 	return mean
 }
 
-// Held returns how many requests have been offered and not ended.
-func (o *Owner) Held() int { return len(o.flights) }
+// ActiveRequests returns how many requests have been offered and not ended.
+func (o *Owner) ActiveRequests() int { return len(o.flights) }
 
 // Phase returns the phase of an own target; ok is false for a target that is not owned.
 func (o *Owner) Phase(name pabundle.TargetName) (p patarget.Phase, ok bool) {
@@ -206,7 +206,7 @@
 	if slots == 0 {
 		return 1
 	}
-	busy := slots - s.room(now) + s.queue.Length()
+	busy := slots - s.room(now) + s.queue.Len()
 	return float64(busy) / float64(slots)
 }
 
@@ -217,11 +217,11 @@
 	if slots == 0 {
 		return 0
 	}
-	if s.queue.Length() == 0 && s.hasRoom(now) {
+	if s.queue.Len() == 0 && s.hasRoom(now) {
 		return 0
 	}
 	mean, _ := s.expectAny()
-	return (s.queue.Ahead(f.item())+mean)/time.Duration(slots) + s.opens(now)
+	return (s.queue.WorkAhead(f.item())+mean)/time.Duration(slots) + s.opens(now)
 }
 
 // opens is how long until a target has room again whose slots are all taken by work that is not
@@ -242,17 +242,17 @@
 	if s.tuning.Takeover > 0 {
 		return s.tuning.Takeover
 	}
-	return min(patarget.DefaultTakeover, max(TakeoverLeast, TakeoverRuns*s.typicalRun()))
+	return min(patarget.DefaultTakeover, max(MinTakeover, TakeoverRuns*s.typicalRun()))
 }
 
 // standing is the wait to which a queue that stands is shortened.
 func (s *service) standing() time.Duration {
 	mean, _ := s.expectAny()
-	return max(LeastStanding, time.Duration(s.tuning.StandingRuns*float64(mean)))
+	return max(MinStandingWait, time.Duration(s.tuning.StandingRuns*float64(mean)))
 }
 
 func (s *service) reason() Reason {
-	if s.queue.Stands() {
+	if s.queue.Standing() {
 		return QueueStands
 	}
 	return DeadlineTooNear
@@ -293,7 +293,7 @@
 
 // option is the target as a place for a request that failed at another or the same one before.
 func (t *target) option(now time.Time, tried *target) paplacement.Option {
-	p := paplacement.Option{Room: t.Room(now), Limit: t.Limit(now), Failures: t.Failures(), Starts: t.starts}
+	p := paplacement.Option{Room: t.Room(now), Limit: t.Limit(now), Failures: t.Failures(), LastStart: t.starts}
 	if t == tried {
 		// Another target first: this one has just failed the request.
 		p.Failures = 1
@@ -307,5 +307,5 @@
 	if s == nil {
 		return 0
 	}
-	return s.queue.Length()
+	return s.queue.Len()
 }
--- a/paowner/request.go
+++ b/paowner/request.go
@@ -56,8 +56,8 @@
 	Block uint32
 	// Bytes is the expected size of the request and its answer.
 	Bytes int64
-	// Patience is the longest wait that the owner who forwarded it accepts; zero means no bound.
-	Patience time.Duration
+	// MaxWait is the longest wait that the owner who forwarded it accepts; zero means no bound.
+	MaxWait time.Duration
 }
 
 // Result is the end of an attempt that a Start or Forward began.
@@ -68,6 +68,6 @@
 	Outcome patarget.Outcome
 	// Run is the time from sending to the end of the answer.
 	Run time.Duration
-	// ComeBack is the time to come back that another owner gave with NotRun; zero when none.
-	ComeBack time.Duration
+	// RetryAfter is the time to come back that another owner gave with NotRun; zero when none.
+	RetryAfter time.Duration
 }
--- a/paowner/spread_test.go
+++ b/paowner/spread_test.go
@@ -22,8 +22,8 @@
 func calm(t *testing.T, elsewhere neighbours, origin paowner.Origin, requests int) (targets map[pabundle.TargetName]int, owners map[pabundle.EntryName]int) {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
-	o := paowner.New(paowner.Config{Services: services(), Elsewhere: elsewhere, Rand: rand.New(rand.NewPCG(1, 2))})
-	o.SetTargets(now, []paowner.Owned{owned("deposits", 1, patarget.Warm), owned("deposits", 2, patarget.Warm)}, nil)
+	o := paowner.New(paowner.Config{Services: services(), Candidates: elsewhere, Rand: rand.New(rand.NewPCG(1, 2))})
+	o.SetTargets(now, []paowner.OwnedTarget{owned("deposits", 1, patarget.Warm), owned("deposits", 2, patarget.Warm)}, nil)
 	targets, owners = map[pabundle.TargetName]int{}, map[pabundle.EntryName]int{}
 	for i := range requests {
 		now = now.Add(100 * time.Millisecond)
@@ -34,7 +34,7 @@
 				targets[v.Target]++
 			case paowner.Forward:
 				owners[v.Entry]++
-				if v.Patience <= 0 {
+				if v.MaxWait <= 0 {
 					t.Errorf("a request goes to %s without a patience: it may wait there, and could run here", v.Entry)
 				}
 			}
--- a/paowner/target_test.go
+++ b/paowner/target_test.go
@@ -17,10 +17,10 @@
 	ids   paowner.RequestID
 }
 
-func newScene(t *testing.T, w paowner.Owned) *scene {
+func newScene(t *testing.T, w paowner.OwnedTarget) *scene {
 	s := &scene{t: t, now: time.Unix(1_000_000, 0)}
 	s.owner = paowner.New(paowner.Config{Services: services(), Rand: rand.New(rand.NewPCG(1, 2))})
-	s.owner.SetTargets(s.now, []paowner.Owned{w}, nil)
+	s.owner.SetTargets(s.now, []paowner.OwnedTarget{w}, nil)
 	return s
 }
 
--- a/paplacement/candidate.go
+++ b/paplacement/candidate.go
@@ -46,22 +46,22 @@
 	Age time.Duration
 	// Delay is the round trip to the owner.
 	Delay time.Duration
-	// Used is the part of the region's MaxInFlight that was in use, 0 to 1.
-	Used float64
+	// Utilization is the part of the region's MaxInFlight that was in use, 0 to 1.
+	Utilization float64
 	// Allowed says that the shift cap lets one more request go there. OtherRegion only.
 	Allowed bool
 	// Credits is the number of the destination's credits in hand. OtherRegion only.
 	Credits int
 	// LinkRoom is the number of bytes that the link takes now. OtherRegion only.
 	LinkRoom int64
-	// LinkUsed is the part of the link's capacity in use, 0 to 1. OtherRegion only.
-	LinkUsed float64
+	// LinkUtilization is the part of the link's capacity in use, 0 to 1. OtherRegion only.
+	LinkUtilization float64
 }
 
 // Request is what a choice depends on.
 type Request struct {
-	// Left is the time until the deadline, Run the predicted run time.
-	Left, Run time.Duration
+	// TimeLeft is the time until the deadline, Run the predicted run time.
+	TimeLeft, Run time.Duration
 	// Bytes is the expected size of the request and its answer.
 	Bytes int64
 }
--- a/paplacement/choose.go
+++ b/paplacement/choose.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// ReportAge is the age at which gossiped free slots count no more. Gossip comes about once a
+	// MaxReportAge is the age at which gossiped free slots count no more. Gossip comes about once a
 	// second and the slots turn over ten times in it: an older report says nothing about now.
-	ReportAge = 3 * time.Second
+	MaxReportAge = 3 * time.Second
 	// Margin is how much sooner another owner has to be before a request leaves this one. Load: two
 	// owners equally busy. Harm prevented: they hand each other work on the noise of predictions.
 	Margin = 2 * time.Millisecond
@@ -19,14 +19,14 @@
 	// region, where LatencyFirst leaves one. Harm of less: the policies do not differ; of more:
 	// work is refused that another region had room for.
 	HeadroomReserves = 2
-	// LongBytes is the size above which a request and its answer count as a long transfer: it takes
+	// LongTransferBytes is the size above which a request and its answer count as a long transfer: it takes
 	// 2 ms of the narrowest link, as much as the margin between two owners.
-	LongBytes = 64 << 10
-	// LongLink is the use of a link above which no more long transfers are sent over it. Load: restores
+	LongTransferBytes = 64 << 10
+	// MaxLongLinkUse is the use of a link above which no more long transfers are sent over it. Load: restores
 	// that fill a narrow link. Harm prevented: short requests find no room on it, or wait behind.
-	LongLink = 0.8
-	// HeadroomLongLink is the same for HeadroomFirst: half of a narrow link stays for short requests.
-	HeadroomLongLink = 0.5
+	MaxLongLinkUse = 0.8
+	// HeadroomMaxLongLinkUse is the same for HeadroomFirst: half of a narrow link stays for short requests.
+	HeadroomMaxLongLinkUse = 0.5
 	// HeadroomWeight is how many run times HeadroomFirst would rather wait than fill the last slot.
 	HeadroomWeight = 1.0
 )
@@ -41,7 +41,7 @@
 	var bestScore time.Duration
 	for i := range candidates {
 		c := &candidates[i]
-		if !Within(p, r, c) || Completion(r, c) > r.Left {
+		if !WithinLimits(p, r, c) || Completion(r, c) > r.TimeLeft {
 			continue
 		}
 		s := score(p, r, c)
@@ -52,11 +52,11 @@
 	return best
 }
 
-// Within says whether the limits allow a request at a candidate at all. Load: every source sees
+// WithinLimits says whether the limits allow a request at a candidate at all. Load: every source sees
 // the same free region at once. Harm prevented: together they overload it, or fill the link to it.
 // Each limit is exact at its sender: a credit is a slot that the destination set aside.
-func Within(p pabundle.Policy, r Request, c *Candidate) bool {
-	if c.Slots <= 0 || c.Full && c.Age <= ReportAge {
+func WithinLimits(p pabundle.Policy, r Request, c *Candidate) bool {
+	if c.Slots <= 0 || c.Full && c.Age <= MaxReportAge {
 		return false
 	}
 	if c.Distance != OtherRegion {
@@ -65,15 +65,15 @@
 	if !c.Allowed || c.Credits <= 0 || c.LinkRoom < r.Bytes {
 		return false
 	}
-	reserve, long := p.Reserve, LongLink
+	reserve, long := p.Reserve, MaxLongLinkUse
 	if p.First == pabundle.HeadroomFirst {
 		reserve *= HeadroomReserves
-		long = HeadroomLongLink
+		long = HeadroomMaxLongLinkUse
 	}
-	if r.Bytes > LongBytes && c.LinkUsed > long {
+	if r.Bytes > LongTransferBytes && c.LinkUtilization > long {
 		return false
 	}
-	return c.Used < 1-reserve
+	return c.Utilization < 1-reserve
 }
 
 // Completion returns when a candidate is expected to answer, from now. Reported free slots count
@@ -90,11 +90,11 @@
 		// A credit is a slot set aside, whatever the last report said.
 		return 0
 	}
-	fresh := 1 - float64(c.Age)/float64(ReportAge)
+	fresh := 1 - float64(c.Age)/float64(MaxReportAge)
 	if fresh <= 0 {
 		// Measurements have stopped. Nothing is known, so it comes last; it says itself whether it
 		// has room, at the price of a round trip within the region.
-		return max(0, r.Left-r.Run-c.Delay)
+		return max(0, r.TimeLeft-r.Run-c.Delay)
 	}
 	if float64(c.Free)*fresh >= 1 {
 		return 0
@@ -107,10 +107,10 @@
 	if p.First != pabundle.HeadroomFirst {
 		return s
 	}
-	s += time.Duration(HeadroomWeight * c.Used * float64(r.Run))
+	s += time.Duration(HeadroomWeight * c.Utilization * float64(r.Run))
 	if c.Distance == OtherRegion {
 		// Behind everything in the own region that answers in time.
-		s += r.Left
+		s += r.TimeLeft
 	}
 	return s
 }
--- a/paplacement/pick.go
+++ b/paplacement/pick.go
@@ -6,11 +6,11 @@
 	Room, Limit int
 	// Failures is its recent failure rate, 0 to 1.
 	Failures float64
-	// Starts orders the options by when each got its last request; 0 is one that never did.
-	Starts uint64
+	// LastStart orders the options by when each got its last request; 0 is one that never did.
+	LastStart uint64
 }
 
-// Pick returns the index of the option with the smallest part of its slots in use, or None when none
+// PickTarget returns the index of the option with the smallest part of its slots in use, or None when none
 // has room. A failure rate counts as slots in use. Load: a target that fails fast is always the
 // least loaded. Harm prevented: it attracts the work of the others in the moment before it is ejected.
 //
@@ -19,7 +19,7 @@
 //
 // Choosing by expected completion, by the peak of run times or between two at random made no
 // difference that could be measured: targets that are slow or fail are set aside by patarget before.
-func Pick(options []Option) int {
+func PickTarget(options []Option) int {
 	best := None
 	var least float64
 	for i := range options {
@@ -28,7 +28,7 @@
 			continue
 		}
 		use := 1 - float64(o.Room)/float64(max(1, o.Limit)) + o.Failures
-		if best == None || use < least || use == least && o.Starts < options[best].Starts {
+		if best == None || use < least || use == least && o.LastStart < options[best].LastStart {
 			best, least = i, use
 		}
 	}
--- a/papolicy/daemon.go
+++ b/papolicy/daemon.go
@@ -131,7 +131,7 @@
 		d.credits[x.Request] = x.Credit
 		return append(into, paowner.Forward{Request: x.Request, Entry: x.Entry, Region: x.Region, Attempt: x.Attempt})
 	case pacontrol.Refuse:
-		into = append(into, paowner.Refuse{Request: x.Request, ComeBack: x.ComeBack})
+		into = append(into, paowner.Refuse{Request: x.Request, RetryAfter: x.ComeBack})
 		return d.apply(pacontrol.Landed{Request: x.Request}, into)
 	case pacontrol.Fail:
 		into = append(into, paowner.Fail{Request: x.Request, Outcome: x.Outcome})
--- a/papolicy/host.go
+++ b/papolicy/host.go
@@ -70,12 +70,12 @@
 	}
 	h.view = &view{host: h, reports: map[*host]report{}}
 	h.owner = paowner.New(paowner.Config{
-		Policy:    w.deployment.Bundle.Policy,
-		Services:  w.deployment.Bundle.Services,
-		Elsewhere: h.view,
-		Rand:      rand.New(rand.NewPCG(w.setup.Seed, uint64(len(w.hosts)))),
-		Order:     w.setup.Order,
-		Tuning:    w.setup.Tuning,
+		Policy:     w.deployment.Bundle.Policy,
+		Services:   w.deployment.Bundle.Services,
+		Candidates: h.view,
+		Rand:       rand.New(rand.NewPCG(w.setup.Seed, uint64(len(w.hosts)))),
+		Order:      w.setup.Order,
+		Tuning:     w.setup.Tuning,
 	})
 	h.decider = h.owner
 	return h
@@ -98,9 +98,9 @@
 	owned := h.owned
 	h.owned = nil
 	h.lookUpWeight = 0
-	var all []paowner.Owned
+	var all []paowner.OwnedTarget
 	for _, m := range owned {
-		w := paowner.Owned{Target: m.target, Service: m.service, Join: patarget.Warm}
+		w := paowner.OwnedTarget{Target: m.target, Service: m.service, Join: patarget.Warm}
 		if h.world.now.After(h.world.began) {
 			w.Join = patarget.Orphaned
 		}
@@ -194,7 +194,7 @@
 		Attempt: c.attempts - 1, Class: uint8(c.class), Block: c.block, Bytes: work.Request + work.Answer,
 	}
 	if v.from != nil {
-		r.Patience = v.patience
+		r.MaxWait = v.patience
 		r.Origin = paowner.Peer
 		if v.from.host.Region != h.Region {
 			r.Origin = paowner.Remote
@@ -212,7 +212,7 @@
 	case paowner.Refuse:
 		v := h.visits[d.Request]
 		h.world.measure.refusedAfter(v, gap, v.offered.Equal(h.world.now))
-		v.end(patarget.NotRun, d.ComeBack)
+		v.end(patarget.NotRun, d.RetryAfter)
 	case paowner.Fail:
 		h.visits[d.Request].end(d.Outcome, 0)
 	case paowner.Probe:
@@ -247,7 +247,7 @@
 		h.view.charge(v, to)
 	}
 	v.sent = true
-	v.child = &visit{call: v.call, host: to, from: v, fromAttempt: d.Attempt, patience: d.Patience}
+	v.child = &visit{call: v.call, host: to, from: v, fromAttempt: d.Attempt, patience: d.MaxWait}
 	child := v.child
 	if h.daemon != nil {
 		child.credit = h.daemon.credits[d.Request]
@@ -279,7 +279,7 @@
 	if h.dead || h.visits[v.id] != v {
 		return
 	}
-	res := paowner.Result{Attempt: attempt, Outcome: o, Run: took, ComeBack: comeBack}
+	res := paowner.Result{Attempt: attempt, Outcome: o, Run: took, RetryAfter: comeBack}
 	if o == patarget.Answered {
 		v.end(o, 0)
 	}
--- a/papolicy/view.go
+++ b/papolicy/view.go
@@ -103,7 +103,7 @@
 	return n
 }
 
-// Candidates implements paowner.Elsewhere.
+// Candidates implements paowner.CandidateSource.
 func (v *view) Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate {
 	w := v.host.world
 	if v.wants == nil {
@@ -118,7 +118,7 @@
 		m := r.services[s]
 		c := paplacement.Candidate{
 			Distance: paplacement.SameRegion, Entry: o.Name, Region: o.Region,
-			Slots: m.slots, Free: m.free, Wait: m.wait, Age: now.Sub(r.at), Used: r.used, Full: m.full,
+			Slots: m.slots, Free: m.free, Wait: m.wait, Age: now.Sub(r.at), Utilization: r.used, Full: m.full,
 			Delay: 2 * w.deployment.Zones,
 		}
 		if o.Region != v.host.Region {
@@ -126,7 +126,7 @@
 			c.Distance = paplacement.OtherRegion
 			c.Delay = 2 * w.deployment.Regions
 			c.Allowed = true
-			c.LinkUsed = l.used / l.rate
+			c.LinkUtilization = l.used / l.rate
 			if now.Sub(r.at) < creditTerm {
 				c.Credits = m.credits
 			}
@@ -185,4 +185,4 @@
 	}
 }
 
-var _ paowner.Elsewhere = (*view)(nil)
+var _ paowner.CandidateSource = (*view)(nil)
--- a/paqueue/query.go
+++ b/paqueue/query.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Length returns the number of items that wait.
-func (q *Queue) Length() int { return len(q.items) }
+// Len returns the number of items that wait.
+func (q *Queue) Len() int { return len(q.items) }
 
 // Work returns the sum of the predicted costs of what waits.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Stands says whether the queue has been long for longer than its Interval.
-func (q *Queue) Stands() bool { return q.standing }
+// Standing says whether the queue has been long for longer than its Interval.
+func (q *Queue) Standing() bool { return q.standing }
 
-// Backlog returns how long the given number of slots needs for what waits.
-func (q *Queue) Backlog(slots int) time.Duration {
+// DrainTime returns how long the given number of slots needs for what waits.
+func (q *Queue) DrainTime(slots int) time.Duration {
 	return q.work / time.Duration(max(1, slots))
 }
 
-// Ahead returns the work that would run before the item.
-func (q *Queue) Ahead(i Item) time.Duration {
+// WorkAhead returns the work that would run before the item.
+func (q *Queue) WorkAhead(i Item) time.Duration {
 	i.Flow %= Flows
 	e := entry{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
 	var sum time.Duration
@@ -29,9 +29,9 @@
 	return sum
 }
 
-// Bound returns the longest wait that an item may be admitted to: short while the queue stands,
+// MaxWait returns the longest wait that an item may be admitted to: short while the queue stands,
 // else up to its deadline.
-func (q *Queue) Bound(now time.Time, i Item) time.Duration {
+func (q *Queue) MaxWait(now time.Time, i Item) time.Duration {
 	left := i.Deadline.Sub(now) - i.Cost
 	if q.standing {
 		return min(left, q.standingWait())
@@ -82,10 +82,10 @@
 }
 
 func (q *Queue) standingWait() time.Duration {
-	if q.Standing > 0 {
-		return q.Standing
+	if q.StandingWait > 0 {
+		return q.StandingWait
 	}
-	return DefaultStanding
+	return DefaultStandingWait
 }
 
 // patience is how long the wait has to stay high or low before it counts.
@@ -93,7 +93,7 @@
 	if q.over {
 		return q.interval()
 	}
-	return min(Calm, q.interval())
+	return min(ExitInterval, q.interval())
 }
 
 func (q *Queue) interval() time.Duration {
--- a/paqueue/queue.go
+++ b/paqueue/queue.go
@@ -12,10 +12,10 @@
 	// Harm of less: bursts that would be served in time are refused; of more: under lasting overload
 	// answers go on to be as late as their deadlines allow.
 	DefaultInterval = 2 * time.Second
-	// Calm is how long the wait has to stay low before a queue counts as standing no more. Load:
+	// ExitInterval is how long the wait has to stay low before a queue counts as standing no more. Load:
 	// steady saturation, at which a short queue runs empty by chance. Harm of less: it is fed up to
 	// the deadlines again after each such moment; of more: a burst soon after is refused.
-	Calm = 300 * time.Millisecond
+	ExitInterval = 300 * time.Millisecond
 	// enterFactor is how many times Standing the wait has to be for a queue to count as standing; it
 	// counts no more at half of Standing. Load: 90 % of capacity, at which random arrivals make
 	// queues of a few run times. Harm of less: they are shortened although all would be in time.
@@ -25,8 +25,8 @@
 	// less: short work waits behind long; of more: long work starves, and requests of nearly equal
 	// cost overtake each other, so that predicted waits do not hold.
 	DefaultAging = 4.0
-	// DefaultStanding is the wait that a standing queue is shortened to, for a Queue without one.
-	DefaultStanding = 50 * time.Millisecond
+	// DefaultStandingWait is the wait that a standing queue is shortened to, for a Queue without one.
+	DefaultStandingWait = 50 * time.Millisecond
 )
 
 // Queue is the bounded queue of one service. The zero value is ready for use.
@@ -35,8 +35,8 @@
 	Order Order
 	// Limit is the most items that wait; zero means DefaultLimit.
 	Limit int
-	// Standing is the wait that a standing queue is shortened to; zero means DefaultStanding.
-	Standing time.Duration
+	// StandingWait is the wait that a standing queue is shortened to; zero means DefaultStandingWait.
+	StandingWait time.Duration
 	// Interval is how long the wait may stay above Standing; zero means DefaultInterval.
 	Interval time.Duration
 	// Aging stands for DefaultAging unless zero.
@@ -108,7 +108,7 @@
 	if q.standing {
 		bound = q.standingWait() / 2
 	}
-	over := q.Backlog(slots) > bound
+	over := q.DrainTime(slots) > bound
 	if over == q.over {
 		if now.Sub(q.since) >= q.patience() {
 			q.standing = over
@@ -123,7 +123,7 @@
 // down to Standing. Load: demand above capacity for longer than a burst. Harm prevented: a queue
 // as long as the deadline makes every answer as late as it may be.
 func (q *Queue) Shorten(slots int) (Item, bool) {
-	if !q.standing || q.Backlog(slots) <= q.standingWait() {
+	if !q.standing || q.DrainTime(slots) <= q.standingWait() {
 		return Item{}, false
 	}
 	return q.take(q.last()), true
