--- a/paowner/command.go
+++ b/paowner/command.go
@@ -21,7 +21,7 @@
 			t.Leave()
 		}
 		for i, ok := s.queue.Pop(); ok; i, ok = s.queue.Pop() {
-			into = o.drop(now, s, i, NoService, into)
+			into = o.refuseItem(now, s, i, NoService, into)
 		}
 	}
 	return into
@@ -33,7 +33,7 @@
 	keep := map[pabundle.TargetName]bool{}
 	for _, w := range owned {
 		keep[w.Target.Name] = true
-		o.own(now, w)
+		o.addTarget(now, w)
 	}
 	for _, s := range o.order {
 		s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
@@ -45,12 +45,12 @@
 			o.dropped = append(o.dropped, t)
 			return true
 		})
-		into = o.pump(now, s, into)
+		into = o.dispatch(now, s, into)
 	}
 	return into
 }
 
-func (o *Owner) own(now time.Time, w OwnedTarget) {
+func (o *Owner) addTarget(now time.Time, w OwnedTarget) {
 	s := o.services[w.Service]
 	if s == nil {
 		return
@@ -68,26 +68,26 @@
 	n.Slots = w.Target.Slots
 	n.Connections = w.Connections
 	n.Ramp = o.config.Tuning.Ramp
-	n.Takeover = s.takeover()
+	n.Takeover = s.takeoverWait()
 	n.Start(now, w.Join, w.Running)
 	if w.Leaving {
 		n.Leave()
 	}
-	n.told = n.Phase()
+	n.reported = n.Phase()
 	if t != nil {
-		o.adopt(t, n)
+		o.moveRequests(t, n)
 	}
 	o.targets[n.name] = n
 	s.targets = append(s.targets, n)
 }
 
-// adopt moves what still runs at a target to the new state of it. Failure: a target is given up and
+// moveRequests moves what still runs at a target to the new state of it. Failure: a target is given up and
 // comes back before its requests have ended; it shows as more requests there than slots.
-func (o *Owner) adopt(from, to *target) {
+func (o *Owner) moveRequests(from, to *target) {
 	to.Adopt(&from.Target)
-	for _, f := range o.flights {
-		if f.target == from {
-			f.target = to
+	for _, rs := range o.requests {
+		if rs.target == from {
+			rs.target = to
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		return into
 	}
 	t.Leave()
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
 // Report takes a target's own report of its load.
@@ -110,7 +110,7 @@
 		return into
 	}
 	t.Report(now, l)
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
 // Release takes a former owner's word that n of its requests at a target have ended.
@@ -120,11 +120,11 @@
 		return into
 	}
 	t.Target.Release(n)
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
 // SetLimits says how much the entry VM itself can hold.
-func (o *Owner) SetLimits(r Limits) { o.room = r }
+func (o *Owner) SetLimits(r Limits) { o.limits = r }
 
 // Stop refuses every new request from here on; what is held goes on to its end.
 func (o *Owner) Stop() { o.stopping = true }
@@ -132,22 +132,22 @@
 // Tick lets time pass: it refuses what cannot end in time any more, starts what targets have room
 // for again, and probes. Call it at NextTick or every few milliseconds.
 func (o *Owner) Tick(now time.Time, into []Decision) []Decision {
-	o.collect(now)
+	o.removeIdleDropped(now)
 	for _, s := range o.order {
 		for _, t := range s.targets {
 			t.Tick(now)
-			into = o.probe(now, t, into)
+			into = o.probeIfNeeded(now, t, into)
 		}
-		s.retry(now)
-		into = o.pump(now, s, into)
+		s.tryEjected(now)
+		into = o.dispatch(now, s, into)
 	}
 	return into
 }
 
-// retry gives failing targets an early trial when the service has no other left. Failure: the good
+// tryEjected gives failing targets an early trial when the service has no other left. Failure: the good
 // targets leave while the rest is ejected; it shows as a service that refuses all for up to
 // patarget.EjectMost. A trial is one request at a time, so that it is safe as often as once a second.
-func (s *service) retry(now time.Time) {
+func (s *service) tryEjected(now time.Time) {
 	if s.slots(now) > 0 {
 		return
 	}
--- a/paowner/constants.go
+++ b/paowner/constants.go
@@ -31,11 +31,11 @@
 	// MaxAttempts bounds the attempts at one request, whatever the budget. Load: a service whose
 	// targets all fail. Harm prevented: each request costs as many runs as there are targets.
 	MaxAttempts = 3
-	// spreadEvery is the number of requests with room here of which one goes to an owner without work.
+	// idleOwnerInterval is the number of requests with room here of which one goes to an owner without work.
 	// Harm of less: a hop within the region for nothing; of more: idle targets stay unknown for long.
-	spreadEvery = 16
+	idleOwnerInterval = 16
 	// estimateWeight is the weight of the newest run time in the prediction: about the last 20 count.
 	estimateWeight = 0.05
-	// fallbackRun is the first guess of a service whose bundle gives none.
-	fallbackRun = 50 * time.Millisecond
+	// defaultTypicalRun is the first guess of a service whose bundle gives none.
+	defaultTypicalRun = 50 * time.Millisecond
 )
--- a/paowner/estimate.go
+++ b/paowner/estimate.go
@@ -8,7 +8,7 @@
 	samples         int
 }
 
-func (e *estimate) learn(run time.Duration, weight float64) {
+func (e *estimate) add(run time.Duration, weight float64) {
 	v := float64(run)
 	if e.samples == 0 && e.mean == 0 {
 		e.mean = v
@@ -23,8 +23,8 @@
 	e.deviation += weight * (d - e.deviation)
 }
 
-// expect returns the mean, and the run time that is rarely passed.
-func (e *estimate) expect(fallback time.Duration, deviations float64) (mean, high time.Duration) {
+// predict returns the mean, and the run time that is rarely passed.
+func (e *estimate) predict(fallback time.Duration, deviations float64) (mean, high time.Duration) {
 	if e.samples == 0 && e.mean == 0 {
 		return fallback, fallback
 	}
--- a/paowner/finish.go
+++ b/paowner/finish.go
@@ -11,79 +11,79 @@
 // Finish reports the end of an attempt and appends what follows from it. No decision on the request
 // itself follows an answer: the caller passes it on.
 func (o *Owner) Finish(now time.Time, id RequestID, res Result, into []Decision) []Decision {
-	f, ok := o.flights[id]
+	rs, ok := o.requests[id]
 	// Failure: the end of an attempt that was given up arrives after the next one began. It shows as
 	// a request that ends twice. The attempt's number tells them apart.
-	if !ok || f.attempt != res.Attempt || f.target == nil && f.entry == "" {
+	if !ok || rs.attempt != res.Attempt || rs.target == nil && rs.entry == "" {
 		return into
 	}
-	s := f.service(o)
-	t := f.target
+	s := rs.service(o)
+	t := rs.target
 	if t != nil {
-		into = o.endAttempt(now, f, res, into)
+		into = o.recordAttempt(now, rs, res, into)
 	}
 	switch {
-	case f.abandoned, res.Outcome == patarget.Answered, res.Outcome == patarget.Abandoned:
-		o.forget(f)
+	case rs.abandoned, res.Outcome == patarget.Answered, res.Outcome == patarget.Abandoned:
+		o.removeRequest(rs)
 	case s == nil && res.Outcome.DidNotRun():
 		// A new bundle has no such service any more: there is nowhere to try again.
-		o.forget(f)
+		o.removeRequest(rs)
 		into = append(into, Refuse{Request: id, Reason: NoService, RetryAfter: MaxRetryAfter})
 	case s == nil:
-		o.forget(f)
+		o.removeRequest(rs)
 		into = append(into, Fail{Request: id, Outcome: res.Outcome})
 	default:
-		into = o.again(now, s, f, res, into)
+		into = o.retryOrEnd(now, s, rs, res, into)
 	}
 	if t != nil {
-		into = o.pump(now, t.service, into)
+		into = o.dispatch(now, t.service, into)
 	}
 	return into
 }
 
-// endAttempt frees the slot and learns.
-func (o *Owner) endAttempt(now time.Time, f *flight, res Result, into []Decision) []Decision {
-	t := f.target
+// recordAttempt frees the slot and learns.
+func (o *Owner) recordAttempt(now time.Time, rs *requestState, res Result, into []Decision) []Decision {
+	t := rs.target
 	s := t.service
-	class := f.request.Class % Classes
+	class := rs.request.Class % Classes
 	r := patarget.Result{
 		Outcome:  res.Outcome,
 		Run:      res.Run,
 		Expected: s.peerRun(t, class),
-		Deadline: f.request.Deadline,
-		Only:     s.only(now, t),
+		Deadline: rs.request.Deadline,
+		Only:     s.isOnly(now, t),
 	}
 	if t.End(now, r) {
 		into = append(into, CloseConnections{Target: t.name})
 	}
 	if res.Outcome == patarget.Answered {
-		t.classes[class].learn(res.Run, targetWeight)
+		t.classes[class].add(res.Run, targetEstimateWeight)
 		if !t.Slow() {
-			s.classes[class].learn(res.Run, estimateWeight)
-			s.all.learn(res.Run, estimateWeight)
+			s.classes[class].add(res.Run, estimateWeight)
+			s.anyClass.add(res.Run, estimateWeight)
 		}
 	}
-	return o.probe(now, t, into)
+	return o.probeIfNeeded(now, t, into)
 }
 
 // Cancel gives up a request whose caller has gone. One that waits is forgotten. One that runs keeps
 // its slot until Finish: the target is busy until then.
 func (o *Owner) Cancel(now time.Time, id RequestID, into []Decision) []Decision {
-	f, ok := o.flights[id]
+	rs, ok := o.requests[id]
 	if !ok {
 		return into
 	}
-	if f.target != nil || f.entry != "" {
-		f.abandoned = true
+	if rs.target != nil || rs.entry != "" {
+		rs.abandoned = true
 		return into
 	}
-	s := f.service(o)
-	o.forget(f)
+	s := rs.service(o)
+	o.removeRequest(rs)
 	if s == nil {
 		return into
 	}
 	s.queue.Remove(uint64(id))
-	return o.pump(now, s, into)
+	return o.dispatch(now, s, into)
 }
 
 // Probed reports the end of a probe.
@@ -93,12 +93,12 @@
 		return into
 	}
 	t.EndProbe(now, ok)
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
-// probe appends a probe when the target needs one and nothing waits for the slot that it takes:
-// live traffic stands in for a probe. A silent connection is judged at once.
-func (o *Owner) probe(now time.Time, t *target, into []Decision) []Decision {
+// probeIfNeeded appends a probeIfNeeded when the target needs one and nothing waits for the slot that it takes:
+// live traffic stands in for a probeIfNeeded. A silent connection is judged at once.
+func (o *Owner) probeIfNeeded(now time.Time, t *target, into []Decision) []Decision {
 	if !t.NeedsProbe(now) || !t.Doubted() && t.service.queue.Len() > 0 {
 		return into
 	}
@@ -106,9 +106,9 @@
 	return append(into, Probe{Target: t.name})
 }
 
-// collect forgets the targets that were given up, once nothing runs there: until then one that
+// removeIdleDropped forgets the targets that were given up, once nothing runs there: until then one that
 // comes back has to remember what holds its slots.
-func (o *Owner) collect(now time.Time) {
+func (o *Owner) removeIdleDropped(now time.Time) {
 	o.dropped = slices.DeleteFunc(o.dropped, func(t *target) bool {
 		if !t.Idle(now) {
 			return false
--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -78,13 +78,13 @@
 	order    []*service
 	targets  map[pabundle.TargetName]*target
 	// dropped are targets that were given up and where something may still run.
-	dropped []*target
-	flights map[RequestID]*flight
-	// unused are flights that ended, kept so that a request allocates nothing.
-	unused   []*flight
-	room     Limits
-	bytes    int64
-	stopping bool
+	dropped  []*target
+	requests map[RequestID]*requestState
+	// freeStates are flights that ended, kept so that a request allocates nothing.
+	freeStates []*requestState
+	limits     Limits
+	bytes      int64
+	stopping   bool
 	// scratch slices live between calls so that decisions allocate nothing.
 	candidates []paplacement.Candidate
 	options    []paplacement.Option
@@ -92,18 +92,18 @@
 
 // service is the state of one service.
 type service struct {
-	spec    pabundle.Service
-	tuning  Tuning
-	queue   paqueue.Queue
-	targets []*target
-	budget  paretry.Budget
-	classes [Classes]estimate
-	all     estimate
-	// booked is up to when refused callers were already asked to come back.
-	booked time.Time
+	spec     pabundle.Service
+	tuning   Tuning
+	queue    paqueue.Queue
+	targets  []*target
+	budget   paretry.Budget
+	classes  [Classes]estimate
+	anyClass estimate
+	// nextReturn is up to when refused callers were already asked to come back.
+	nextReturn time.Time
 	// starts counts the starts at own targets, offers the callers' requests that found room here, and
-	// spread those of them that went to another owner all the same.
-	starts, offers, spread uint64
+	// sentToIdle those of them that went to another owner all the same.
+	starts, offers, sentToIdle uint64
 }
 
 // target is an own target and what only its owner compares.
@@ -113,28 +113,28 @@
 	service *service
 	classes [Classes]estimate
 	dropped bool
-	// told is the phase that the last Changed told.
-	told patarget.Phase
-	// starts is the number of the service's start that was the target's last.
-	starts uint64
+	// reported is the phase that the last Changed reported.
+	reported patarget.Phase
+	// lastStart is the number of the service's start that was the target's last.
+	lastStart uint64
 }
 
-// flight is a request between its offer and its end.
-type flight struct {
+// requestState is a request between its offer and its end.
+type requestState struct {
 	request Request
-	// cost is the predicted run time, high the one that is rarely passed.
-	cost, high time.Duration
+	// cost is the predicted run time, maxCost the one that is rarely passed.
+	cost, maxCost time.Duration
 	// target or entry is where the attempt runs; both are unset while the request waits.
-	target  *target
-	entry   pabundle.EntryName
-	tried   *target
-	attempt int
+	target    *target
+	entry     pabundle.EntryName
+	lastTried *target
+	attempt   int
 	// starts counts the attempts at own targets; what another owner sent back has not started.
 	starts    int
 	arrived   time.Time
 	abandoned bool
-	// bounced is how far away the owner was that sent the request back.
-	bounced paplacement.Distance
+	// forwardDistance is how far away the owner was that sent the request back.
+	forwardDistance paplacement.Distance
 }
 
 // New returns an Owner without targets.
@@ -144,7 +144,7 @@
 		config:   c,
 		services: map[pabundle.ServiceName]*service{},
 		targets:  map[pabundle.TargetName]*target{},
-		flights:  map[RequestID]*flight{},
+		requests: map[RequestID]*requestState{},
 	}
 	o.setServices(c.Services)
 	return o
--- a/paowner/query.go
+++ b/paowner/query.go
@@ -10,9 +10,9 @@
 	"papayahead/patarget"
 )
 
-// targetWeight is the weight of the newest run time in what is known of one target for its peers:
+// targetEstimateWeight is the weight of the newest run time in what is known of one target for its peers:
 // about the last 20 count, so that the chance of a few short runs makes no peer look slow.
-const targetWeight = 0.05
+const targetEstimateWeight = 0.05
 
 // Running is the number of requests at a target, as a handover tells it.
 type Running struct {
@@ -47,7 +47,7 @@
 	if s == nil {
 		return true
 	}
-	return s.queue.Standing() && s.queue.DrainTime(s.slots(now)) >= s.standing()
+	return s.queue.Standing() && s.queue.DrainTime(s.slots(now)) >= s.standingWait()
 }
 
 // InFlight returns how many requests of a service run at own targets, probes included.
@@ -67,9 +67,9 @@
 	if s == nil {
 		return 0
 	}
-	f := &flight{request: Request{Service: name}, arrived: now}
-	f.cost, f.high = s.expectAny()
-	return s.wait(now, f)
+	rs := &requestState{request: Request{Service: name}, arrived: now}
+	rs.cost, rs.maxCost = s.predictAnyRun()
+	return s.wait(now, rs)
 }
 
 // PredictedRun returns the usual run time of a service's requests.
@@ -78,12 +78,12 @@
 	if s == nil {
 		return 0
 	}
-	mean, _ := s.expectAny()
+	mean, _ := s.predictAnyRun()
 	return mean
 }
 
 // ActiveRequests returns how many requests have been offered and not ended.
-func (o *Owner) ActiveRequests() int { return len(o.flights) }
+func (o *Owner) ActiveRequests() int { return len(o.requests) }
 
 // Phase returns the phase of an own target; ok is false for a target that is not owned.
 func (o *Owner) Phase(name pabundle.TargetName) (p patarget.Phase, ok bool) {
@@ -128,50 +128,50 @@
 	return next
 }
 
-func (f *flight) item() paqueue.Item {
+func (rs *requestState) item() paqueue.Item {
 	return paqueue.Item{
-		ID:       uint64(f.request.ID),
-		Arrived:  f.arrived,
-		Deadline: f.request.Deadline,
-		Cost:     f.cost,
-		Retry:    f.request.Attempt > 0 || f.starts > 0,
-		Flow:     f.flow(),
+		ID:       uint64(rs.request.ID),
+		Arrived:  rs.arrived,
+		Deadline: rs.request.Deadline,
+		Cost:     rs.cost,
+		Retry:    rs.request.Attempt > 0 || rs.starts > 0,
+		Flow:     rs.flow(),
 	}
 }
 
 // flow keeps remote work and client blocks apart: half of the flows are for callers' blocks, half
 // for those of other entry VMs' callers.
-func (f *flight) flow() uint8 {
-	b := uint8(f.request.Block % (paqueue.Flows / 2))
-	if f.request.Origin == Caller {
+func (rs *requestState) flow() uint8 {
+	b := uint8(rs.request.Block % (paqueue.Flows / 2))
+	if rs.request.Origin == Caller {
 		return b
 	}
 	return b + paqueue.Flows/2
 }
 
-func (f *flight) service(o *Owner) *service {
-	return o.services[f.request.Service]
+func (rs *requestState) service(o *Owner) *service {
+	return o.services[rs.request.Service]
 }
 
 func (s *service) typicalRun() time.Duration {
 	if s.spec.TypicalRun.Duration > 0 {
 		return s.spec.TypicalRun.Duration
 	}
-	return fallbackRun
+	return defaultTypicalRun
 }
 
-// expectAny predicts the run time of a request of any class.
-func (s *service) expectAny() (mean, high time.Duration) {
-	return s.all.expect(s.typicalRun(), s.tuning.Deviations)
+// predictAnyRun predicts the run time of a request of any class.
+func (s *service) predictAnyRun() (mean, high time.Duration) {
+	return s.anyClass.predict(s.typicalRun(), s.tuning.Deviations)
 }
 
-// expect predicts a request's run time from its class.
-func (s *service) expect(r Request) (mean, high time.Duration) {
+// predictRun predicts a request's run time from its class.
+func (s *service) predictRun(r Request) (mean, high time.Duration) {
 	if r.Cost > 0 {
 		return r.Cost, r.Cost
 	}
-	fallback, _ := s.expectAny()
-	return s.classes[r.Class%Classes].expect(fallback, s.tuning.Deviations)
+	fallback, _ := s.predictAnyRun()
+	return s.classes[r.Class%Classes].predict(fallback, s.tuning.Deviations)
 }
 
 // slots is the number of slots that the service's targets offer, taken ones included.
@@ -183,7 +183,7 @@
 	return n
 }
 
-func (s *service) room(now time.Time) int {
+func (s *service) freeSlots(now time.Time) int {
 	n := 0
 	for _, t := range s.targets {
 		n += t.Room(now)
@@ -191,7 +191,7 @@
 	return n
 }
 
-func (s *service) hasRoom(now time.Time) bool {
+func (s *service) hasFreeSlot(now time.Time) bool {
 	for _, t := range s.targets {
 		if t.Room(now) > 0 {
 			return true
@@ -206,27 +206,27 @@
 	if slots == 0 {
 		return 1
 	}
-	busy := slots - s.room(now) + s.queue.Len()
+	busy := slots - s.freeSlots(now) + s.queue.Len()
 	return float64(busy) / float64(slots)
 }
 
 // wait predicts how long a request waits for a slot: the work that runs before it, and the time
 // until the next slot is free, shared by the slots.
-func (s *service) wait(now time.Time, f *flight) time.Duration {
+func (s *service) wait(now time.Time, rs *requestState) time.Duration {
 	slots := s.slots(now)
 	if slots == 0 {
 		return 0
 	}
-	if s.queue.Len() == 0 && s.hasRoom(now) {
+	if s.queue.Len() == 0 && s.hasFreeSlot(now) {
 		return 0
 	}
-	mean, _ := s.expectAny()
-	return (s.queue.WorkAhead(f.item())+mean)/time.Duration(slots) + s.opens(now)
+	mean, _ := s.predictAnyRun()
+	return (s.queue.WorkAhead(rs.item())+mean)/time.Duration(slots) + s.nextSlot(now)
 }
 
-// opens is how long until a target has room again whose slots are all taken by work that is not
+// nextSlot is how long until a target has room again whose slots are all taken by work that is not
 // the owner's own.
-func (s *service) opens(now time.Time) time.Duration {
+func (s *service) nextSlot(now time.Time) time.Duration {
 	var least time.Duration
 	for n, t := range s.targets {
 		d := t.Opens(now)
@@ -237,21 +237,21 @@
 	return least
 }
 
-// takeover is how long the work of a former owner is supposed to run.
-func (s *service) takeover() time.Duration {
+// takeoverWait is how long the work of a former owner is supposed to run.
+func (s *service) takeoverWait() time.Duration {
 	if s.tuning.Takeover > 0 {
 		return s.tuning.Takeover
 	}
 	return min(patarget.DefaultTakeover, max(MinTakeover, TakeoverRuns*s.typicalRun()))
 }
 
-// standing is the wait to which a queue that stands is shortened.
-func (s *service) standing() time.Duration {
-	mean, _ := s.expectAny()
+// standingWait is the wait to which a queue that stands is shortened.
+func (s *service) standingWait() time.Duration {
+	mean, _ := s.predictAnyRun()
 	return max(MinStandingWait, time.Duration(s.tuning.StandingRuns*float64(mean)))
 }
 
-func (s *service) reason() Reason {
+func (s *service) waitRefusal() Reason {
 	if s.queue.Standing() {
 		return QueueStands
 	}
@@ -281,8 +281,8 @@
 // maxPeers is how many peers a target is compared with: more say nothing new.
 const maxPeers = 16
 
-// only says whether no other target of the service takes work.
-func (s *service) only(now time.Time, except *target) bool {
+// isOnly says whether no other target of the service takes work.
+func (s *service) isOnly(now time.Time, except *target) bool {
 	for _, t := range s.targets {
 		if t != except && t.Limit(now) > 0 {
 			return false
@@ -293,7 +293,7 @@
 
 // option is the target as a place for a request that failed at another or the same one before.
 func (t *target) option(now time.Time, tried *target) paplacement.Option {
-	p := paplacement.Option{Room: t.Room(now), Limit: t.Limit(now), Failures: t.Failures(), LastStart: t.starts}
+	p := paplacement.Option{Room: t.Room(now), Limit: t.Limit(now), Failures: t.Failures(), LastStart: t.lastStart}
 	if t == tried {
 		// Another target first: this one has just failed the request.
 		p.Failures = 1
