--- a/paowner/command.go
+++ b/paowner/command.go
@@ -8,7 +8,8 @@
 	"papayahead/patarget"
 )
 
-// Configure takes a new bundle into force. What waits for a service that is gone is refused.
+// Configure applies the policy and the services of a new bundle. Requests that wait for a service
+// that the bundle no longer has are refused.
 func (o *Owner) Configure(now time.Time, p pabundle.Policy, services []pabundle.Service, into []Decision) []Decision {
 	o.config.Policy = p
 	before := slices.Clone(o.order)
@@ -27,8 +28,8 @@
 	return into
 }
 
-// SetTargets says which targets the entry VM owns from now on. A target that is no longer among
-// them gets no new work; what runs there goes on.
+// SetTargets replaces the set of targets that the entry VM owns. A target that is not in the new
+// set gets no new requests; requests already running there continue.
 func (o *Owner) SetTargets(now time.Time, owned []OwnedTarget, into []Decision) []Decision {
 	keep := map[pabundle.TargetName]bool{}
 	for _, w := range owned {
@@ -50,6 +51,7 @@
 	return into
 }
 
+// addTarget starts to own a target, or updates the slots and connections of one already owned.
 func (o *Owner) addTarget(now time.Time, w OwnedTarget) {
 	s := o.services[w.Service]
 	if s == nil {
@@ -81,8 +83,9 @@
 	s.targets = append(s.targets, n)
 }
 
-// moveRequests moves what still runs at a target to the new state of it. Failure: a target is given up and
-// comes back before its requests have ended; it shows as more requests there than slots.
+// moveRequests transfers the requests that still run at a target to the new state of the same
+// target. Without it, a target that is given up and assigned again before its requests have ended
+// would run more requests than it has slots.
 func (o *Owner) moveRequests(from, to *target) {
 	to.Adopt(&from.Target)
 	for _, rs := range o.requests {
@@ -92,8 +95,9 @@
 	}
 }
 
-// MarkLeaving says that a target is about to stop, by the VM list or by observation; it gets no new
-// work from here on. What waits is not bound to a target, so that it goes to the others.
+// MarkLeaving records that a target is about to stop, as known from the VM list or by observation;
+// the target gets no new requests. Queued requests are not bound to a target, so that they go to
+// the other ones.
 func (o *Owner) MarkLeaving(now time.Time, name pabundle.TargetName, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
@@ -103,7 +107,7 @@
 	return o.dispatch(now, t.service, into)
 }
 
-// Report takes a target's own report of its load.
+// Report records the load that a target reported about itself.
 func (o *Owner) Report(now time.Time, name pabundle.TargetName, l patarget.Load, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
@@ -113,7 +117,7 @@
 	return o.dispatch(now, t.service, into)
 }
 
-// Release takes a former owner's word that n of its requests at a target have ended.
+// Release records that n requests of a target's former owner have ended and frees their slots.
 func (o *Owner) Release(now time.Time, name pabundle.TargetName, n int, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
@@ -123,14 +127,15 @@
 	return o.dispatch(now, t.service, into)
 }
 
-// SetLimits says how much the entry VM itself can hold.
+// SetLimits sets how many requests and bytes the entry VM itself may hold.
 func (o *Owner) SetLimits(r Limits) { o.limits = r }
 
-// Stop refuses every new request from here on; what is held goes on to its end.
+// Stop makes Offer refuse every new request; requests already accepted run to their end.
 func (o *Owner) Stop() { o.stopping = true }
 
-// Tick lets time pass: it refuses what cannot end in time any more, starts what targets have room
-// for again, and probes. Call it at NextTick or every few milliseconds.
+// Tick applies all changes that are due by now: it refuses queued requests that can no longer
+// complete in time, starts queued requests on freed slots, and probes targets. It has to be called
+// at NextTick or every few milliseconds.
 func (o *Owner) Tick(now time.Time, into []Decision) []Decision {
 	o.removeIdleDropped(now)
 	for _, s := range o.order {
@@ -144,9 +149,10 @@
 	return into
 }
 
-// tryEjected gives failing targets an early trial when the service has no other left. Failure: the good
-// targets leave while the rest is ejected; it shows as a service that refuses all for up to
-// patarget.EjectMost. A trial is one request at a time, so that it is safe as often as once a second.
+// tryEjected gives ejected targets an early trial when the service has no usable target left.
+// Otherwise, if the healthy targets leave while the rest are ejected, the service refuses all
+// requests for up to patarget.EjectMost. A trial sends one request at a time, so that it is safe as
+// often as once a second.
 func (s *service) tryEjected(now time.Time) {
 	if s.slots(now) > 0 {
 		return
--- a/paowner/decision.go
+++ b/paowner/decision.go
@@ -7,49 +7,52 @@
 	"papayahead/patarget"
 )
 
-// Decision is something that the caller of a command has to carry out.
+// Decision is an action that the caller of a command has to carry out.
 type Decision interface{ decision() }
 
-// Start sends a request to an own target; its end is reported with Finish.
+// Start sends a request to a target of this owner; the end of the attempt is reported with Finish.
 type Start struct {
 	Request RequestID
 	Target  pabundle.TargetName
-	// Attempt numbers the attempts at this owner, from 1.
+	// Attempt counts the attempts by this owner, from 1.
 	Attempt int
 }
 
-// Forward sends a request to another owner; its end is reported with Finish.
+// Forward sends a request to another owner; the end of the attempt is reported with Finish.
 type Forward struct {
 	Request RequestID
 	Entry   pabundle.EntryName
 	Region  pabundle.RegionName
-	// Attempt numbers the attempts at this owner, from 1.
+	// Attempt counts the attempts by this owner, from 1.
 	Attempt int
-	// MaxWait goes with the request: the wait here, which the other owner has to undercut.
+	// MaxWait is the predicted wait here, sent along with the request: the other owner refuses the
+	// request if its own wait is longer. Zero means no bound.
 	MaxWait time.Duration
 }
 
-// Refuse is the final answer to a request that did not run.
+// Refuse ends a request that was not executed.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
-	// RetryAfter is how long the caller should wait before it tries again.
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter time.Duration
 }
 
-// Fail is the final answer to a request that may have run.
+// Fail ends a request that may have been executed.
 type Fail struct {
 	Request RequestID
 	Outcome patarget.Outcome
 }
 
-// Probe asks a target for a sign of life over a new connection; its end is reported with Probed.
+// Probe requests a health check of a target over a new connection; its result is reported with
+// Probed.
 type Probe struct{ Target pabundle.TargetName }
 
-// CloseConnections closes the connections to a target that carry no request.
+// CloseConnections closes the idle connections to a target.
 type CloseConnections struct{ Target pabundle.TargetName }
 
-// PhaseChanged says that a target went into another phase, for the time line; nothing has to be done.
+// PhaseChanged reports that a target entered another phase. It is for the event log only and needs
+// no action.
 type PhaseChanged struct {
 	Target pabundle.TargetName
 	Phase  patarget.Phase
@@ -66,25 +69,25 @@
 // Reason says why a request was refused.
 type Reason int
 
-// The reasons.
+// The reasons for a refusal.
 const (
-	// QueueFull means that the queue holds all that it may.
+	// QueueFull means that the queue has reached its limit.
 	QueueFull Reason = iota
-	// QueueStands means that the queue was long for too long and is being shortened.
+	// QueueStands means that a standing queue, long for more than its interval, is being shortened.
 	QueueStands
-	// DeadlineTooNear means that no place is expected to answer before the deadline.
+	// DeadlineTooNear means that no owner is predicted to answer before the deadline.
 	DeadlineTooNear
-	// WaitTooLong means that the owner who forwarded the request has a shorter wait.
+	// WaitTooLong means that the wait here is longer than at the owner that forwarded the request.
 	WaitTooLong
-	// NoTarget means that no target of the service takes work.
+	// NoTarget means that no target of the service accepts requests.
 	NoTarget
 	// NoService means that the bundle has no such service.
 	NoService
-	// OverRoom means that the entry VM itself has no room for another request.
+	// OverRoom means that the entry VM itself has reached its limit of requests or bytes.
 	OverRoom
 	// Stopping means that the entry VM is about to stop.
 	Stopping
-	// Attempts means that the attempt did not run and no further one is allowed.
+	// Attempts means that the last attempt was not executed and no further attempt is allowed.
 	Attempts
 )
 
--- a/paowner/estimate.go
+++ b/paowner/estimate.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// estimate predicts a run time from the ones before.
+// estimate predicts run times by an exponentially weighted moving average of the mean and of the
+// mean deviation, both in nanoseconds.
 type estimate struct {
 	mean, deviation float64
 	samples         int
 }
 
+// add includes a measured run time; weight is that of the newest sample, 0 to 1.
 func (e *estimate) add(run time.Duration, weight float64) {
 	v := float64(run)
 	if e.samples == 0 && e.mean == 0 {
@@ -23,7 +25,8 @@
 	e.deviation += weight * (d - e.deviation)
 }
 
-// predict returns the mean, and the run time that is rarely passed.
+// predict returns the mean run time and a high estimate, which is the given number of mean
+// deviations above it; both are the fallback before the first sample.
 func (e *estimate) predict(fallback time.Duration, deviations float64) (mean, high time.Duration) {
 	if e.samples == 0 && e.mean == 0 {
 		return fallback, fallback
--- a/paowner/finish.go
+++ b/paowner/finish.go
@@ -8,12 +8,12 @@
 	"papayahead/patarget"
 )
 
-// Finish reports the end of an attempt and appends what follows from it. No decision on the request
-// itself follows an answer: the caller passes it on.
+// Finish reports the end of an attempt and appends the decisions that follow from it. After an answer
+// there is no decision on the request itself: the caller of Finish relays the answer.
 func (o *Owner) Finish(now time.Time, id RequestID, res Result, into []Decision) []Decision {
 	rs, ok := o.requests[id]
-	// Failure: the end of an attempt that was given up arrives after the next one began. It shows as
-	// a request that ends twice. The attempt's number tells them apart.
+	// The attempt number identifies the late end of an abandoned attempt, which may arrive after the
+	// next attempt began. Without the check the request would end twice.
 	if !ok || rs.attempt != res.Attempt || rs.target == nil && rs.entry == "" {
 		return into
 	}
@@ -26,7 +26,7 @@
 	case rs.abandoned, res.Outcome == patarget.Answered, res.Outcome == patarget.Abandoned:
 		o.removeRequest(rs)
 	case s == nil && res.Outcome.DidNotRun():
-		// A new bundle has no such service any more: there is nowhere to try again.
+		// The service is gone from the current bundle, so that no target is left for a retry.
 		o.removeRequest(rs)
 		into = append(into, Refuse{Request: id, Reason: NoService, RetryAfter: MaxRetryAfter})
 	case s == nil:
@@ -41,7 +41,8 @@
 	return into
 }
 
-// recordAttempt frees the slot and learns.
+// recordAttempt frees the slot of an attempt and updates the target's health and the run time
+// estimates. Run times of a slow target don't count for the service.
 func (o *Owner) recordAttempt(now time.Time, rs *requestState, res Result, into []Decision) []Decision {
 	t := rs.target
 	s := t.service
@@ -66,8 +67,8 @@
 	return o.probeIfNeeded(now, t, into)
 }
 
-// Cancel gives up a request whose caller has gone. One that waits is forgotten. One that runs keeps
-// its slot until Finish: the target is busy until then.
+// Cancel abandons a request whose caller has gone. A queued request is removed. A running one keeps
+// its slot until Finish, because the target is busy until then.
 func (o *Owner) Cancel(now time.Time, id RequestID, into []Decision) []Decision {
 	rs, ok := o.requests[id]
 	if !ok {
@@ -86,7 +87,7 @@
 	return o.dispatch(now, s, into)
 }
 
-// Probed reports the end of a probe.
+// Probed reports the result of a probe; ok says whether the target answered it.
 func (o *Owner) Probed(now time.Time, name pabundle.TargetName, ok bool, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil || !t.Probing() {
@@ -96,8 +97,9 @@
 	return o.dispatch(now, t.service, into)
 }
 
-// probeIfNeeded appends a probeIfNeeded when the target needs one and nothing waits for the slot that it takes:
-// live traffic stands in for a probeIfNeeded. A silent connection is judged at once.
+// probeIfNeeded appends a Probe if the target needs one. While requests are queued no probe takes a
+// slot from them, because their outcomes show the target's health as well; only a target in doubt
+// after a silent connection is probed regardless.
 func (o *Owner) probeIfNeeded(now time.Time, t *target, into []Decision) []Decision {
 	if !t.NeedsProbe(now) || !t.Doubted() && t.service.queue.Len() > 0 {
 		return into
@@ -106,8 +108,9 @@
 	return append(into, Probe{Target: t.name})
 }
 
-// removeIdleDropped forgets the targets that were given up, once nothing runs there: until then one that
-// comes back has to remember what holds its slots.
+// removeIdleDropped deletes the state of targets that are no longer owned and run no requests. Until
+// then the state is kept, because a target that is assigned again has to count the requests that
+// still hold its slots.
 func (o *Owner) removeIdleDropped(now time.Time) {
 	o.dropped = slices.DeleteFunc(o.dropped, func(t *target) bool {
 		if !t.Idle(now) {
--- a/paowner/offer.go
+++ b/paowner/offer.go
@@ -9,7 +9,8 @@
 	"papayahead/paretry"
 )
 
-// Offer decides on a new request and appends the decisions.
+// Offer decides on a new request and appends the decisions. It panics if the ID of the request is
+// already in use.
 func (o *Owner) Offer(now time.Time, r Request, into []Decision) []Decision {
 	if _, ok := o.requests[r.ID]; ok {
 		panic("paowner: a request was offered twice")
@@ -22,8 +23,8 @@
 	case o.stopping:
 		return o.refuse(now, s, r.ID, Stopping, 0, into)
 	case o.overLimits(r):
-		// Load: one of few entry VMs is lost and the others get its callers. Harm prevented: an entry
-		// VM past its own room slows every request down. The bound is this VM's, given by SetRoom.
+		// After the loss of one of few entry VMs the others get its callers. An entry VM beyond its own
+		// capacity, which SetLimits gives, would slow down every request.
 		return o.refuse(now, s, r.ID, OverRoom, 0, into)
 	}
 	rs := o.addRequest(now, r)
@@ -34,7 +35,7 @@
 	return o.place(now, s, rs, into)
 }
 
-// place sends a request on, queues it or refuses it.
+// place starts, forwards, queues or refuses a request.
 func (o *Owner) place(now time.Time, s *service, rs *requestState, into []Decision) []Decision {
 	r := rs.request
 	if now.Add(rs.maxCost).After(r.Deadline) {
@@ -55,8 +56,8 @@
 	if slots == 0 {
 		return o.endRefused(now, s, rs, NoTarget, 0, into)
 	}
-	// Load: demand above capacity. Harm prevented: a request waits until its deadline and is then
-	// refused, when its caller has no time left. So it is refused now, on the predicted wait.
+	// Under overload a request would otherwise wait until its deadline and be refused when its caller
+	// has no time left to retry. It is refused now instead, on the predicted wait.
 	if r.MaxWait > 0 && wait > r.MaxWait {
 		return o.endRefused(now, s, rs, WaitTooLong, wait, into)
 	}
@@ -66,12 +67,12 @@
 	return o.enqueue(now, s, rs, into)
 }
 
-// pickIdleOwner returns an owner of the region without any work for one in spreadEvery requests that could run
-// here, each of them in turn.
+// pickIdleOwner returns an idle owner of the same region for one in idleOwnerInterval requests that
+// could start here, choosing the idle owners in turn.
 //
-// Load: callers behind one address, who all have the same first entry VM, and not much work. Harm
-// prevented: the targets of the other owners get nothing for hours; nobody knows whether they answer,
-// and the first burst finds them cold.
+// At low load, callers behind one address all use the same first entry VM. The targets of the other
+// owners would get no requests for hours, so that their health would be unknown and the first burst
+// would find them cold.
 func (o *Owner) pickIdleOwner(now time.Time, s *service, rs *requestState) (paplacement.Candidate, bool) {
 	if rs.request.Origin != Caller || rs.attempt > 0 || o.config.Candidates == nil {
 		return paplacement.Candidate{}, false
@@ -91,9 +92,11 @@
 	return idle[s.sentToIdle%uint64(len(idle))], true
 }
 
-// chooseCandidate compares the own queue with the places elsewhere. A request that was forwarded here stays:
-// otherwise owners could pass it round.
-func (o *Owner) chooseCandidate(now time.Time, s *service, rs *requestState, slots int, wait time.Duration) (paplacement.Candidate, bool) {
+// chooseCandidate compares this owner's queue with the candidates elsewhere. A request that was
+// forwarded here is not forwarded again, which rules out forwarding loops.
+func (o *Owner) chooseCandidate(
+	now time.Time, s *service, rs *requestState, slots int, wait time.Duration,
+) (paplacement.Candidate, bool) {
 	if rs.request.Origin != Caller || o.config.Candidates == nil || rs.forwardDistance == paplacement.OtherRegion {
 		return paplacement.Candidate{}, false
 	}
@@ -104,12 +107,14 @@
 	}
 	own := len(o.candidates)
 	o.candidates = o.config.Candidates.Candidates(now, rs.request.Service, o.candidates)
-	// Equal ones take turns: the first in the list would get the overflow of every owner.
+	// Choose takes the first of several equal candidates, which would get the overflow of every owner
+	// if the list were not shuffled.
 	o.config.Rand.Shuffle(len(o.candidates)-own, func(i, j int) {
 		o.candidates[own+i], o.candidates[own+j] = o.candidates[own+j], o.candidates[own+i]
 	})
 	if rs.forwardDistance != paplacement.Own {
-		// An owner of the region had no room after all: the others' reports are as old as its own.
+		// An owner of this region rejected the request in spite of its report. The reports of the region's
+		// other owners are as old, so that none of them is tried.
 		o.candidates = slices.DeleteFunc(o.candidates, func(c paplacement.Candidate) bool {
 			return c.Distance == paplacement.SameRegion
 		})
@@ -122,11 +127,13 @@
 	return o.candidates[n], true
 }
 
-// forward sends a request to another owner. Load: some owners of a region busy, others not, and
-// reports of them that are older than a slot's turn-over. Harm prevented: work goes to where the
-// wait is longer than here. The wait here goes with the request; whoever cannot undercut it sends
-// the request back at once, which costs one round trip within the region.
-func (o *Owner) forward(now time.Time, s *service, rs *requestState, c paplacement.Candidate, wait time.Duration, into []Decision) []Decision {
+// forward sends a request to another owner. Reports from other owners may be older than the time in
+// which a slot changes hands, so that the wait there may be longer than here. The predicted wait here
+// therefore goes with the request; an owner with a longer wait sends the request back at once, which
+// costs one round trip within the region.
+func (o *Owner) forward(
+	now time.Time, s *service, rs *requestState, c paplacement.Candidate, wait time.Duration, into []Decision,
+) []Decision {
 	d := Forward{Request: rs.request.ID, Entry: c.Entry, Region: c.Region, Attempt: rs.attempt + 1}
 	if c.Distance == paplacement.SameRegion && s.slots(now) > 0 && wait <= s.queue.MaxWait(now, rs.item()) {
 		d.MaxWait = max(wait, 1)
@@ -151,7 +158,8 @@
 	return o.dispatch(now, s, into)
 }
 
-// dispatch starts what waits while targets have room, then shortens a queue that stands.
+// dispatch refuses queued requests that can't complete in time, starts others while targets have
+// free slots, reports phase changes, and shortens a standing queue.
 func (o *Owner) dispatch(now time.Time, s *service, into []Decision) []Decision {
 	for s.queue.Len() > 0 {
 		if i, ok := s.queue.Expire(now); ok {
@@ -185,7 +193,7 @@
 	}
 }
 
-// start sends a request to the best own target that has room.
+// start sends a request to the best of this owner's targets with a free slot; there has to be one.
 func (o *Owner) start(now time.Time, s *service, rs *requestState, into []Decision) []Decision {
 	o.options = o.options[:0]
 	for _, t := range s.targets {
@@ -202,7 +210,8 @@
 	return append(into, Start{Request: rs.request.ID, Target: t.name, Attempt: rs.attempt})
 }
 
-// redistributeQueue empties the queue of a service whose last target left: what waits has not run.
+// redistributeQueue empties the queue of a service without usable targets: each request is forwarded
+// or refused. None of them has run.
 func (o *Owner) redistributeQueue(now time.Time, s *service, into []Decision) []Decision {
 	for {
 		i, ok := s.queue.Pop()
@@ -214,11 +223,12 @@
 	}
 }
 
-// retryOrEnd decides what follows an attempt that brought no answer.
+// retryOrEnd retries a request whose attempt ended without an answer, or ends it if no retry is
+// allowed.
 func (o *Owner) retryOrEnd(now time.Time, s *service, rs *requestState, res Result, into []Decision) []Decision {
 	notRun := res.Outcome.DidNotRun()
 	may := paretry.CanRetry(rs.request.Idempotent, notRun) && rs.attempt < MaxAttempts
-	// Another owner's refusal cost no target anything, so that it needs no budget.
+	// A refusal by another owner used no target, so that a retry after it needs no retry budget.
 	free := notRun && rs.target == nil
 	if may && !now.Add(rs.maxCost).After(rs.request.Deadline) && (free || s.budget.TryWithdraw()) {
 		rs.lastTried = rs.target
@@ -233,14 +243,16 @@
 	return append(into, Fail{Request: rs.request.ID, Outcome: res.Outcome})
 }
 
-// refuseItem refuses an item that the queue gave up.
+// refuseItem refuses a request that was removed from the queue.
 func (o *Owner) refuseItem(now time.Time, s *service, i paqueue.Item, why Reason, into []Decision) []Decision {
 	rs := o.requests[RequestID(i.ID)]
 	return o.endRefused(now, s, rs, why, s.queue.DrainTime(s.slots(now)), into)
 }
 
-// endRefused refuses a request for good.
-func (o *Owner) endRefused(now time.Time, s *service, rs *requestState, why Reason, wait time.Duration, into []Decision) []Decision {
+// endRefused removes a request and refuses it.
+func (o *Owner) endRefused(
+	now time.Time, s *service, rs *requestState, why Reason, wait time.Duration, into []Decision,
+) []Decision {
 	o.removeRequest(rs)
 	return o.refuse(now, s, rs.request.ID, why, wait, into)
 }
@@ -249,9 +261,9 @@
 	return append(into, Refuse{Request: id, Reason: why, RetryAfter: o.retryAfter(now, s, wait)})
 }
 
-// retryAfter books the refused caller behind the others that were refused, at the rate at which the
-// slots turn over, and adds jitter. Load: more callers refused than the service has slots. Harm
-// prevented: they all return when the first of them could be served.
+// retryAfter returns the retry delay for a refused caller. Refused callers are scheduled one after the
+// other, at the rate at which the service completes requests, plus jitter. Otherwise, with more refused
+// callers than slots, all of them would return when only the first could be served.
 func (o *Owner) retryAfter(now time.Time, s *service, wait time.Duration) time.Duration {
 	if s.nextReturn.Before(now) {
 		s.nextReturn = now
@@ -280,7 +292,7 @@
 	return rs
 }
 
-// removeRequest ends a flight. What it holds stays readable until the next request is offered.
+// removeRequest deletes a request. Its state stays readable until the next Offer, which may reuse it.
 func (o *Owner) removeRequest(rs *requestState) {
 	delete(o.requests, rs.request.ID)
 	o.bytes -= rs.request.Bytes
--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -11,45 +11,45 @@
 	"papayahead/patarget"
 )
 
-// CandidateSource names the places outside this entry VM that could answer a request.
+// CandidateSource lists the other owners and regions that could serve a request.
 type CandidateSource interface {
-	// Candidates appends the places for a service to a slice and returns it. A Forward to one of
-	// them has to be charged before the next call.
+	// Candidates appends the candidates for a service to a slice and returns it. A Forward to one of
+	// them has to be accounted for, in its free slots and credits, before the next call.
 	Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate
 }
 
-// Config is what an Owner is made from.
+// Config holds the parameters of an Owner.
 type Config struct {
-	// Policy weighs headroom against latency.
+	// Policy chooses whether headroom or latency comes first.
 	Policy pabundle.Policy
 	// Services are the services of the bundle; their Targets are not used.
 	Services []pabundle.Service
-	// Candidates may be nil: then only own targets are used.
+	// Candidates lists the places to forward to; with nil only the owner's own targets are used.
 	Candidates CandidateSource
 	// Rand is the source of jitter and of random choices.
 	Rand *rand.Rand
-	// Order chooses the queue order; the zero value is the one that the measurements support.
+	// Order is the queue order. The zero value, AgedShortest, did best in the measurements.
 	Order paqueue.Order
-	// Tuning replaces constants, for trials.
+	// Tuning overrides constants, for experiments.
 	Tuning Tuning
 	// QueueLimit bounds each service's queue; zero means paqueue.DefaultLimit.
 	QueueLimit int
 }
 
-// Tuning replaces constants by other values; zero fields keep the constant.
+// Tuning overrides constants; a zero field keeps the constant.
 type Tuning struct {
-	// StandingRuns stands for the constant of that name, Interval for paqueue.DefaultInterval.
+	// StandingRuns overrides the constant of that name, Interval paqueue.DefaultInterval.
 	StandingRuns float64
 	Interval     time.Duration
-	// Aging stands for paqueue.DefaultAging.
+	// Aging overrides paqueue.DefaultAging.
 	Aging float64
-	// Deviations stands for the constant of that name.
+	// Deviations overrides the constant of that name.
 	Deviations float64
-	// Ramp and Takeover stand for patarget.DefaultRamp and patarget.DefaultTakeover.
+	// Ramp and Takeover override patarget.DefaultRamp and patarget.DefaultTakeover.
 	Ramp, Takeover time.Duration
 }
 
-// Limits is the entry VM's own room.
+// Limits bounds what the entry VM itself may hold.
 type Limits struct {
 	// Requests is the most requests it holds at once, running, waiting and forwarded; zero means
 	// no bound.
@@ -64,10 +64,11 @@
 	Service pabundle.ServiceName
 	// Connections is this entry VM's part of Target.MaxConnections; zero means no bound.
 	Connections int
-	// Join says how the target came here, Running how many requests its former owner still has there.
+	// Join says how this entry VM came to own the target, Running how many requests of its former owner
+	// still run there.
 	Join    patarget.Join
 	Running int
-	// Leaving says that it is known to be about to stop.
+	// Leaving says that the target is known to be about to stop.
 	Leaving bool
 }
 
@@ -77,15 +78,15 @@
 	services map[pabundle.ServiceName]*service
 	order    []*service
 	targets  map[pabundle.TargetName]*target
-	// dropped are targets that were given up and where something may still run.
+	// dropped are targets no longer owned on which requests may still run.
 	dropped  []*target
 	requests map[RequestID]*requestState
-	// freeStates are flights that ended, kept so that a request allocates nothing.
+	// freeStates are the states of ended requests, reused so that a new request allocates no memory.
 	freeStates []*requestState
 	limits     Limits
 	bytes      int64
 	stopping   bool
-	// scratch slices live between calls so that decisions allocate nothing.
+	// candidates and options are scratch slices, kept between calls so that decisions allocate no memory.
 	candidates []paplacement.Candidate
 	options    []paplacement.Option
 }
@@ -99,45 +100,45 @@
 	budget   paretry.Budget
 	classes  [Classes]estimate
 	anyClass estimate
-	// nextReturn is up to when refused callers were already asked to come back.
+	// nextReturn is the time at which the last of the refused callers was asked to retry, without jitter.
 	nextReturn time.Time
-	// starts counts the starts at own targets, offers the callers' requests that found room here, and
-	// sentToIdle those of them that went to another owner all the same.
+	// starts counts attempts started at this owner's targets. offers counts the first attempts of callers'
+	// requests that could start here at once, sentToIdle those of them forwarded to an idle owner instead.
 	starts, offers, sentToIdle uint64
 }
 
-// target is an own target and what only its owner compares.
+// target is a target of this owner, with the data for comparisons with the service's other targets.
 type target struct {
 	patarget.Target
 	name    pabundle.TargetName
 	service *service
 	classes [Classes]estimate
 	dropped bool
-	// reported is the phase that the last Changed reported.
+	// reported is the phase of the last PhaseChanged.
 	reported patarget.Phase
-	// lastStart is the number of the service's start that was the target's last.
+	// lastStart is the value of service.starts at the target's last start; zero before the first.
 	lastStart uint64
 }
 
-// requestState is a request between its offer and its end.
+// requestState is the state of a request between its offer and its end.
 type requestState struct {
 	request Request
-	// cost is the predicted run time, maxCost the one that is rarely passed.
+	// cost is the predicted run time, maxCost the high estimate of it.
 	cost, maxCost time.Duration
-	// target or entry is where the attempt runs; both are unset while the request waits.
+	// target or entry is where the attempt runs; both are unset while the request is queued.
 	target    *target
 	entry     pabundle.EntryName
 	lastTried *target
 	attempt   int
-	// starts counts the attempts at own targets; what another owner sent back has not started.
+	// starts counts the attempts at this owner's targets, without those that were forwarded.
 	starts    int
 	arrived   time.Time
 	abandoned bool
-	// forwardDistance is how far away the owner was that sent the request back.
+	// forwardDistance is the distance of the owner that the request was last forwarded to; Own if none.
 	forwardDistance paplacement.Distance
 }
 
-// New returns an Owner without targets.
+// New returns an Owner that owns no targets yet.
 func New(c Config) *Owner {
 	c.Tuning = c.Tuning.withDefaults()
 	o := &Owner{
@@ -150,7 +151,7 @@
 	return o
 }
 
-// withDefaults puts the constants in for what is zero.
+// withDefaults replaces the zero fields that paqueue and patarget don't default themselves.
 func (t Tuning) withDefaults() Tuning {
 	if t.StandingRuns == 0 {
 		t.StandingRuns = StandingRuns
@@ -161,6 +162,7 @@
 	return t
 }
 
+// setServices replaces the services and keeps the state of those that stay.
 func (o *Owner) setServices(services []pabundle.Service) {
 	o.order = o.order[:0]
 	kept := map[pabundle.ServiceName]*service{}
--- a/paowner/query.go
+++ b/paowner/query.go
@@ -10,17 +10,19 @@
 	"papayahead/patarget"
 )
 
-// targetEstimateWeight is the weight of the newest run time in what is known of one target for its peers:
-// about the last 20 count, so that the chance of a few short runs makes no peer look slow.
+// targetEstimateWeight is the weight of the newest run time in a target's own estimate, to which other
+// targets are compared. The average covers about the last 20 run times, so that a few short ones by
+// chance don't make the other targets look slow.
 const targetEstimateWeight = 0.05
 
-// Running is the number of requests at a target, as a handover tells it.
+// Running is the number of requests that run at a target, for a handover to its next owner.
 type Running struct {
 	Target   pabundle.TargetName
 	Requests int
 }
 
-// FreeSlots returns how many more requests of a service could start now, less for failing targets.
+// FreeSlots returns how many more requests of a service could start now. The free slots of a target
+// are weighted by its success rate. It is zero while requests are queued.
 func (o *Owner) FreeSlots(now time.Time, name pabundle.ServiceName) int {
 	s := o.services[name]
 	if s == nil || s.queue.Len() > 0 {
@@ -33,7 +35,7 @@
 	return int(n)
 }
 
-// Slots returns how many slots of a service are in use or could be.
+// Slots returns the number of usable slots of a service, those in use included.
 func (o *Owner) Slots(now time.Time, name pabundle.ServiceName) int {
 	if s := o.services[name]; s != nil {
 		return s.slots(now)
@@ -41,7 +43,8 @@
 	return 0
 }
 
-// Full says whether the owner refuses ordinary requests of a service now, as others should know.
+// Full says whether the owner would refuse a first attempt without further constraints now, which other
+// owners take into account before they forward requests here.
 func (o *Owner) Full(now time.Time, name pabundle.ServiceName) bool {
 	s := o.services[name]
 	if s == nil {
@@ -50,7 +53,7 @@
 	return s.queue.Standing() && s.queue.DrainTime(s.slots(now)) >= s.standingWait()
 }
 
-// InFlight returns how many requests of a service run at own targets, probes included.
+// InFlight returns how many requests of a service run at this owner's targets, probes included.
 func (o *Owner) InFlight(name pabundle.ServiceName) int {
 	n := 0
 	for _, t := range o.targets {
@@ -61,7 +64,7 @@
 	return n
 }
 
-// PredictedWait returns how long an ordinary request of a service would wait now.
+// PredictedWait returns how long a first attempt of average cost would wait for a slot now.
 func (o *Owner) PredictedWait(now time.Time, name pabundle.ServiceName) time.Duration {
 	s := o.services[name]
 	if s == nil {
@@ -72,7 +75,7 @@
 	return s.wait(now, rs)
 }
 
-// PredictedRun returns the usual run time of a service's requests.
+// PredictedRun returns the predicted mean run time of a service's requests.
 func (o *Owner) PredictedRun(name pabundle.ServiceName) time.Duration {
 	s := o.services[name]
 	if s == nil {
@@ -82,10 +85,11 @@
 	return mean
 }
 
-// ActiveRequests returns how many requests have been offered and not ended.
+// ActiveRequests returns how many requests were accepted and have not ended, queued, running and
+// forwarded ones.
 func (o *Owner) ActiveRequests() int { return len(o.requests) }
 
-// Phase returns the phase of an own target; ok is false for a target that is not owned.
+// Phase returns the phase of a target; ok is false for a target that is not owned.
 func (o *Owner) Phase(name pabundle.TargetName) (p patarget.Phase, ok bool) {
 	t := o.targets[name]
 	if t == nil {
@@ -94,7 +98,7 @@
 	return t.Phase(), true
 }
 
-// Handover returns what runs at each own target, in the order of their names.
+// Handover returns the number of requests that run at each target, sorted by target name.
 func (o *Owner) Handover() []Running {
 	var all []Running
 	for _, t := range o.targets {
@@ -109,7 +113,7 @@
 	return all
 }
 
-// NextTick returns when Tick has something to do at the latest.
+// NextTick returns the time by which Tick has to be called; it is never before now.
 func (o *Owner) NextTick(now time.Time) time.Time {
 	next := now.Add(patarget.ProbeIdle)
 	for _, s := range o.order {
@@ -139,8 +143,8 @@
 	}
 }
 
-// flow keeps remote work and client blocks apart: half of the flows are for callers' blocks, half
-// for those of other entry VMs' callers.
+// flow returns the queue flow of a request. Half of the flows are for client blocks of requests that
+// callers sent here, the other half for client blocks of requests that other entry VMs forwarded.
 func (rs *requestState) flow() uint8 {
 	b := uint8(rs.request.Block % (paqueue.Flows / 2))
 	if rs.request.Origin == Caller {
@@ -160,12 +164,12 @@
 	return defaultTypicalRun
 }
 
-// predictAnyRun predicts the run time of a request of any class.
+// predictAnyRun predicts the run time of a request of unknown class.
 func (s *service) predictAnyRun() (mean, high time.Duration) {
 	return s.anyClass.predict(s.typicalRun(), s.tuning.Deviations)
 }
 
-// predictRun predicts a request's run time from its class.
+// predictRun returns the request's own cost if it is known, else a prediction from its class.
 func (s *service) predictRun(r Request) (mean, high time.Duration) {
 	if r.Cost > 0 {
 		return r.Cost, r.Cost
@@ -174,7 +178,7 @@
 	return s.classes[r.Class%Classes].predict(fallback, s.tuning.Deviations)
 }
 
-// slots is the number of slots that the service's targets offer, taken ones included.
+// slots returns the number of usable slots of the service's targets, those in use included.
 func (s *service) slots(now time.Time) int {
 	n := 0
 	for _, t := range s.targets {
@@ -200,7 +204,7 @@
 	return false
 }
 
-// load is the part of the slots in use, above 1 while requests wait.
+// load returns the fraction of the slots in use, with queued requests counted as slots in use.
 func (s *service) load(now time.Time) float64 {
 	slots := s.slots(now)
 	if slots == 0 {
@@ -210,8 +214,8 @@
 	return float64(busy) / float64(slots)
 }
 
-// wait predicts how long a request waits for a slot: the work that runs before it, and the time
-// until the next slot is free, shared by the slots.
+// wait predicts how long a request waits for a slot: the work queued ahead of it plus one mean run,
+// divided by the number of slots, plus the time until any target has a slot to give.
 func (s *service) wait(now time.Time, rs *requestState) time.Duration {
 	slots := s.slots(now)
 	if slots == 0 {
@@ -224,8 +228,9 @@
 	return (s.queue.WorkAhead(rs.item())+mean)/time.Duration(slots) + s.nextSlot(now)
 }
 
-// nextSlot is how long until a target has room again whose slots are all taken by work that is not
-// the owner's own.
+// nextSlot returns the shortest time for which a target's slots are all taken by requests that this
+// owner didn't start, such as those of a former owner. It is zero if any target has a free slot or runs
+// requests of this owner.
 func (s *service) nextSlot(now time.Time) time.Duration {
 	var least time.Duration
 	for n, t := range s.targets {
@@ -237,7 +242,7 @@
 	return least
 }
 
-// takeoverWait is how long the work of a former owner is supposed to run.
+// takeoverWait returns how long requests of a former owner are assumed to run.
 func (s *service) takeoverWait() time.Duration {
 	if s.tuning.Takeover > 0 {
 		return s.tuning.Takeover
@@ -245,12 +250,13 @@
 	return min(patarget.DefaultTakeover, max(MinTakeover, TakeoverRuns*s.typicalRun()))
 }
 
-// standingWait is the wait to which a queue that stands is shortened.
+// standingWait returns the wait to which a standing queue is shortened.
 func (s *service) standingWait() time.Duration {
 	mean, _ := s.predictAnyRun()
 	return max(MinStandingWait, time.Duration(s.tuning.StandingRuns*float64(mean)))
 }
 
+// waitRefusal returns the reason for refusing a request because its predicted wait is too long.
 func (s *service) waitRefusal() Reason {
 	if s.queue.Standing() {
 		return QueueStands
@@ -258,8 +264,8 @@
 	return DeadlineTooNear
 }
 
-// peerRun is what the service's other targets need for work of a class: their lower median, or
-// zero when none of them is known well enough.
+// peerRun returns the run time of a class at the service's other targets: the lower median of their
+// means, or zero if none of them has enough samples.
 func (s *service) peerRun(except *target, class uint8) time.Duration {
 	var known [maxPeers]float64
 	n := 0
@@ -278,10 +284,10 @@
 	return time.Duration(known[(n-1)/2])
 }
 
-// maxPeers is how many peers a target is compared with: more say nothing new.
+// maxPeers limits how many targets a target is compared with; more would not change the median much.
 const maxPeers = 16
 
-// isOnly says whether no other target of the service takes work.
+// isOnly says whether no other target of the service accepts requests.
 func (s *service) isOnly(now time.Time, except *target) bool {
 	for _, t := range s.targets {
 		if t != except && t.Limit(now) > 0 {
@@ -291,17 +297,18 @@
 	return true
 }
 
-// option is the target as a place for a request that failed at another or the same one before.
+// option describes the target to paplacement.PickTarget; tried is the target that failed the request
+// before, or nil.
 func (t *target) option(now time.Time, tried *target) paplacement.Option {
 	p := paplacement.Option{Room: t.Room(now), Limit: t.Limit(now), Failures: t.Failures(), LastStart: t.lastStart}
 	if t == tried {
-		// Another target first: this one has just failed the request.
+		// The target has just failed the request, so that any other one is preferred.
 		p.Failures = 1
 	}
 	return p
 }
 
-// Waiting returns how many requests of a service wait for a slot.
+// Waiting returns how many requests of a service are queued.
 func (o *Owner) Waiting(name pabundle.ServiceName) int {
 	s := o.services[name]
 	if s == nil {
--- a/paowner/request.go
+++ b/paowner/request.go
@@ -7,15 +7,15 @@
 	"papayahead/patarget"
 )
 
-// RequestID names a request at one entry VM; it is never used twice there.
+// RequestID identifies a request at one entry VM, which never reuses it.
 type RequestID uint64
 
-// Origin is who sent a request to this entry VM.
+// Origin is the kind of sender of a request to this entry VM.
 type Origin int
 
-// The origins.
+// The kinds of senders.
 const (
-	// Caller is a caller itself.
+	// Caller is a client that sent the request here directly.
 	Caller Origin = iota
 	// Peer is another entry VM of the region.
 	Peer
@@ -33,14 +33,14 @@
 	return originNames[o]
 }
 
-// Classes is the number of request classes whose run times are learned apart.
+// Classes is the number of request classes whose run times are estimated separately.
 const Classes = 8
 
-// Request is a request as far as decisions depend on it.
+// Request is the part of a request that decisions depend on.
 type Request struct {
 	ID      RequestID
 	Service pabundle.ServiceName
-	// Deadline is when the answer has to be there.
+	// Deadline is the time by which the caller needs the answer.
 	Deadline time.Time
 	// Idempotent requests may run more than once.
 	Idempotent bool
@@ -48,26 +48,24 @@
 	Attempt int
 	// Class groups requests of similar cost, taken modulo Classes; 0 when nothing is known.
 	Class uint8
-	// Cost is the predicted run time where the caller knows better than the class; else zero.
-	Cost time.Duration
-	// Origin is who sent it.
+	// Cost is the run time if it is known better than from the class; else zero.
+	Cost   time.Duration
 	Origin Origin
-	// Block identifies the client block, by any hash.
+	// Block is a hash that identifies the caller's client block.
 	Block uint32
 	// Bytes is the expected size of the request and its answer.
 	Bytes int64
-	// MaxWait is the longest wait that the owner who forwarded it accepts; zero means no bound.
+	// MaxWait is the longest wait accepted by the owner that forwarded the request; zero means no bound.
 	MaxWait time.Duration
 }
 
-// Result is the end of an attempt that a Start or Forward began.
+// Result describes the end of an attempt that a Start or Forward began.
 type Result struct {
-	// Attempt is the attempt of the Start or Forward; the end of another attempt is ignored.
+	// Attempt is the Attempt field of the Start or Forward; the end of any other attempt is ignored.
 	Attempt int
-	// Outcome is how it ended.
 	Outcome patarget.Outcome
-	// Run is the time from sending to the end of the answer.
+	// Run is the time from sending the request to the end of the answer.
 	Run time.Duration
-	// RetryAfter is the time to come back that another owner gave with NotRun; zero when none.
+	// RetryAfter is the retry delay that another owner gave with NotRun; zero if none.
 	RetryAfter time.Duration
 }
