--- a/paowner/bench_test.go
+++ b/paowner/bench_test.go
@@ -9,7 +9,8 @@
 	"papayahead/patarget"
 )
 
-// BenchmarkOwner measures one request through Offer and Finish at an owner of eight targets.
+// BenchmarkOwner measures Offer and Finish of one request at an owner of eight targets, with free slots
+// and with a queue of 40 requests.
 func BenchmarkOwner(b *testing.B) {
 	for _, queued := range []int{0, 40} {
 		name := "free"
@@ -25,7 +26,7 @@
 	o := paowner.New(paowner.Config{Services: services(), Rand: rand.New(rand.NewPCG(1, 2))})
 	var all []paowner.OwnedTarget
 	for n := range 8 {
-		all = append(all, owned("deposits", 3*n+2, patarget.Warm))
+		all = append(all, ownedTarget("deposits", 3*n+2, patarget.Warm))
 	}
 	ds := o.SetTargets(now, all, nil)
 	var running []paowner.Start
--- a/paowner/fuzz_test.go
+++ b/paowner/fuzz_test.go
@@ -15,116 +15,116 @@
 	"papayahead/patarget"
 )
 
-const roomForRequests = 18
+const maxRequests = 18
 
-// held is what the oracle knows of one request.
-type held struct {
+// modelRequest is what the oracle knows of one request.
+type modelRequest struct {
 	request paowner.Request
-	// target or entry is where it runs; none while it waits.
+	// target or entry is where the request runs; both are empty while it is queued.
 	target  pabundle.TargetName
 	entry   pabundle.EntryName
 	attempt int
-	// touched means that an attempt may have run.
-	touched, cancelled bool
+	// mayHaveRun means that an attempt may have run.
+	mayHaveRun, cancelled bool
 }
 
-// oracle repeats the promises in the simplest form and checks each decision against them.
+// oracle is a simple model of an owner that checks each decision against the owner's guarantees.
 type oracle struct {
-	t       *rapid.T
-	owner   *paowner.Owner
-	now     time.Time
-	ids     paowner.RequestID
-	held    map[paowner.RequestID]*held
-	running map[pabundle.TargetName]int
-	slots   map[pabundle.TargetName]int
-	probing map[pabundle.TargetName]bool
-	leaving map[pabundle.TargetName]bool
-	owned   []paowner.OwnedTarget
-	room    []paplacement.Candidate
+	t          *rapid.T
+	owner      *paowner.Owner
+	now        time.Time
+	ids        paowner.RequestID
+	requests   map[paowner.RequestID]*modelRequest
+	running    map[pabundle.TargetName]int
+	slots      map[pabundle.TargetName]int
+	probing    map[pabundle.TargetName]bool
+	leaving    map[pabundle.TargetName]bool
+	owned      []paowner.OwnedTarget
+	candidates []paplacement.Candidate
 	// services is how many of services are configured.
 	services int
-	// lost are attempts that may still run at a target until a time, although their end was told.
-	lost map[pabundle.TargetName][]time.Time
+	// lingering holds, per target, until when each attempt may still run there after its end was reported.
+	lingering map[pabundle.TargetName][]time.Time
 }
 
 func (o *oracle) Candidates(_ time.Time, _ pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate {
-	return append(into, o.room...)
+	return append(into, o.candidates...)
 }
 
 func (o *oracle) check(ds []paowner.Decision) {
 	for _, d := range ds {
 		switch d := d.(type) {
 		case paowner.Start:
-			o.start(d)
+			o.checkStart(d)
 		case paowner.Forward:
-			h := o.waiting(d.Request)
+			h := o.mustBeWaiting(d.Request)
 			h.entry, h.attempt = d.Entry, d.Attempt
 			if h.request.Origin != paowner.Caller {
 				o.t.Fatalf("request %d was forwarded twice", d.Request)
 			}
 		case paowner.Refuse:
-			if h := o.waiting(d.Request); h.touched && !h.request.Idempotent {
-				o.t.Fatalf("request %d may have run and was refused as not run", d.Request)
+			if h := o.mustBeWaiting(d.Request); h.mayHaveRun && !h.request.Idempotent {
+				o.t.Fatalf("request %d was refused as not executed, but it may have run", d.Request)
 			}
 			if d.RetryAfter <= 0 || d.RetryAfter > 2*paowner.MaxRetryAfter {
-				o.t.Fatalf("time to come back: %v", d.RetryAfter)
+				o.t.Fatalf("RetryAfter of request %d is %v, want more than 0 and at most twice MaxRetryAfter", d.Request, d.RetryAfter)
 			}
-			delete(o.held, d.Request)
+			delete(o.requests, d.Request)
 		case paowner.Fail:
-			if h := o.waiting(d.Request); !h.touched {
+			if h := o.mustBeWaiting(d.Request); !h.mayHaveRun {
 				o.t.Fatalf("request %d failed without an attempt", d.Request)
 			}
-			delete(o.held, d.Request)
+			delete(o.requests, d.Request)
 		case paowner.Probe:
 			if o.probing[d.Target] {
-				o.t.Fatalf("two probes at %s", d.Target)
+				o.t.Fatalf("second probe of %s before the first one ended", d.Target)
 			}
 			o.probing[d.Target] = true
-			o.limit(d.Target)
+			o.checkSlots(d.Target)
 		}
 	}
 }
 
-// waiting returns a request that must be without an attempt and without an end.
-func (o *oracle) waiting(id paowner.RequestID) *held {
-	h := o.held[id]
+// mustBeWaiting returns the request and fails the test unless it is active without a running attempt.
+func (o *oracle) mustBeWaiting(id paowner.RequestID) *modelRequest {
+	h := o.requests[id]
 	if h == nil || h.cancelled || h.target != "" || h.entry != "" {
-		o.t.Fatalf("decision on request %d, which is %+v", id, h)
+		o.t.Fatalf("decision on request %d, which is not waiting: %+v", id, h)
 	}
 	return h
 }
 
-func (o *oracle) start(d paowner.Start) {
-	h := o.waiting(d.Request)
-	if h.touched && !h.request.Idempotent {
-		o.t.Fatalf("request %d runs twice", d.Request)
+func (o *oracle) checkStart(d paowner.Start) {
+	h := o.mustBeWaiting(d.Request)
+	if h.mayHaveRun && !h.request.Idempotent {
+		o.t.Fatalf("non-idempotent request %d was started again although it may have run", d.Request)
 	}
 	if o.leaving[d.Target] {
-		o.t.Fatalf("new work on the leaving target %s", d.Target)
+		o.t.Fatalf("request %d was started on the leaving target %s", d.Request, d.Target)
 	}
 	if !h.request.Deadline.After(o.now) {
-		o.t.Fatalf("request %d starts after its deadline", d.Request)
+		o.t.Fatalf("request %d was started after its deadline", d.Request)
 	}
 	if d.Attempt > paowner.MaxAttempts {
-		o.t.Fatalf("request %d has attempt %d", d.Request, d.Attempt)
+		o.t.Fatalf("request %d was started with attempt %d, want at most %d", d.Request, d.Attempt, paowner.MaxAttempts)
 	}
 	h.target, h.attempt = d.Target, d.Attempt
 	o.running[d.Target]++
-	o.limit(d.Target)
+	o.checkSlots(d.Target)
 }
 
-func (o *oracle) limit(n pabundle.TargetName) {
+func (o *oracle) checkSlots(n pabundle.TargetName) {
 	busy := o.running[n]
 	if o.probing[n] {
 		busy++
 	}
-	for _, until := range o.lost[n] {
+	for _, until := range o.lingering[n] {
 		if until.After(o.now) {
 			busy++
 		}
 	}
 	if busy > o.slots[n] {
-		o.t.Fatalf("%s has %d slots and runs %d", n, o.slots[n], busy)
+		o.t.Fatalf("%s has %d slots and runs %d requests", n, o.slots[n], busy)
 	}
 }
 
@@ -140,30 +140,33 @@
 		Origin:     paowner.Origin(rapid.IntRange(0, 2).Draw(t, "origin")),
 		Block:      uint32(rapid.IntRange(0, 3).Draw(t, "block")),
 	}
-	o.held[r.ID] = &held{request: r}
+	o.requests[r.ID] = &modelRequest{request: r}
 	o.check(o.owner.Offer(o.now, r, nil))
 }
 
 func (o *oracle) finish(t *rapid.T, id paowner.RequestID, out patarget.Outcome) {
-	h := o.held[id]
-	res := paowner.Result{Attempt: h.attempt, Outcome: out, Run: time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Millisecond}
+	h := o.requests[id]
+	res := paowner.Result{
+		Attempt: h.attempt, Outcome: out, Run: time.Duration(rapid.IntRange(1, 300).Draw(t, "run")) * time.Millisecond,
+	}
 	if h.target != "" {
 		o.running[h.target]--
-		o.lose(h, out)
+		o.addLingering(h, out)
 	}
-	h.touched = h.touched || !out.DidNotRun()
+	h.mayHaveRun = h.mayHaveRun || !out.DidNotRun()
 	h.target, h.entry = "", ""
 	ended := h.cancelled || out == patarget.Answered || out == patarget.Abandoned
 	if ended {
-		delete(o.held, id)
+		delete(o.requests, id)
 	}
 	o.check(o.owner.Finish(o.now, id, res, nil))
-	// The end of an attempt that is over must change nothing.
+	// A late end of an earlier attempt must change nothing.
 	o.check(o.owner.Finish(o.now, id, paowner.Result{Attempt: h.attempt - 1}, nil))
 }
 
-// lose counts an attempt whose answer was lost: the target runs it until it notices.
-func (o *oracle) lose(h *held, out patarget.Outcome) {
+// addLingering counts an attempt whose answer was lost or abandoned: the target may run it until it
+// notices that the connection is closed, which takes patarget.DefaultLinger at most.
+func (o *oracle) addLingering(h *modelRequest, out patarget.Outcome) {
 	if out != patarget.Unknown && out != patarget.Silent && out != patarget.Abandoned {
 		return
 	}
@@ -171,20 +174,20 @@
 	if h.request.Deadline.Before(until) {
 		until = h.request.Deadline
 	}
-	o.lost[h.target] = append(o.lost[h.target], until)
+	o.lingering[h.target] = append(o.lingering[h.target], until)
 }
 
 func (o *oracle) tick(d time.Duration) {
 	o.now = o.now.Add(d)
 	o.check(o.owner.Tick(o.now, nil))
-	for id, h := range o.held {
+	for id, h := range o.requests {
 		if h.target == "" && h.entry == "" && !h.request.Deadline.After(o.now) {
-			o.t.Fatalf("request %d waits past its deadline", id)
+			o.t.Fatalf("request %d is still queued after its deadline", id)
 		}
 	}
 }
 
-func (o *oracle) set(owned []paowner.OwnedTarget) {
+func (o *oracle) setTargets(owned []paowner.OwnedTarget) {
 	had := map[pabundle.TargetName]bool{}
 	for _, w := range o.owned {
 		had[w.Target.Name] = true
@@ -197,9 +200,10 @@
 			o.leaving[n] = w.Leaving
 		}
 		if !had[n] && w.Join == patarget.Orphaned {
-			// The former owner's work: all slots, for the least time that a new owner waits.
+			// Requests of the former owner may hold all slots for MinTakeover, the shortest time that a new
+			// owner waits for them.
 			for range w.Target.Slots - o.running[n] {
-				o.lost[n] = append(o.lost[n], o.now.Add(paowner.MinTakeover-1))
+				o.lingering[n] = append(o.lingering[n], o.now.Add(paowner.MinTakeover-1))
 			}
 		}
 	}
@@ -210,10 +214,10 @@
 	o.check(o.owner.SetTargets(o.now, owned, nil))
 }
 
-func (o *oracle) any(t *rapid.T, fits func(*held) bool) (paowner.RequestID, bool) {
+func (o *oracle) pick(t *rapid.T, fits func(*modelRequest) bool) (paowner.RequestID, bool) {
 	var ids []paowner.RequestID
 	for id := paowner.RequestID(1); id <= o.ids; id++ {
-		if h := o.held[id]; h != nil && fits(h) {
+		if h := o.requests[id]; h != nil && fits(h) {
 			ids = append(ids, id)
 		}
 	}
@@ -223,9 +227,9 @@
 	return rapid.SampledFrom(ids).Draw(t, "request"), true
 }
 
-func flying(h *held) bool { return h.target != "" || h.entry != "" }
+func inAttempt(h *modelRequest) bool { return h.target != "" || h.entry != "" }
 
-func owned(service pabundle.ServiceName, n int, j patarget.Join) paowner.OwnedTarget {
+func ownedTarget(service pabundle.ServiceName, n int, j patarget.Join) paowner.OwnedTarget {
 	t := pabundle.Target{Name: pabundle.TargetName(fmt.Sprintf("%s-%d", service, n)), Slots: 1 + n%3}
 	return paowner.OwnedTarget{Target: t, Service: service, Connections: 40, Join: j}
 }
@@ -237,34 +241,39 @@
 	}
 }
 
-// TestOwnerKeepsItsPromises drives an owner with every command in any order and any outcome. A user
-// would see a broken promise as a request that runs twice, never ends, is refused although it ran,
-// or cuts into a target that leaves; an operator as a target over its slots.
-func TestOwnerKeepsItsPromises(t *testing.T) {
+// TestOwnerInvariants runs random sequences of all commands with all outcomes. It guards against requests
+// that are executed twice, never end, are refused although they ran or are started on a leaving target,
+// and against targets that run more requests than they have slots.
+func TestOwnerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &oracle{
-			t: t, now: time.Unix(1_000_000, 0), held: map[paowner.RequestID]*held{},
+			t: t, now: time.Unix(1_000_000, 0), requests: map[paowner.RequestID]*modelRequest{},
 			running: map[pabundle.TargetName]int{}, slots: map[pabundle.TargetName]int{},
 			probing: map[pabundle.TargetName]bool{}, leaving: map[pabundle.TargetName]bool{},
-			lost: map[pabundle.TargetName][]time.Time{}, services: 2,
+			lingering: map[pabundle.TargetName][]time.Time{}, services: 2,
 		}
 		o.owner = paowner.New(paowner.Config{
 			Services: services(), Candidates: o, QueueLimit: 4, Rand: rand.New(rand.NewPCG(1, 2)),
-			Order:  paqueue.Order(rapid.IntRange(0, 1).Draw(t, "order")),
-			Policy: pabundle.Policy{First: rapid.SampledFrom([]pabundle.Preference{pabundle.HeadroomFirst, pabundle.LatencyFirst}).Draw(t, "first"), Reserve: 0.1},
+			Order: paqueue.Order(rapid.IntRange(0, 1).Draw(t, "order")),
+			Policy: pabundle.Policy{
+				First: rapid.SampledFrom(
+					[]pabundle.Preference{pabundle.HeadroomFirst, pabundle.LatencyFirst},
+				).Draw(t, "first"),
+				Reserve: 0.1,
+			},
 		})
-		o.owner.SetLimits(paowner.Limits{Requests: roomForRequests})
+		o.owner.SetLimits(paowner.Limits{Requests: maxRequests})
 		var all []paowner.OwnedTarget
 		for n := range 3 {
 			for _, s := range []pabundle.ServiceName{"deposits", "archive"} {
-				w := owned(s, n, patarget.Join(n))
+				w := ownedTarget(s, n, patarget.Join(n))
 				o.slots[w.Target.Name] = w.Target.Slots
 				all = append(all, w)
 			}
 		}
-		o.set(all)
+		o.setTargets(all)
 		t.Repeat(o.actions(all))
-		o.drain(t)
+		o.finishAll(t)
 	})
 }
 
@@ -280,24 +289,24 @@
 			}
 		},
 		"Finish": func(t *rapid.T) {
-			if id, ok := o.any(t, flying); ok {
+			if id, ok := o.pick(t, inAttempt); ok {
 				o.finish(t, id, patarget.Outcome(rapid.IntRange(0, 6).Draw(t, "outcome")))
 			}
 		},
 		"Answer": func(t *rapid.T) {
-			if id, ok := o.any(t, flying); ok {
+			if id, ok := o.pick(t, inAttempt); ok {
 				o.finish(t, id, patarget.Answered)
 			}
 		},
 		"Cancel": func(t *rapid.T) {
-			id, ok := o.any(t, func(h *held) bool { return !h.cancelled })
+			id, ok := o.pick(t, func(h *modelRequest) bool { return !h.cancelled })
 			if !ok {
 				return
 			}
-			if h := o.held[id]; flying(h) {
+			if h := o.requests[id]; inAttempt(h) {
 				h.cancelled = true
 			} else {
-				delete(o.held, id)
+				delete(o.requests, id)
 			}
 			o.check(o.owner.Cancel(o.now, id, nil))
 		},
@@ -306,17 +315,19 @@
 		},
 		"Idle": func(*rapid.T) { o.tick(patarget.ProbeIdle) },
 		"Silent": func(t *rapid.T) {
-			if id, ok := o.any(t, func(h *held) bool { return h.target != "" }); ok {
+			if id, ok := o.pick(t, func(h *modelRequest) bool { return h.target != "" }); ok {
 				o.finish(t, id, patarget.Silent)
 			}
 		},
 		"Again": func(t *rapid.T) {
-			for id, ok := o.any(t, flying); ok; id, ok = o.any(t, func(h *held) bool { return flying(h) && h.attempt > 1 }) {
+			for id, ok := o.pick(t, inAttempt); ok; id, ok = o.pick(t, func(h *modelRequest) bool {
+				return inAttempt(h) && h.attempt > 1
+			}) {
 				o.finish(t, id, patarget.NotRun)
 			}
 		},
 		"NotRun": func(t *rapid.T) {
-			if id, ok := o.any(t, flying); ok {
+			if id, ok := o.pick(t, inAttempt); ok {
 				o.finish(t, id, patarget.NotRun)
 			}
 		},
@@ -332,14 +343,17 @@
 		},
 		"Report": func(t *rapid.T) {
 			n := name(t)
-			l := patarget.Load{Measured: o.now, Running: rapid.IntRange(0, 4).Draw(t, "running"), Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0}
+			l := patarget.Load{
+				Measured: o.now, Running: rapid.IntRange(0, 4).Draw(t, "running"),
+				Leaving: rapid.IntRange(0, 9).Draw(t, "leaving") == 0,
+			}
 			o.leaving[n] = o.leaving[n] || l.Leaving
 			o.check(o.owner.Report(o.now, n, l, nil))
 		},
 		"Configure": func(t *rapid.T) {
 			o.services = rapid.IntRange(1, 2).Draw(t, "services")
 			o.check(o.owner.Configure(o.now, pabundle.Policy{First: pabundle.LatencyFirst}, services()[:o.services], nil))
-			o.set(nil)
+			o.setTargets(nil)
 		},
 		"Own": func(t *rapid.T) {
 			var some []paowner.OwnedTarget
@@ -349,53 +363,53 @@
 					some = append(some, w)
 				}
 			}
-			o.set(some)
+			o.setTargets(some)
 		},
 		"Elsewhere": func(t *rapid.T) {
-			o.room = []paplacement.Candidate{{
+			o.candidates = []paplacement.Candidate{{
 				Distance: paplacement.Distance(rapid.IntRange(1, 2).Draw(t, "distance")), Entry: "other", Slots: 3,
 				Free: rapid.IntRange(0, 3).Draw(t, "free"), Allowed: rapid.Bool().Draw(t, "allowed"),
 				Credits: rapid.IntRange(0, 1).Draw(t, "credits"), LinkRoom: 1000,
 			}}
 		},
 		"": func(t *rapid.T) {
-			if len(o.held) != o.owner.ActiveRequests() {
-				t.Fatalf("the oracle holds %d requests, the owner %d", len(o.held), o.owner.ActiveRequests())
+			if len(o.requests) != o.owner.ActiveRequests() {
+				t.Fatalf("the oracle has %d active requests, the owner %d", len(o.requests), o.owner.ActiveRequests())
 			}
-			o.noneWaitsForNothing()
-			if o.owner.ActiveRequests() > roomForRequests {
-				t.Fatalf("%d requests are held with room for %d", o.owner.ActiveRequests(), roomForRequests)
+			o.checkNoStranded()
+			if o.owner.ActiveRequests() > maxRequests {
+				t.Fatalf("%d requests are active, want at most %d", o.owner.ActiveRequests(), maxRequests)
 			}
 		},
 	}
 }
 
-// noneWaitsForNothing: what waits for a service whose last target left is placed anew or refused.
-func (o *oracle) noneWaitsForNothing() {
+// checkNoStranded checks that no request stays queued for a service whose last target left.
+func (o *oracle) checkNoStranded() {
 	serving := map[pabundle.ServiceName]bool{}
 	for _, w := range o.owned {
 		if !o.leaving[w.Target.Name] {
 			serving[w.Service] = true
 		}
 	}
-	for id, h := range o.held {
-		if !h.cancelled && !flying(h) && !serving[h.request.Service] {
-			o.t.Fatalf("request %d waits and no target is left", id)
+	for id, h := range o.requests {
+		if !h.cancelled && !inAttempt(h) && !serving[h.request.Service] {
+			o.t.Fatalf("request %d is queued although its service has no target left", id)
 		}
 	}
 }
 
-// drain ends every attempt; after the last deadline nothing may be left.
-func (o *oracle) drain(t *rapid.T) {
+// finishAll ends every attempt and checks that no request is left after the last deadline.
+func (o *oracle) finishAll(t *rapid.T) {
 	for range 4 {
 		for id := paowner.RequestID(1); id <= o.ids; id++ {
-			if h := o.held[id]; h != nil && flying(h) {
+			if h := o.requests[id]; h != nil && inAttempt(h) {
 				o.finish(t, id, patarget.Answered)
 			}
 		}
 		o.tick(10 * time.Second)
 	}
 	if o.owner.ActiveRequests() != 0 {
-		t.Fatalf("%d requests never ended", o.owner.ActiveRequests())
+		t.Fatalf("%d requests did not end", o.owner.ActiveRequests())
 	}
 }
--- a/paowner/main_test.go
+++ b/paowner/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed and length of the fuzzing, so that every run gives the same verdict;
-// the flags of rapid override it.
+// TestMain fixes the seed and length of the property tests, so that every run gives the same result;
+// the flags of rapid override them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "400", "rapid.steps": "80"} {
--- a/paowner/target_test.go
+++ b/paowner/target_test.go
@@ -9,28 +9,28 @@
 	"papayahead/patarget"
 )
 
-// scene is an owner of one target with three slots.
-type scene struct {
+// fixture holds an owner of one target and a clock.
+type fixture struct {
 	t     *testing.T
 	now   time.Time
 	owner *paowner.Owner
 	ids   paowner.RequestID
 }
 
-func newScene(t *testing.T, w paowner.OwnedTarget) *scene {
-	s := &scene{t: t, now: time.Unix(1_000_000, 0)}
+func newFixture(t *testing.T, w paowner.OwnedTarget) *fixture {
+	s := &fixture{t: t, now: time.Unix(1_000_000, 0)}
 	s.owner = paowner.New(paowner.Config{Services: services(), Rand: rand.New(rand.NewPCG(1, 2))})
 	s.owner.SetTargets(s.now, []paowner.OwnedTarget{w}, nil)
 	return s
 }
 
-func (s *scene) offer() []paowner.Decision {
+func (s *fixture) offer() []paowner.Decision {
 	s.ids++
 	r := paowner.Request{ID: s.ids, Service: "deposits", Deadline: s.now.Add(10 * time.Second)}
 	return s.owner.Offer(s.now, r, nil)
 }
 
-func (s *scene) starts(ds []paowner.Decision) int {
+func (s *fixture) countStarts(ds []paowner.Decision) int {
 	n := 0
 	for _, d := range ds {
 		if _, ok := d.(paowner.Start); ok {
@@ -40,64 +40,64 @@
 	return n
 }
 
-// A deposit gets no answer because a middlebox forgot its connection; the target is well. Whoever
-// blames the target takes it out of service. The owner closes the idle connections, sends nothing
-// until a probe over a new connection has come back, and then goes on as before.
+// Guards against ejecting a healthy target because a middlebox dropped the state of a connection, so that
+// a request got no answer. The owner has to close the idle connections, hold requests back until a probe
+// over a new connection succeeds, and then use the target as before.
 func TestSilentConnectionIsNotBlamedOnTarget(t *testing.T) {
-	s := newScene(t, owned("deposits", 2, patarget.Warm))
+	s := newFixture(t, ownedTarget("deposits", 2, patarget.Warm))
 	for range 2 * patarget.EjectSamples {
-		if s.starts(s.offer()) != 1 {
-			t.Fatal("the request does not start")
+		if s.countStarts(s.offer()) != 1 {
+			t.Fatal("the request was not started")
 		}
 		s.now = s.now.Add(time.Second)
 		ds := s.owner.Finish(s.now, s.ids, paowner.Result{Attempt: 1, Outcome: patarget.Silent}, nil)
 		_, closes := ds[0].(paowner.CloseConnections)
 		_, probes := ds[1].(paowner.Probe)
 		if !closes || !probes {
-			t.Fatalf("decisions on silence: %+v", ds)
+			t.Fatalf("decisions after a silent connection: %+v, want CloseConnections and Probe", ds)
 		}
-		if s.starts(s.offer()) != 0 {
-			t.Fatal("a request starts on a target in doubt")
+		if s.countStarts(s.offer()) != 0 {
+			t.Fatal("a request was started on a target before its probe succeeded")
 		}
 		ds = s.owner.Probed(s.now, "deposits-2", true, nil)
-		if s.starts(ds) != 1 {
-			t.Fatalf("after the probe: %+v", ds)
+		if s.countStarts(ds) != 1 {
+			t.Fatalf("decisions after the probe: %+v, want one Start", ds)
 		}
 		s.owner.Finish(s.now, s.ids, paowner.Result{Attempt: 1, Run: time.Millisecond}, nil)
 		s.now = s.now.Add(time.Second)
 	}
 	if p, _ := s.owner.Phase("deposits-2"); p != patarget.Serving {
-		t.Fatalf("the target is %v", p)
+		t.Fatalf("the target's phase is %v, want Serving", p)
 	}
 }
 
-// Every answer of a service is a failure, because of a fault in its data, and the owner has one
-// target of it. Ejected, it would answer nobody at all although other requests may be served.
-func TestOnlyTargetStays(t *testing.T) {
-	s := newScene(t, owned("deposits", 2, patarget.Warm))
+// Guards against ejecting an owner's only target of a service when all its answers are failures, such as
+// after a fault in the service's data. Ejection would also stop the requests that it could still answer.
+func TestOnlyTargetIsNotEjected(t *testing.T) {
+	s := newFixture(t, ownedTarget("deposits", 2, patarget.Warm))
 	for range 4 * patarget.EjectSamples {
-		if s.starts(s.offer()) != 1 {
-			t.Fatal("the only target gets no work")
+		if s.countStarts(s.offer()) != 1 {
+			t.Fatal("the only target got no request")
 		}
 		s.owner.Finish(s.now, s.ids, paowner.Result{Attempt: 1, Outcome: patarget.Failed}, nil)
 	}
 }
 
-// An entry VM stops and hands a target over with two of three slots taken. The new owner may use one
-// slot at once, and each other one when the former owner says that its request has ended, or at
-// the latest when the wait is over.
-func TestHandoverTellsWhatRuns(t *testing.T) {
-	w := owned("deposits", 2, patarget.Warm)
+// An entry VM that stops hands over a target with two of three slots in use. Guards against more requests
+// than slots: the new owner may use one slot at once, and each other one when the former owner reports the
+// end of its request, or at the latest after patarget.DefaultTakeover.
+func TestHandoverCountsRunningRequests(t *testing.T) {
+	w := ownedTarget("deposits", 2, patarget.Warm)
 	w.Running = 2
-	s := newScene(t, w)
-	if n := s.starts(s.offer()) + s.starts(s.offer()) + s.starts(s.offer()); n != 1 {
-		t.Fatalf("%d of three requests start beside two of the former owner", n)
+	s := newFixture(t, w)
+	if n := s.countStarts(s.offer()) + s.countStarts(s.offer()) + s.countStarts(s.offer()); n != 1 {
+		t.Fatalf("%d of three requests were started with two of the former owner still running, want 1", n)
 	}
-	if n := s.starts(s.owner.Release(s.now, "deposits-2", 1, nil)); n != 1 {
-		t.Fatalf("%d start after one ended", n)
+	if n := s.countStarts(s.owner.Release(s.now, "deposits-2", 1, nil)); n != 1 {
+		t.Fatalf("%d requests were started after one of the former owner ended, want 1", n)
 	}
 	s.now = s.now.Add(patarget.DefaultTakeover)
-	if n := s.starts(s.owner.Tick(s.now, nil)); n != 1 {
-		t.Fatalf("%d start after the wait", n)
+	if n := s.countStarts(s.owner.Tick(s.now, nil)); n != 1 {
+		t.Fatalf("%d requests were started after DefaultTakeover, want 1", n)
 	}
 }
