--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -145,7 +145,7 @@
 		reports:  map[pabundle.EntryName]report{},
 		changed:  true,
 	}
-	k.owner = paowner.New(paowner.Config{Candidates: k, Rand: fork(c.Random)})
+	k.owner = paowner.New(paowner.Config{Others: k, Rand: fork(c.Random)})
 	k.prepareLimits()
 	// Guards against a peer that knew this entry VM's predecessor and speaks before the first VM list
 	// was read: every step finds a view, if one of this entry VM alone.
--- a/paowner/fuzz_test.go
+++ b/paowner/fuzz_test.go
@@ -253,7 +253,7 @@
 			lingering: map[pabundle.TargetName][]time.Time{}, services: 2,
 		}
 		o.owner = paowner.New(paowner.Config{
-			Services: services(), Candidates: o, QueueLimit: 4, Rand: rand.New(rand.NewPCG(1, 2)),
+			Services: services(), Others: o, QueueLimit: 4, Rand: rand.New(rand.NewPCG(1, 2)),
 			Order: paqueue.Order(rapid.IntRange(0, 1).Draw(t, "order")),
 			Policy: pabundle.Policy{
 				First: rapid.SampledFrom(
--- a/paowner/offer.go
+++ b/paowner/offer.go
@@ -74,14 +74,14 @@
 // owners would get no requests for hours, so that their health would be unknown and the first burst
 // would find them cold.
 func (o *Owner) pickIdleOwner(now time.Time, s *service, rs *requestState) (paplacement.Candidate, bool) {
-	if rs.request.Origin != Caller || rs.attempt > 0 || o.config.Candidates == nil {
+	if rs.request.Origin != Caller || rs.attempt > 0 || o.config.Others == nil {
 		return paplacement.Candidate{}, false
 	}
 	s.offers++
 	if s.offers%idleOwnerInterval != 0 {
 		return paplacement.Candidate{}, false
 	}
-	o.candidates = o.config.Candidates.Candidates(now, rs.request.Service, o.candidates[:0])
+	o.candidates = o.config.Others.Candidates(now, rs.request.Service, o.candidates[:0])
 	idle := slices.DeleteFunc(o.candidates, func(c paplacement.Candidate) bool {
 		return c.Distance != paplacement.SameRegion || c.Slots <= 0 || c.Free < c.Slots || c.Full || c.Age > paplacement.MaxReportAge
 	})
@@ -97,7 +97,7 @@
 func (o *Owner) chooseCandidate(
 	now time.Time, s *service, rs *requestState, slots int, wait time.Duration,
 ) (paplacement.Candidate, bool) {
-	if rs.request.Origin != Caller || o.config.Candidates == nil || rs.forwardDistance == paplacement.OtherRegion {
+	if rs.request.Origin != Caller || o.config.Others == nil || rs.forwardDistance == paplacement.OtherRegion {
 		return paplacement.Candidate{}, false
 	}
 	o.candidates = o.candidates[:0]
@@ -106,7 +106,7 @@
 		o.candidates = append(o.candidates, own)
 	}
 	own := len(o.candidates)
-	o.candidates = o.config.Candidates.Candidates(now, rs.request.Service, o.candidates)
+	o.candidates = o.config.Others.Candidates(now, rs.request.Service, o.candidates)
 	// Choose takes the first of several equal candidates, which would get the overflow of every owner
 	// if the list were not shuffled.
 	o.config.Rand.Shuffle(len(o.candidates)-own, func(i, j int) {
--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -24,8 +24,8 @@
 	Policy pabundle.Policy
 	// Services are the services of the bundle; their Targets are not used.
 	Services []pabundle.Service
-	// Candidates lists the places to forward to; with nil only the owner's own targets are used.
-	Candidates CandidateSource
+	// Others lists the places to forward to; with nil only the owner's own targets are used.
+	Others CandidateSource
 	// Rand is the source of jitter and of random choices.
 	Rand *rand.Rand
 	// Order is the queue order. The zero value, AgedShortest, did best in the measurements.
--- a/paowner/spread_test.go
+++ b/paowner/spread_test.go
@@ -25,7 +25,7 @@
 ) (targets map[pabundle.TargetName]int, owners map[pabundle.EntryName]int) {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
-	o := paowner.New(paowner.Config{Services: services(), Candidates: others, Rand: rand.New(rand.NewPCG(1, 2))})
+	o := paowner.New(paowner.Config{Services: services(), Others: others, Rand: rand.New(rand.NewPCG(1, 2))})
 	o.SetTargets(now, []paowner.OwnedTarget{
 		ownedTarget("deposits", 1, patarget.Warm), ownedTarget("deposits", 2, patarget.Warm),
 	}, nil)
--- a/papolicy/host.go
+++ b/papolicy/host.go
@@ -72,7 +72,7 @@
 	h.owner = paowner.New(paowner.Config{
 		Policy:     w.deployment.Bundle.Policy,
 		Services:   w.deployment.Bundle.Services,
-		Candidates: h.view,
+		Others: h.view,
 		Rand:       rand.New(rand.NewPCG(w.setup.Seed, uint64(len(w.hosts)))),
 		Order:      w.setup.Order,
 		Tuning:     w.setup.Tuning,
--- a/paqueue/item.go
+++ b/paqueue/item.go
@@ -19,16 +19,16 @@
 	Flow uint8
 }
 
-// entry is an Item in its place.
-type entry struct {
+// queuedItem is an Item in its place.
+type queuedItem struct {
 	Item
 	// rank is what the order compares, smaller first; sequence breaks ties.
 	rank     int64
 	sequence uint64
 }
 
-// before says whether e runs before o.
-func (e *entry) before(o *entry) bool {
+// runsBefore says whether e runs runsBefore o.
+func (e *queuedItem) runsBefore(o *queuedItem) bool {
 	// Load: callers who repeat while first attempts wait. Harm prevented: repeats, which grow with
 	// the overload that causes them, crowd out first attempts until nothing is answered in time.
 	if e.Retry != o.Retry {
--- a/paqueue/query.go
+++ b/paqueue/query.go
@@ -19,10 +19,10 @@
 // WorkAhead returns the work that would run before the item.
 func (q *Queue) WorkAhead(i Item) time.Duration {
 	i.Flow %= Flows
-	e := entry{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
+	e := queuedItem{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
 	var sum time.Duration
 	for n := range q.items {
-		if q.items[n].before(&e) {
+		if q.items[n].runsBefore(&e) {
 			sum += q.items[n].Cost
 		}
 	}
@@ -34,7 +34,7 @@
 func (q *Queue) MaxWait(now time.Time, i Item) time.Duration {
 	left := i.Deadline.Sub(now) - i.Cost
 	if q.standing {
-		return min(left, q.standingWait())
+		return min(left, q.standingWaitOrDefault())
 	}
 	return left
 }
@@ -54,20 +54,20 @@
 	return next, true
 }
 
-func (q *Queue) next() int {
+func (q *Queue) nextIndex() int {
 	best := -1
 	for n := range q.items {
-		if best < 0 || q.items[n].before(&q.items[best]) {
+		if best < 0 || q.items[n].runsBefore(&q.items[best]) {
 			best = n
 		}
 	}
 	return best
 }
 
-func (q *Queue) last() int {
+func (q *Queue) lastIndex() int {
 	worst := -1
 	for n := range q.items {
-		if worst < 0 || q.items[worst].before(&q.items[n]) {
+		if worst < 0 || q.items[worst].runsBefore(&q.items[n]) {
 			worst = n
 		}
 	}
@@ -81,16 +81,16 @@
 	return DefaultLimit
 }
 
-func (q *Queue) standingWait() time.Duration {
+func (q *Queue) standingWaitOrDefault() time.Duration {
 	if q.StandingWait > 0 {
 		return q.StandingWait
 	}
 	return DefaultStandingWait
 }
 
-// patience is how long the wait has to stay high or low before it counts.
-func (q *Queue) patience() time.Duration {
-	if q.over {
+// confirmTime is how long the wait has to stay high or low before it counts.
+func (q *Queue) confirmTime() time.Duration {
+	if q.aboveBound {
 		return q.interval()
 	}
 	return min(ExitInterval, q.interval())
--- a/paqueue/queue.go
+++ b/paqueue/queue.go
@@ -42,14 +42,14 @@
 	// Aging stands for DefaultAging unless zero.
 	Aging float64
 
-	items    []entry
+	items    []queuedItem
 	work     time.Duration
 	sequence uint64
-	held     [Flows]int
-	// over says that the wait is above half of Standing, since when that has not changed.
-	over     bool
-	since    time.Time
-	standing bool
+	perFlow  [Flows]int
+	// aboveBound says that the wait is above half of Standing, since when that has not changed.
+	aboveBound bool
+	since      time.Time
+	standing   bool
 }
 
 // Push adds an item. When the queue is full the item may displace one that counts less, which is
@@ -57,33 +57,33 @@
 func (q *Queue) Push(i Item) (out Item, displaced, ok bool) {
 	i.Flow %= Flows
 	if len(q.items) >= q.limit() {
-		v := q.victim(i)
+		v := q.evictionIndex(i)
 		if v < 0 {
 			return Item{}, false, false
 		}
-		out, displaced = q.take(v), true
+		out, displaced = q.removeAt(v), true
 	}
 	q.sequence++
-	q.items = append(q.items, entry{Item: i, rank: q.rank(i), sequence: q.sequence})
+	q.items = append(q.items, queuedItem{Item: i, rank: q.rank(i), sequence: q.sequence})
 	q.work += i.Cost
-	q.held[i.Flow]++
+	q.perFlow[i.Flow]++
 	return out, displaced, true
 }
 
 // Pop removes the item that runs next.
 func (q *Queue) Pop() (Item, bool) {
-	n := q.next()
+	n := q.nextIndex()
 	if n < 0 {
 		return Item{}, false
 	}
-	return q.take(n), true
+	return q.removeAt(n), true
 }
 
 // Remove takes an item out by its ID, for a caller that has gone.
 func (q *Queue) Remove(id uint64) bool {
 	for n := range q.items {
 		if q.items[n].ID == id {
-			q.take(n)
+			q.removeAt(n)
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 func (q *Queue) Expire(now time.Time) (Item, bool) {
 	for n := range q.items {
 		if now.Add(q.items[n].Cost).After(q.items[n].Deadline) {
-			return q.take(n), true
+			return q.removeAt(n), true
 		}
 	}
 	return Item{}, false
@@ -104,18 +104,18 @@
 
 // Observe tells the queue how many slots serve it, and updates whether it stands.
 func (q *Queue) Observe(now time.Time, slots int) {
-	bound := q.standingWait() * enterFactor
+	bound := q.standingWaitOrDefault() * enterFactor
 	if q.standing {
-		bound = q.standingWait() / 2
+		bound = q.standingWaitOrDefault() / 2
 	}
 	over := q.DrainTime(slots) > bound
-	if over == q.over {
-		if now.Sub(q.since) >= q.patience() {
+	if over == q.aboveBound {
+		if now.Sub(q.since) >= q.confirmTime() {
 			q.standing = over
 		}
 		return
 	}
-	q.over = over
+	q.aboveBound = over
 	q.since = now
 }
 
@@ -123,19 +123,19 @@
 // down to Standing. Load: demand above capacity for longer than a burst. Harm prevented: a queue
 // as long as the deadline makes every answer as late as it may be.
 func (q *Queue) Shorten(slots int) (Item, bool) {
-	if !q.standing || q.DrainTime(slots) <= q.standingWait() {
+	if !q.standing || q.DrainTime(slots) <= q.standingWaitOrDefault() {
 		return Item{}, false
 	}
-	return q.take(q.last()), true
+	return q.removeAt(q.lastIndex()), true
 }
 
-func (q *Queue) take(n int) Item {
+func (q *Queue) removeAt(n int) Item {
 	i := q.items[n].Item
 	end := len(q.items) - 1
 	q.items[n] = q.items[end]
 	q.items = q.items[:end]
 	q.work -= i.Cost
-	q.held[i.Flow]--
+	q.perFlow[i.Flow]--
 	return i
 }
 
@@ -151,29 +151,29 @@
 	return i.Arrived.UnixNano() + int64(aging*float64(i.Cost))
 }
 
-// victim chooses what gives way to i in a full queue: a retry to a first attempt, else the last
+// evictionIndex chooses what gives way to i in a full queue: a retry to a first attempt, else the last
 // item of the flow that holds most, when that is more than i's own flow holds.
-func (q *Queue) victim(i Item) int {
+func (q *Queue) evictionIndex(i Item) int {
 	worst := -1
 	for n := range q.items {
 		e := &q.items[n]
-		yields := e.Retry && !i.Retry || e.Retry == i.Retry && q.held[e.Flow] > q.held[i.Flow]+1
+		yields := e.Retry && !i.Retry || e.Retry == i.Retry && q.perFlow[e.Flow] > q.perFlow[i.Flow]+1
 		if !yields {
 			continue
 		}
-		if worst < 0 || q.givesWay(e, &q.items[worst]) {
+		if worst < 0 || q.evictsFirst(e, &q.items[worst]) {
 			worst = n
 		}
 	}
 	return worst
 }
 
-func (q *Queue) givesWay(e, o *entry) bool {
+func (q *Queue) evictsFirst(e, o *queuedItem) bool {
 	if e.Retry != o.Retry {
 		return e.Retry
 	}
-	if q.held[e.Flow] != q.held[o.Flow] {
-		return q.held[e.Flow] > q.held[o.Flow]
+	if q.perFlow[e.Flow] != q.perFlow[o.Flow] {
+		return q.perFlow[e.Flow] > q.perFlow[o.Flow]
 	}
-	return o.before(e)
+	return o.runsBefore(e)
 }
