--- a/paqueue/doc.go
+++ b/paqueue/doc.go
@@ -1,7 +1,8 @@
-// Package paqueue is the bounded queue of one service at the owner of its targets.
+// Package paqueue implements the bounded request queue of one service at the owner of its targets.
 //
-// A Queue holds requests that wait for a slot. It answers two questions before it takes one: how
-// long would this request wait, and may the queue grow now. A queue that has stood for longer than
-// an Interval is shortened until its wait is below Standing again: a standing queue adds its
-// length to every answer and serves nobody sooner. A Queue does no I/O and reads no clock.
+// A Queue holds requests that wait for a slot. Before a request is added, the queue predicts how much
+// work is ahead of it and gives the longest wait to which it may be admitted. As in CoDel, a queue
+// whose wait stays high for an Interval counts as a standing queue and is shortened until its wait is
+// at most StandingWait: a standing queue delays every answer by its length without any gain in
+// throughput. A Queue does no I/O and reads no clock.
 package paqueue
--- a/paqueue/item.go
+++ b/paqueue/item.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Flows is the number of flows that a Queue keeps apart.
+// Flows is the number of flows between which a Queue is fair.
 const Flows = 16
 
-// Item is a request that waits.
+// Item is a queued request.
 type Item struct {
-	// ID is the caller's name for the request.
+	// ID identifies the request to the caller of the Queue.
 	ID uint64
-	// Arrived and Deadline bound its wait.
+	// Arrived is when the request arrived, Deadline when its run has to be complete.
 	Arrived, Deadline time.Time
 	// Cost is the predicted run time.
 	Cost time.Duration
-	// Retry marks a request that was attempted before, by its caller or by the system.
+	// Retry marks a request that was attempted before, by its caller or by this system.
 	Retry bool
-	// Flow is who the request is for, taken modulo Flows; flows share the queue.
+	// Flow is the group of clients that sent the request, taken modulo Flows. In a full queue items of the
+	// flow with the most items are evicted first.
 	Flow uint8
 }
 
-// queuedItem is an Item in its place.
+// queuedItem is an Item with its position in the scheduling order.
 type queuedItem struct {
 	Item
-	// rank is what the order compares, smaller first; sequence breaks ties.
+	// rank is the sort key, smaller first; sequence is the order of insertion and breaks ties.
 	rank     int64
 	sequence uint64
 }
 
 // runsBefore says whether e runs runsBefore o.
 func (e *queuedItem) runsBefore(o *queuedItem) bool {
-	// Load: callers who repeat while first attempts wait. Harm prevented: repeats, which grow with
-	// the overload that causes them, crowd out first attempts until nothing is answered in time.
+	// First attempts run before retries. Retries grow with the overload that causes them, and would
+	// otherwise crowd out first attempts until nothing is answered in time.
 	if e.Retry != o.Retry {
 		return o.Retry
 	}
--- a/paqueue/order.go
+++ b/paqueue/order.go
@@ -1,15 +1,17 @@
 package paqueue
 
-// Order is the rule by which a Queue chooses what runs next.
+// Order is the scheduling order of a Queue.
 type Order int
 
-// The orders. Others were measured and taken out again: pure shortest first, earliest deadline
-// first, last in first out while the queue stands, and fair sharing by cost.
+// The scheduling orders. Four others were measured and removed again: shortest job first without
+// aging, earliest deadline first, last in first out while the queue is standing, and fair sharing by
+// cost.
 const (
-	// AgedShortest runs the request with the least sum of its time of arrival and a multiple of its
-	// predicted cost: short work passes long, equal work keeps its order and nothing starves.
+	// AgedShortest is shortest job first with aging. It runs the request with the smallest sum of its time
+	// of arrival and a multiple of its predicted cost: short requests overtake long ones, requests of
+	// equal cost keep their order, and no request starves.
 	AgedShortest Order = iota
-	// FIFO runs the oldest request; it is kept as what AgedShortest is measured against.
+	// FIFO runs the oldest request first. It is the baseline that AgedShortest is measured against.
 	FIFO
 )
 
--- a/paqueue/query.go
+++ b/paqueue/query.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Len returns the number of items that wait.
+// Len returns the number of queued items.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Work returns the sum of the predicted costs of what waits.
+// Work returns the sum of the predicted costs of all queued items.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Standing says whether the queue has been long for longer than its Interval.
+// Standing says whether the queue counts as a standing queue, which Observe decides.
 func (q *Queue) Standing() bool { return q.standing }
 
-// DrainTime returns how long the given number of slots needs for what waits.
+// DrainTime returns how long the given number of slots needs to run all queued items.
 func (q *Queue) DrainTime(slots int) time.Duration {
 	return q.work / time.Duration(max(1, slots))
 }
 
-// WorkAhead returns the work that would run before the item.
+// WorkAhead returns the sum of the costs of the queued items that would run before the item.
 func (q *Queue) WorkAhead(i Item) time.Duration {
 	i.Flow %= Flows
 	e := queuedItem{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
@@ -29,8 +29,8 @@
 	return sum
 }
 
-// MaxWait returns the longest wait that an item may be admitted to: short while the queue stands,
-// else up to its deadline.
+// MaxWait returns the longest predicted wait with which an item may be admitted: the time left before
+// its deadline, and at most StandingWait while the queue is standing.
 func (q *Queue) MaxWait(now time.Time, i Item) time.Duration {
 	left := i.Deadline.Sub(now) - i.Cost
 	if q.standing {
@@ -39,8 +39,8 @@
 	return left
 }
 
-// NextChange returns when the queue has to be looked at next: when an item can no longer end in
-// time, or when it has stood for its Interval; ok is false when it is empty.
+// NextChange returns the earliest time at which a queued item can no longer complete before its deadline,
+// so that Expire removes it; ok is false for an empty queue.
 func (q *Queue) NextChange() (next time.Time, ok bool) {
 	for n := range q.items {
 		u := q.items[n].Deadline.Add(-q.items[n].Cost + 1)
@@ -88,7 +88,8 @@
 	return DefaultStandingWait
 }
 
-// confirmTime is how long the wait has to stay high or low before it counts.
+// confirmTime returns how long the wait has to stay on one side of Observe's bound before Observe changes
+// whether the queue is standing.
 func (q *Queue) confirmTime() time.Duration {
 	if q.aboveBound {
 		return q.interval()
