--- a/paplacement/pick.go
+++ b/paplacement/pick.go
@@ -1,24 +1,25 @@
 package paplacement
 
-// Option is an own target that could be given a request.
+// Option is a target of this entry VM that could get a request.
 type Option struct {
-	// Room is how many more requests it takes, Limit how many it may run at once.
+	// Room is how many more requests the target accepts, Limit how many it may run at once.
 	Room, Limit int
-	// Failures is its recent failure rate, 0 to 1.
+	// Failures is the target's recent failure rate, 0 to 1.
 	Failures float64
-	// LastStart orders the options by when each got its last request; 0 is one that never did.
+	// LastStart is the sequence number of the target's last request among all that were started on the
+	// service's targets, or 0 if it had none.
 	LastStart uint64
 }
 
-// PickTarget returns the index of the option with the smallest part of its slots in use, or None when none
-// has room. A failure rate counts as slots in use. Load: a target that fails fast is always the
-// least loaded. Harm prevented: it attracts the work of the others in the moment before it is ejected.
+// PickTarget returns the index of the option with the smallest fraction of its slots in use, or None if
+// no option has a free slot. The failure rate is added to the fraction. A target that fails fast is
+// always the least loaded and would otherwise attract most requests until it is ejected.
 //
-// Equal ones take turns. Load: less work than slots. Harm prevented: the first in the list gets nearly
-// all of it, and the others are cold when they are needed.
+// Among equal options the one whose last request started first is chosen. At low load the first one in the list
+// would otherwise get nearly all requests, and the others would be cold when they are needed.
 //
-// Choosing by expected completion, by the peak of run times or between two at random made no
-// difference that could be measured: targets that are slow or fail are set aside by patarget before.
+// Choosing by expected completion, by peak run times or by the better of two random options made no
+// measurable difference, because patarget takes slow and failing targets out of use before.
 func PickTarget(options []Option) int {
 	best := None
 	var least float64
