--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -28,7 +28,7 @@
 	Others CandidateSource
 	// Rand is the source of jitter and of random choices.
 	Rand *rand.Rand
-	// Order is the queue order. The zero value, AgedShortest, did best in the measurements.
+	// Order is the queue order. The zero value, AgedShortest, is the one that the measurements support.
 	Order paqueue.Order
 	// Tuning overrides constants, for experiments.
 	Tuning Tuning
@@ -100,7 +100,7 @@
 	budget   paretry.Budget
 	classes  [Classes]estimate
 	anyClass estimate
-	// nextReturn is the time at which the last of the refused callers was asked to retry, without jitter.
+	// nextReturn is the time up to which retries of refused callers are already scheduled.
 	nextReturn time.Time
 	// starts counts attempts started at this owner's targets. offers counts the first attempts of callers'
 	// requests that could start here at once, sentToIdle those of them forwarded to an idle owner instead.
--- a/paowner/target_test.go
+++ b/paowner/target_test.go
@@ -43,7 +43,7 @@
 // Guards against ejecting a healthy target because a middlebox dropped the state of a connection, so that
 // a request got no answer. The owner has to close the idle connections, hold requests back until a probe
 // over a new connection succeeds, and then use the target as before.
-func TestSilentConnectionIsNotBlamedOnTarget(t *testing.T) {
+func TestSilentConnectionDoesNotEjectTarget(t *testing.T) {
 	s := newFixture(t, ownedTarget("deposits", 2, patarget.Warm))
 	for range 2 * patarget.EjectSamples {
 		if s.countStarts(s.offer()) != 1 {
