--- a/papolicy/host.go
+++ b/papolicy/host.go
@@ -70,12 +70,12 @@
 	}
 	h.view = &view{host: h, reports: map[*host]report{}}
 	h.owner = paowner.New(paowner.Config{
-		Policy:     w.deployment.Bundle.Policy,
-		Services:   w.deployment.Bundle.Services,
-		Others: h.view,
-		Rand:       rand.New(rand.NewPCG(w.setup.Seed, uint64(len(w.hosts)))),
-		Order:      w.setup.Order,
-		Tuning:     w.setup.Tuning,
+		Policy:   w.deployment.Bundle.Policy,
+		Services: w.deployment.Bundle.Services,
+		Others:   h.view,
+		Rand:     rand.New(rand.NewPCG(w.setup.Seed, uint64(len(w.hosts)))),
+		Order:    w.setup.Order,
+		Tuning:   w.setup.Tuning,
 	})
 	h.decider = h.owner
 	return h
