--- a/paowner/decision.go
+++ b/paowner/decision.go
@@ -30,7 +30,8 @@
 	MaxWait time.Duration
 }
 
-// Refuse ends a request that was not executed.
+// Refuse ends a request that was not executed. Only an idempotent request may have run in an earlier
+// attempt.
 type Refuse struct {
 	Request RequestID
 	Reason  Reason
--- a/paowner/fuzz_test.go
+++ b/paowner/fuzz_test.go
@@ -41,7 +41,7 @@
 	leaving    map[pabundle.TargetName]bool
 	owned      []paowner.OwnedTarget
 	candidates []paplacement.Candidate
-	// services is how many of services are configured.
+	// services is how many of the services returned by services() are configured.
 	services int
 	// lingering holds, per target, until when each attempt may still run there after its end was reported.
 	lingering map[pabundle.TargetName][]time.Time
--- a/paowner/offer.go
+++ b/paowner/offer.go
@@ -211,7 +211,7 @@
 }
 
 // redistributeQueue empties the queue of a service without usable targets: each request is forwarded
-// or refused. None of them has run.
+// or refused, because its current attempt has not started.
 func (o *Owner) redistributeQueue(now time.Time, s *service, into []Decision) []Decision {
 	for {
 		i, ok := s.queue.Pop()
