--- a/pacontrol/agreement.go
+++ b/pacontrol/agreement.go
@@ -122,7 +122,7 @@
 		}
 	}
 	k.confirmed = k.head.Sequence
-	k.ledger.Confirm(now, k.head.Sequence)
+	k.ledger.ConfirmRollOut(now, k.head.Sequence)
 }
 
 // saidGoodBye reports whether a member left by its own word.
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -72,7 +72,7 @@
 	behind bool
 
 	limiter pashift.Limiter
-	counter pashift.Counter
+	counter pashift.Selector
 	table   *pashift.Table
 	// standingUntil is how long a neighbour's standing is taken after the first bundle.
 	standingUntil time.Time
@@ -202,7 +202,7 @@
 	case KeySettled:
 		k.ledger.Settle(now, v.Settlement)
 	case KeysHanded:
-		k.ledger.Inherit(now, v.Handover)
+		k.ledger.AcceptHandover(now, v.Handover)
 	case StandingAsked:
 		k.tellStanding(now, v.Sequence)
 	case StandingTold:
--- a/pacontrol/credit.go
+++ b/pacontrol/credit.go
@@ -36,7 +36,7 @@
 }
 
 // encodeCredit writes a credit as the token that travels with a forwarded request.
-func encodeCredit(r pacredit.Ref) string {
+func encodeCredit(r pacredit.CreditRef) string {
 	b, err := proto.Marshal(r.Wire())
 	if err != nil {
 		panic("pacontrol: a credit cannot be written: " + err.Error())
@@ -44,14 +44,14 @@
 	return base64.RawStdEncoding.EncodeToString(b)
 }
 
-func decodeCredit(token string) (pacredit.Ref, bool) {
+func decodeCredit(token string) (pacredit.CreditRef, bool) {
 	b, err := base64.RawStdEncoding.DecodeString(token)
 	if err != nil {
-		return pacredit.Ref{}, false
+		return pacredit.CreditRef{}, false
 	}
 	var w pawire.CreditRef
 	if proto.Unmarshal(b, &w) != nil {
-		return pacredit.Ref{}, false
+		return pacredit.CreditRef{}, false
 	}
 	r, err := pacredit.RefFromWire(&w)
 	return r, err == nil
@@ -134,7 +134,7 @@
 		if r == nil || r.perSecond < 0.1 {
 			continue
 		}
-		for _, x := range k.table.Standing(s.Name).Shares {
+		for _, x := range k.table.ShareState(s.Name).Shares {
 			if x.From == here && x.To != here && x.Share > 0 {
 				k.askRegion(now, s.Name, x.To, r.perSecond*x.Share*creditAhead.Seconds())
 			}
--- a/pacontrol/fuzz_test.go
+++ b/pacontrol/fuzz_test.go
@@ -165,7 +165,7 @@
 }
 
 func shareOf(e *entry, from, to pabundle.RegionName) float64 {
-	for _, s := range e.control.table.Standing(testService).Shares {
+	for _, s := range e.control.table.ShareState(testService).Shares {
 		if s.From == from && s.To == to {
 			return s.Share
 		}
--- a/pacontrol/key.go
+++ b/pacontrol/key.go
@@ -43,7 +43,7 @@
 // claimKey asks the key's keeper whether this copy may run, before any byte can go anywhere.
 func (k *Control) claimKey(now time.Time, v Offered) {
 	id := paledger.ID{Service: v.Request.Service, Key: v.Key}
-	home := paledger.Home(id, k.homes[v.Request.Service])
+	home := paledger.HomeRegion(id, k.homes[v.Request.Service])
 	keeper := paledger.Keeper(id, k.keepers(home))
 	c := &claim{offered: v, id: id, keeper: keeper}
 	k.claims[v.Request.ID] = c
@@ -55,7 +55,7 @@
 	c.asked = true
 	v, id, keeper := c.offered, c.id, c.keeper
 	ask := paledger.Claim{
-		ID: id, Request: v.Identity, Body: v.Digest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
+		ID: id, Request: v.Identity, BodyDigest: v.Digest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
 		Claimant: paledger.Claimant{Name: k.config.Self.Name, Incarnation: uint64(k.config.Self.Incarnation)},
 		Memory:   k.keyMemory(v.Request.Service),
 	}
@@ -133,7 +133,7 @@
 		c.granted = true
 		k.route(now, c.offered)
 	case paledger.NotRun:
-		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.ComeBack, keyComeBack)))
+		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.RetryAfter, keyComeBack)))
 	case paledger.Join:
 		k.join(now, c, r)
 	case paledger.Repeated:
@@ -172,7 +172,7 @@
 }
 
 func (k *Control) conclude(id paowner.RequestID, o paledger.Outcome, reason string, r paledger.Reply) {
-	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, ComeBack: r.ComeBack})
+	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, ComeBack: r.RetryAfter})
 }
 
 // sending notes that an attempt of a request begins.
@@ -229,8 +229,8 @@
 
 // setHomes takes the home regions of the bundle in force.
 func (k *Control) setHomes(now time.Time) {
-	k.homes = paledger.HomeRegions(k.bundle)
-	k.ledger.SetHomes(now, k.head.Sequence, k.homes)
+	k.homes = paledger.CandidateRegions(k.bundle)
+	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.homes)
 }
 
 // retireKeys hands the memory of keys over, at the start of a graceful shutdown.
--- a/pacontrol/limits.go
+++ b/pacontrol/limits.go
@@ -34,7 +34,7 @@
 	if k.table == nil {
 		k.askStanding(now)
 	}
-	k.limiter.Adopt(pashift.Roll{Bundle: k.bundle, Start: pashift.Position(k.head.Start), RolledAt: k.head.RolledAt}, now)
+	k.limiter.SetRollOut(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt}, now)
 	k.table = k.limiter.Step(now)
 	k.noteShifts(now)
 	k.setHomes(now)
--- a/pacontrol/note.go
+++ b/pacontrol/note.go
@@ -69,7 +69,7 @@
 
 // noteShifts records which services begin and end to move under the bundle in force.
 func (k *Control) noteShifts(now time.Time) {
-	end := pashift.EndsAt(pashift.Roll{Bundle: k.bundle, Start: pashift.Position(k.head.Start), RolledAt: k.head.RolledAt})
+	end := pashift.EndsAt(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt})
 	for _, s := range k.bundle.Services {
 		_, starts := k.head.Start[s.Name]
 		moves := starts && now.Before(end)
@@ -88,7 +88,7 @@
 func (k *Control) noteShed() {
 	here := k.config.Self.Region
 	for _, s := range k.bundle.Services {
-		down := k.table.Standing(s.Name).Down
+		down := k.table.ShareState(s.Name).Down
 		refused := k.table.Refused(s.Name, here)
 		for _, r := range k.bundle.Regions {
 			x := shedRegion{s.Name, r.Name}
--- a/pacontrol/region.go
+++ b/pacontrol/region.go
@@ -28,7 +28,7 @@
 				reading.Load = 1
 			}
 			k.limiter.Observe(now, s.Name, r.Name, reading)
-			k.limiter.Demand(s.Name, r.Name, k.foreignDemand(s, r.Name, alive))
+			k.limiter.SetDemand(s.Name, r.Name, k.foreignDemand(s, r.Name, alive))
 		}
 	}
 }
--- a/pacontrol/remote.go
+++ b/pacontrol/remote.go
@@ -41,7 +41,7 @@
 		k.countArrival(v.Request.Service)
 		r = k.counter.Route(k.table, pashift.Forward, v.Request.Service, here, k.config.Random.Float64())
 	} else {
-		r = k.counter.Arrive(k.table, now, v.Request.Service, v.From, here, k.config.Random.Float64())
+		r = k.counter.AdmitArrival(k.table, now, v.Request.Service, v.From, here, k.config.Random.Float64())
 	}
 	if r.Refused && v.From != here && k.live(v.From) > 0 {
 		// The caller's own region is in service: its share there is not a shift.
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case r.Refused:
-		k.refuse(v.Request.ID, "ShiftCap", r.ComeBack)
+		k.refuse(v.Request.ID, "ShiftCap", r.RetryAfter)
 	case r.Region == here:
 		k.decisions = k.owner.Offer(now, v.Request, k.decisions)
 	default:
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -90,7 +90,7 @@
 // ownShares is where the own region's requests for a service go.
 func (k *Control) ownShares(n pabundle.ServiceName) []pabundle.Share {
 	var own []pabundle.Share
-	for _, x := range k.table.Standing(n).Shares {
+	for _, x := range k.table.ShareState(n).Shares {
 		if x.From == k.config.Self.Region {
 			own = append(own, x)
 		}
--- a/pacontrol/standing.go
+++ b/pacontrol/standing.go
@@ -35,7 +35,7 @@
 // Standing is where a daemon's shares stand under a roll-out.
 type Standing struct {
 	Sequence pabundle.Sequence
-	Services map[pabundle.ServiceName]pashift.Standing
+	Services map[pabundle.ServiceName]pashift.ShareState
 }
 
 // standingWait is how long after its first bundle a daemon takes a neighbour's standing. Harm of
@@ -64,9 +64,9 @@
 func (k *Control) tellStanding(now time.Time, asked pabundle.Sequence) {
 	s := Standing{Sequence: k.head.Sequence}
 	if k.bundle != nil && asked == k.head.Sequence && !now.Before(k.standingUntil) {
-		s.Services = map[pabundle.ServiceName]pashift.Standing{}
+		s.Services = map[pabundle.ServiceName]pashift.ShareState{}
 		for _, v := range k.bundle.Services {
-			s.Services[v.Name] = k.table.Standing(v.Name)
+			s.Services[v.Name] = k.table.ShareState(v.Name)
 		}
 	}
 	k.effects = append(k.effects, ReplyStanding{Standing: s})
@@ -79,7 +79,7 @@
 	}
 	k.standingUntil = now
 	for n, x := range s.Services {
-		k.limiter.Follow(n, x)
+		k.limiter.CopyShares(n, x)
 	}
 	k.table = k.limiter.Step(now)
 }
@@ -106,7 +106,7 @@
 	if len(w.GetShares()) > maxStanding || len(w.GetDown()) > maxStanding {
 		return Standing{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxStanding)
 	}
-	s := Standing{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.Standing{}}
+	s := Standing{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.ShareState{}}
 	for _, x := range w.GetShares() {
 		if !(x.GetShare() >= 0 && x.GetShare() <= 1) {
 			return Standing{}, trace.BadParameter("standing with a share of %v: want 0 to 1", x.GetShare())
--- a/pacredit/credit.go
+++ b/pacredit/credit.go
@@ -65,8 +65,8 @@
 	Term time.Duration
 }
 
-// Ref names one credit; it travels with the request that spends it.
-type Ref struct {
+// CreditRef names one credit; it travels with the request that spends it.
+type CreditRef struct {
 	Source Identity
 	// Granter is the incarnation that granted.
 	Granter  uint64
--- a/pacredit/credit_test.go
+++ b/pacredit/credit_test.go
@@ -47,8 +47,8 @@
 	frozen      [3]bool
 	asks        [][]byte
 	grants      [][]byte
-	refs        []Ref
-	started     map[Ref]bool
+	refs        []CreditRef
+	started     map[CreditRef]bool
 	running     int // work of this start of the owner
 	left        int // work of earlier starts that still runs
 	local       int
@@ -131,7 +131,7 @@
 	w.holders[i].Accept(w.clock(i), g)
 }
 
-func (w *world) redeem(t *rapid.T, r Ref) {
+func (w *world) redeem(t *rapid.T, r CreditRef) {
 	if w.granter.Redeem(w.now, r) != Start {
 		return
 	}
@@ -148,7 +148,7 @@
 // step the credits that can still be spent and the remote work fit into the slots.
 func TestCreditsNeverPassTheSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: epoch, started: map[Ref]bool{}}
+		w := &world{now: epoch, started: map[CreditRef]bool{}}
 		w.restartGranter()
 		for i := range w.holders {
 			w.holders[i] = &Holder{Self: Identity{pabundle.EntryName(fmt.Sprint("source", i)), 1}}
@@ -201,7 +201,7 @@
 				w.load()
 			},
 			"local": func(t *rapid.T) {
-				if w.granter.LocalRoom(deposits) > 0 && w.now.Sub(w.granter.Started) >= Term {
+				if w.granter.LocalFreeSlots(deposits) > 0 && w.now.Sub(w.granter.Started) >= Term {
 					w.local++
 				} else if w.local > 0 {
 					w.local--
@@ -258,7 +258,7 @@
 	h := &Holder{Self: Identity{"source", 1}}
 	g := &Granter{Self: Identity{owner, 1}}
 	now := epoch
-	var old Ref
+	var old CreditRef
 	for n := range 5 {
 		h = &Holder{Self: Identity{"source", uint64(n + 1)}}
 		g.SetLoad(deposits, Load{Slots: slots})
@@ -310,8 +310,8 @@
 			t.Errorf("source%d got %d credits of 30, of a demand of 5 in 65", i, n)
 		}
 	}
-	if g.LocalRoom(deposits) < 10 {
-		t.Errorf("local work has %d of 40 slots left", g.LocalRoom(deposits))
+	if g.LocalFreeSlots(deposits) < 10 {
+		t.Errorf("local work has %d of 40 slots left", g.LocalFreeSlots(deposits))
 	}
 	// Half a minute later three in four targets die with 30 credits out.
 	now := epoch.Add(time.Minute)
@@ -319,7 +319,7 @@
 	g.SetLoad(deposits, Load{Slots: 10})
 	started := 0
 	for i := range n {
-		if g.Redeem(now, Ref{Identity{"source0", 1}, 1, 9, deposits, i}) == Start {
+		if g.Redeem(now, CreditRef{Identity{"source0", 1}, 1, 9, deposits, i}) == Start {
 			started++
 		}
 	}
@@ -349,7 +349,7 @@
 func FuzzMessages(f *testing.F) {
 	f.Add(marshal(Ask{Identity{"a", 1}, 1, []Item{{deposits, 3}}}.Wire()))
 	f.Add(marshal(Grant{Identity{owner, 1}, Identity{"a", 1}, 1, []Item{{deposits, 3}}, Term}.Wire()))
-	f.Add(marshal(Ref{Identity{"a", 1}, 1, 1, deposits, 63}.Wire()))
+	f.Add(marshal(CreditRef{Identity{"a", 1}, 1, 1, deposits, 63}.Wire()))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		g := &Granter{Self: Identity{owner, 1}}
 		g.SetLoad(deposits, Load{Slots: slots})
--- a/pacredit/granter.go
+++ b/pacredit/granter.go
@@ -181,7 +181,7 @@
 
 // Redeem spends a credit for a request that arrived. Only after Start may the request be sent to a
 // target; a repeated request finds its credit spent.
-func (g *Granter) Redeem(now time.Time, r Ref) Redemption {
+func (g *Granter) Redeem(now time.Time, r CreditRef) Redemption {
 	g.expire(now)
 	s := g.sources[r.Source.Name]
 	if r.Granter != g.Self.Incarnation || s == nil || s.incarnation != r.Source.Incarnation {
@@ -286,7 +286,7 @@
 	return n
 }
 
-func (s *source) lot(r Ref) *lot {
+func (s *source) lot(r CreditRef) *lot {
 	for _, l := range s.lots {
 		if l.sequence == r.Sequence && l.service == r.Service && r.Index >= 0 && r.Index < l.count {
 			return l
--- a/pacredit/holder.go
+++ b/pacredit/holder.go
@@ -81,20 +81,20 @@
 }
 
 // Spend takes one credit; the one that expires first goes first. It returns false if there is none.
-func (h *Holder) Spend(now time.Time, granter pabundle.EntryName, name pabundle.ServiceName) (Ref, bool) {
+func (h *Holder) Spend(now time.Time, granter pabundle.EntryName, name pabundle.ServiceName) (CreditRef, bool) {
 	h.Tick(now)
 	o := h.granters[granter]
 	if o == nil {
-		return Ref{}, false
+		return CreditRef{}, false
 	}
 	for _, l := range o.lots {
 		if l.service == name && l.next < l.count && now.Before(l.until) {
-			r := Ref{Source: h.Self, Granter: o.incarnation, Sequence: l.sequence, Service: name, Index: l.next}
+			r := CreditRef{Source: h.Self, Granter: o.incarnation, Sequence: l.sequence, Service: name, Index: l.next}
 			l.next++
 			return r, true
 		}
 	}
-	return Ref{}, false
+	return CreditRef{}, false
 }
 
 // Tick drops what has expired. A frozen source needs no more than that: its clock went on, so its
--- a/pacredit/query.go
+++ b/pacredit/query.go
@@ -7,8 +7,8 @@
 	"papayahead/pabundle"
 )
 
-// LocalRoom returns how many more local requests may start without breaking a promise that is out.
-func (g *Granter) LocalRoom(name pabundle.ServiceName) int {
+// LocalFreeSlots returns how many more local requests may start without breaking a promise that is out.
+func (g *Granter) LocalFreeSlots(name pabundle.ServiceName) int {
 	v := g.services[name]
 	if v == nil {
 		return 0
--- a/pacredit/wire.go
+++ b/pacredit/wire.go
@@ -29,7 +29,7 @@
 }
 
 // Wire returns the reference as a message.
-func (r Ref) Wire() *pawire.CreditRef {
+func (r CreditRef) Wire() *pawire.CreditRef {
 	return &pawire.CreditRef{
 		Source: string(r.Source.Name), SourceIncarnation: r.Source.Incarnation, GranterIncarnation: r.Granter,
 		Sequence: r.Sequence, Service: string(r.Service), Index: uint32(r.Index),
@@ -70,17 +70,17 @@
 }
 
 // RefFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
-func RefFromWire(m *pawire.CreditRef) (Ref, error) {
+func RefFromWire(m *pawire.CreditRef) (CreditRef, error) {
 	if err := checkName(m.GetSource()); err != nil {
-		return Ref{}, trace.Wrap(err)
+		return CreditRef{}, trace.Wrap(err)
 	}
 	if err := checkName(m.GetService()); err != nil {
-		return Ref{}, trace.Wrap(err)
+		return CreditRef{}, trace.Wrap(err)
 	}
 	if m.GetIndex() >= maxLot {
-		return Ref{}, trace.BadParameter("credit: index %d, want less than %d", m.GetIndex(), maxLot)
+		return CreditRef{}, trace.BadParameter("credit: index %d, want less than %d", m.GetIndex(), maxLot)
 	}
-	return Ref{
+	return CreditRef{
 		Source:  Identity{pabundle.EntryName(m.GetSource()), m.GetSourceIncarnation()},
 		Granter: m.GetGranterIncarnation(), Sequence: m.GetSequence(),
 		Service: pabundle.ServiceName(m.GetService()), Index: int(m.GetIndex()),
--- a/paledger/claim.go
+++ b/paledger/claim.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// MaxSkew is the largest difference between two clocks, a caller's among them, that memory
+	// MaxClockSkew is the largest difference between two clocks, a caller's among them, that memory
 	// allows for. Harm: a repeat whose stamp is too young passes for a first copy. Value: as for
 	// the caps of shifts.
-	MaxSkew = 5 * time.Second
+	MaxClockSkew = 5 * time.Second
 	// skewMargin is how much younger than the memory a first copy has to be.
-	skewMargin = 2 * MaxSkew
+	skewMargin = 2 * MaxClockSkew
 	// liveMargin is how long after its deadline a granted copy is still taken for live. Its
 	// claimant starts nothing after the deadline; the margin is for the settling message.
-	liveMargin = MaxSkew
-	// FreezeGap is the pause between two calls after which a keeper trusts nothing until its members
+	liveMargin = MaxClockSkew
+	// FreezeThreshold is the pause between two calls after which a keeper trusts nothing until its members
 	// have confirmed it anew. It is that of paview.
-	FreezeGap = 3 * time.Second
+	FreezeThreshold = 3 * time.Second
 	// maxEras bounds the changes of keepers that are kept; more are summed up to the latest.
 	maxEras = 32
 	// minComeBack is the time to come back to a keeper that cannot answer yet.
@@ -45,8 +45,8 @@
 	// Request is the identity of this copy; a repeat by the caller has another.
 	Request  string
 	Claimant Claimant
-	// Body is a digest of method, path and body: another request under the same key is refused.
-	Body uint64
+	// BodyDigest is a digest of method, path and body: another request under the same key is refused.
+	BodyDigest uint64
 	// FirstSent is when the caller sent its first copy, zero if it did not say.
 	FirstSent time.Time
 	// Repeat says that the caller marked this copy as a repeat.
@@ -133,13 +133,13 @@
 	Verdict Verdict
 	Reason  Reason
 	// Outcome, Status and Answer are what is remembered of a copy that ended.
-	Outcome Outcome
-	Status  int
-	Answer  uint64
+	Outcome      Outcome
+	Status       int
+	AnswerDigest uint64
 	// Live is the identity of the copy that runs, with Join.
 	Live string
-	// ComeBack is when to ask again, without jitter; 0 means that asking again is of no use.
-	ComeBack time.Duration
+	// RetryAfter is when to ask again, without jitter; 0 means that asking again is of no use.
+	RetryAfter time.Duration
 }
 
 // Settlement tells a keeper how a granted copy ended.
@@ -148,8 +148,8 @@
 	Request string
 	Outcome Outcome
 	Status  int
-	// Answer is a digest of the answer.
-	Answer uint64
+	// AnswerDigest is a digest of the answer.
+	AnswerDigest uint64
 }
 
 // State is what a ledger holds of a key.
@@ -181,8 +181,8 @@
 	State    State
 	Status   int
 	Answer   uint64
-	// Deadline is that of the granted copy, Touched when the record last changed.
-	Deadline, Touched time.Time
+	// Deadline is that of the granted copy, ChangedAt when the record last changed.
+	Deadline, ChangedAt time.Time
 	// Memory is how long the record is kept after Touched.
 	Memory time.Duration
 }
--- a/paledger/example_test.go
+++ b/paledger/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	started := time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 	l := paledger.Ledger{Self: "centro-1", Incarnation: 1, Region: "centro", Capacity: 1000}
-	l.SetHomes(started, 1, map[pabundle.ServiceName][]pabundle.RegionName{"deposits": {"centro"}})
+	l.SetCandidateRegions(started, 1, map[pabundle.ServiceName][]pabundle.RegionName{"deposits": {"centro"}})
 	l.SetMembers(started, []pabundle.EntryName{"centro-1"})
 
 	now := started.Add(2 * time.Second)
--- a/paledger/handover.go
+++ b/paledger/handover.go
@@ -55,7 +55,7 @@
 	since := l.MemorySince()
 	out := make(map[pabundle.EntryName][]Handover, len(sorted))
 	for n, records := range sorted {
-		slices.SortFunc(records, func(a, b Record) int { return a.Touched.Compare(b.Touched) })
+		slices.SortFunc(records, func(a, b Record) int { return a.ChangedAt.Compare(b.ChangedAt) })
 		parts := max(1, (len(records)+maxRecords-1)/maxRecords)
 		for p := range parts {
 			from, to := p*maxRecords, min((p+1)*maxRecords, len(records))
@@ -65,9 +65,9 @@
 	return out
 }
 
-// Inherit takes a part of a predecessor's memory. What is known here of a copy that may have run stays. A part that
+// AcceptHandover takes a part of a predecessor's memory. What is known here of a copy that may have run stays. A part that
 // does not fit leaves the handover incomplete, and the predecessor's keys stay refused as too old.
-func (l *Ledger) Inherit(now time.Time, h Handover) {
+func (l *Ledger) AcceptHandover(now time.Time, h Handover) {
 	l.Tick(now)
 	i := l.inheritance(h)
 	if i == nil || len(l.records)+len(h.Records) > l.Capacity {
--- a/paledger/keeper.go
+++ b/paledger/keeper.go
@@ -6,9 +6,9 @@
 	"papayahead/pabundle"
 )
 
-// Home returns the region that keeps a key: the one with the highest rendezvous score among those
+// HomeRegion returns the region that keeps a key: the one with the highest rendezvous score among those
 // that have targets of the service. It depends on the bundle only. It returns "" for no regions.
-func Home(id ID, regions []pabundle.RegionName) pabundle.RegionName {
+func HomeRegion(id ID, regions []pabundle.RegionName) pabundle.RegionName {
 	return highest(id, regions)
 }
 
@@ -39,8 +39,8 @@
 	return d.Sum64()
 }
 
-// HomeRegions returns the regions that have targets of each service, in the bundle's order.
-func HomeRegions(b *pabundle.Bundle) map[pabundle.ServiceName][]pabundle.RegionName {
+// CandidateRegions returns the regions that have targets of each service, in the bundle's order.
+func CandidateRegions(b *pabundle.Bundle) map[pabundle.ServiceName][]pabundle.RegionName {
 	regionOf := make(map[pabundle.ZoneName]pabundle.RegionName)
 	for _, r := range b.Regions {
 		for _, z := range r.Zones {
--- a/paledger/ledger.go
+++ b/paledger/ledger.go
@@ -57,13 +57,13 @@
 	l.members = slices.Clone(members)
 }
 
-// SetHomes takes the home regions of a roll-out (HomeRegions). Until Confirm, a key that the
+// SetCandidateRegions takes the home regions of a roll-out (HomeRegions). Until Confirm, a key that the
 // roll-out moves is refused.
 //
 // Guards against a keeper that has not heard of a roll-out, behind a cut: it shows as a key that
 // runs in both regions. The guard holds because the new keeper waits until every entry VM has
 // confirmed the roll-out, and whoever has taken it refuses what it moved.
-func (l *Ledger) SetHomes(now time.Time, s pabundle.Sequence, regions map[pabundle.ServiceName][]pabundle.RegionName) {
+func (l *Ledger) SetCandidateRegions(now time.Time, s pabundle.Sequence, regions map[pabundle.ServiceName][]pabundle.RegionName) {
 	l.Tick(now)
 	if n := len(l.homes); n > 0 && l.homes[n-1].sequence >= s {
 		return
@@ -72,8 +72,8 @@
 	l.homes = append(slices.Clone(l.homes), homes{s, regions})
 }
 
-// Confirm says that every entry VM of all regions has taken the roll-out s or a later one.
-func (l *Ledger) Confirm(now time.Time, s pabundle.Sequence) {
+// ConfirmRollOut says that every entry VM of all regions has taken the roll-out s or a later one.
+func (l *Ledger) ConfirmRollOut(now time.Time, s pabundle.Sequence) {
 	l.Tick(now)
 	for len(l.homes) > 1 && l.homes[1].sequence <= s {
 		l.endEra(now)
@@ -83,7 +83,7 @@
 
 // Tick drops what has expired and finds a freeze of this process; call it about once a second.
 func (l *Ledger) Tick(now time.Time) {
-	if !l.last.IsZero() && now.Sub(l.last) > FreezeGap && l.members != nil {
+	if !l.last.IsZero() && now.Sub(l.last) > FreezeThreshold && l.members != nil {
 		l.endEra(now)
 		l.members = nil
 	}
@@ -120,15 +120,15 @@
 		return refuse(now, c, Full)
 	}
 	l.put(&Record{
-		ID: c.ID, Request: c.Request, Claimant: c.Claimant, Body: c.Body,
-		Deadline: c.Deadline, Touched: now, Memory: c.Memory,
+		ID: c.ID, Request: c.Request, Claimant: c.Claimant, Body: c.BodyDigest,
+		Deadline: c.Deadline, ChangedAt: now, Memory: c.Memory,
 	})
 	return Reply{Verdict: Granted}
 }
 
 // repeat answers a claim for a key that is remembered.
 func (l *Ledger) repeat(now time.Time, r *Record, c Claim) Reply {
-	if r.Body != c.Body {
+	if r.Body != c.BodyDigest {
 		return Reply{Verdict: Conflict}
 	}
 	switch r.State {
@@ -137,9 +137,9 @@
 			// The first reply was lost; the claimant starts a request only once.
 			return Reply{Verdict: Granted}
 		}
-		return Reply{Verdict: Join, Live: r.Request, ComeBack: minComeBack}
+		return Reply{Verdict: Join, Live: r.Request, RetryAfter: minComeBack}
 	case Done:
-		return Reply{Verdict: Repeated, Outcome: EndedAnswered, Status: r.Status, Answer: r.Answer}
+		return Reply{Verdict: Repeated, Outcome: EndedAnswered, Status: r.Status, AnswerDigest: r.Answer}
 	case Free:
 		return Reply{Verdict: NotRun, Reason: GivenUp}
 	default:
@@ -157,7 +157,7 @@
 	}
 	switch {
 	case s.Outcome == EndedAnswered && (r.State == Live || r.State == Lost):
-		r.State, r.Status, r.Answer = Done, s.Status, s.Answer
+		r.State, r.Status, r.Answer = Done, s.Status, s.AnswerDigest
 	case s.Outcome == EndedNotRun && (r.State == Live || r.State == Lost):
 		r.State = Free
 	case s.Outcome == EndedUnknown && r.State == Live:
@@ -165,7 +165,7 @@
 	default:
 		return
 	}
-	r.Touched = now
+	r.ChangedAt = now
 	l.put(r)
 }
 
@@ -177,7 +177,7 @@
 func (l *Ledger) tooOld(now time.Time, c Claim) Reason {
 	since := l.since(c.ID)
 	switch {
-	case c.FirstSent.After(now.Add(MaxSkew)):
+	case c.FirstSent.After(now.Add(MaxClockSkew)):
 		return Unstamped
 	case !c.FirstSent.IsZero() && c.FirstSent.Before(since.Add(skewMargin)):
 		return TooOld
@@ -192,12 +192,12 @@
 // refuse answers a claim that is not granted, without a look at the memory. A repeat is not told
 // that it has not run: that would be true of this copy only.
 func refuse(now time.Time, c Claim, why Reason) Reply {
-	r := Reply{Verdict: NotRun, Reason: why, ComeBack: minComeBack}
-	if c.Repeat || !c.FirstSent.IsZero() && now.Sub(c.FirstSent) > MaxSkew {
+	r := Reply{Verdict: NotRun, Reason: why, RetryAfter: minComeBack}
+	if c.Repeat || !c.FirstSent.IsZero() && now.Sub(c.FirstSent) > MaxClockSkew {
 		r.Verdict = Unknown
 	}
 	if why == Late {
-		r.ComeBack = 0
+		r.RetryAfter = 0
 	}
 	return r
 }
@@ -219,7 +219,7 @@
 			continue
 		}
 		if r.State == Live {
-			r.State, r.Touched = Lost, now
+			r.State, r.ChangedAt = Lost, now
 			heap.Push(&l.expiries, expiry{r.ID, r.expires()})
 			continue
 		}
@@ -231,8 +231,8 @@
 	if l.forgotten == nil {
 		l.forgotten = make(map[pabundle.ServiceName]time.Time)
 	}
-	if r.Touched.After(l.forgotten[r.ID.Service]) {
-		l.forgotten[r.ID.Service] = r.Touched
+	if r.ChangedAt.After(l.forgotten[r.ID.Service]) {
+		l.forgotten[r.ID.Service] = r.ChangedAt
 	}
 	delete(l.records, r.ID)
 }
--- a/paledger/ledger_test.go
+++ b/paledger/ledger_test.go
@@ -120,7 +120,7 @@
 	now := epoch.Add(time.Minute)
 	copyOf := func(request string) Claim {
 		return Claim{
-			ID: ID{deposit, "key"}, Request: request, Claimant: Claimant{"b", 1}, Body: 7,
+			ID: ID{deposit, "key"}, Request: request, Claimant: Claimant{"b", 1}, BodyDigest: 7,
 			FirstSent: now, Deadline: now.Add(timeout), Memory: memory,
 		}
 	}
@@ -144,7 +144,7 @@
 		"its claim by another start": {func(l *Ledger) { l.Claim(now, first) },
 			with(func(c *Claim) { c.Request, c.Claimant.Incarnation = "1", 2 }), Join, NoReason},
 		"a repeat of a live copy": {func(l *Ledger) { l.Claim(now, first) }, copyOf("2"), Join, NoReason},
-		"another body":            {func(l *Ledger) { l.Claim(now, first) }, with(func(c *Claim) { c.Body = 8 }), Conflict, NoReason},
+		"another body":            {func(l *Ledger) { l.Claim(now, first) }, with(func(c *Claim) { c.BodyDigest = 8 }), Conflict, NoReason},
 		"a repeat of an answered copy": {func(l *Ledger) {
 			l.Claim(now, first)
 			l.Settle(now, settle("1", EndedAnswered))
@@ -169,42 +169,42 @@
 		"a full ledger and a repeat":         {func(l *Ledger) { l.Capacity = 0 }, with(func(c *Claim) { c.Repeat = true }), Unknown, Full},
 		"past its deadline":                  {func(*Ledger) {}, with(func(c *Claim) { c.Deadline = now }), NotRun, Late},
 		"a keeper that shut down":            {func(l *Ledger) { l.Retire(now, nil) }, first, NotRun, Unsettled},
-		"a keeper that was frozen until now": {func(l *Ledger) { l.last = now.Add(-FreezeGap - 1) }, first, NotRun, Unsettled},
+		"a keeper that was frozen until now": {func(l *Ledger) { l.last = now.Add(-FreezeThreshold - 1) }, first, NotRun, Unsettled},
 		"a roll-out that moves the key": {func(l *Ledger) {
-			l.SetHomes(now, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
+			l.SetCandidateRegions(now, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
 		}, first, NotRun, NotKeeper},
 		"a roll-out that moved the key here": {func(l *Ledger) {
-			l.SetHomes(epoch, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
-			l.SetHomes(epoch, 3, regions)
+			l.SetCandidateRegions(epoch, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
+			l.SetCandidateRegions(epoch, 3, regions)
 			l.Tick(now)
 		}, first, NotRun, NotKeeper},
 		"and was confirmed": {func(l *Ledger) {
-			l.SetHomes(epoch, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
-			l.SetHomes(epoch, 3, regions)
-			l.Confirm(epoch, 3)
+			l.SetCandidateRegions(epoch, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
+			l.SetCandidateRegions(epoch, 3, regions)
+			l.ConfirmRollOut(epoch, 3)
 		}, first, Granted, NoReason},
 		"a part of a handover is missing": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
-			l.Inherit(now, Handover{From: "b", Incarnation: 1, Part: 1, Parts: 2, Since: epoch, Successors: entryVMs[:1]})
+			l.AcceptHandover(now, Handover{From: "b", Incarnation: 1, Part: 1, Parts: 2, Since: epoch, Successors: entryVMs[:1]})
 		}, first, Unknown, TooOld},
 		"a handover in which the key was meant for another": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
-			l.Inherit(now, Handover{From: "b", Incarnation: 1, Parts: 1, Since: epoch, Successors: []pabundle.EntryName{"c"}})
+			l.AcceptHandover(now, Handover{From: "b", Incarnation: 1, Parts: 1, Since: epoch, Successors: []pabundle.EntryName{"c"}})
 		}, first, Unknown, TooOld},
 		"all parts of a handover": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
 			for part := range 2 {
-				l.Inherit(now, Handover{From: "b", Incarnation: 1, Part: part, Parts: 2, Since: epoch, Successors: entryVMs[:1]})
+				l.AcceptHandover(now, Handover{From: "b", Incarnation: 1, Part: part, Parts: 2, Since: epoch, Successors: entryVMs[:1]})
 			}
 		}, first, Granted, NoReason},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			l := &Ledger{Self: "a", Region: region, Capacity: 10}
-			l.SetHomes(epoch, 1, regions)
+			l.SetCandidateRegions(epoch, 1, regions)
 			l.SetMembers(epoch, []pabundle.EntryName{"a"})
 			for at := epoch; at.Before(now); at = at.Add(time.Second) {
 				l.Tick(at)
@@ -220,7 +220,7 @@
 // Whatever bytes arrive, reading them gives an error or a value that is safe to use.
 func FuzzMessages(f *testing.F) {
 	c := Claim{ID: ID{deposit, "k"}, Request: "r", Claimant: Claimant{"a", 1}, Deadline: epoch.Add(timeout), Memory: memory}
-	record := Record{ID: ID{deposit, "l"}, Request: "r", Claimant: Claimant{"a", 1}, Deadline: epoch, Touched: epoch, Memory: memory}
+	record := Record{ID: ID{deposit, "l"}, Request: "r", Claimant: Claimant{"a", 1}, Deadline: epoch, ChangedAt: epoch, Memory: memory}
 	for _, m := range []proto.Message{
 		c.Wire(), Settlement{ID: c.ID, Request: "r"}.Wire(), Reply{Verdict: Join, Live: "r"}.Wire(),
 		Handover{From: "b", Parts: 1, Records: []Record{record}}.Wire(),
@@ -233,7 +233,7 @@
 	}
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		l := &Ledger{Self: "a", Region: region, Capacity: 3}
-		l.SetHomes(epoch, 1, regions)
+		l.SetCandidateRegions(epoch, 1, regions)
 		l.SetMembers(epoch, entryVMs[:1])
 		now := epoch.Add(time.Second)
 		var claim pawire.LedgerClaim
@@ -251,7 +251,7 @@
 		var handover pawire.LedgerHandover
 		if proto.Unmarshal(b, &handover) == nil {
 			if h, err := HandoverFromWire(&handover); err == nil {
-				l.Inherit(now, h)
+				l.AcceptHandover(now, h)
 			}
 		}
 		var reply pawire.LedgerReply
@@ -266,7 +266,7 @@
 
 func BenchmarkClaimAndSettle(b *testing.B) {
 	l := &Ledger{Self: "a", Region: region, Capacity: 1 << 20}
-	l.SetHomes(epoch, 1, regions)
+	l.SetCandidateRegions(epoch, 1, regions)
 	l.SetMembers(epoch, entryVMs[:1])
 	now := epoch.Add(time.Minute)
 	b.ReportAllocs()
--- a/paledger/query.go
+++ b/paledger/query.go
@@ -57,8 +57,8 @@
 // Len returns how many keys are remembered.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Keeps reports whether this entry VM keeps the key and may answer for it.
-func (l *Ledger) Keeps(id ID) bool {
+// IsKeeper reports whether this entry VM keeps the key and may answer for it.
+func (l *Ledger) IsKeeper(id ID) bool {
 	return l.members != nil && !l.retired && keeps(l.Self, l.Region, id, l.members, l.homes)
 }
 
@@ -90,7 +90,7 @@
 
 func home(region pabundle.RegionName, id ID, hs []homes) bool {
 	for _, h := range hs {
-		if Home(id, h.regions[id.Service]) != region {
+		if HomeRegion(id, h.regions[id.Service]) != region {
 			return false
 		}
 	}
@@ -101,7 +101,7 @@
 	if r.State == Live {
 		return r.Deadline.Add(liveMargin)
 	}
-	return r.Touched.Add(r.Memory + skewMargin)
+	return r.ChangedAt.Add(r.Memory + skewMargin)
 }
 
 func later(a, b time.Time) time.Time {
--- a/paledger/wire.go
+++ b/paledger/wire.go
@@ -13,7 +13,7 @@
 func (c Claim) Wire() *pawire.LedgerClaim {
 	return &pawire.LedgerClaim{
 		Service: string(c.ID.Service), Key: c.ID.Key, Request: c.Request,
-		Claimant: string(c.Claimant.Name), ClaimantIncarnation: c.Claimant.Incarnation, BodyDigest: c.Body,
+		Claimant: string(c.Claimant.Name), ClaimantIncarnation: c.Claimant.Incarnation, BodyDigest: c.BodyDigest,
 		FirstSentUnixNano: nano(c.FirstSent), Repeat: c.Repeat,
 		DeadlineUnixNano: nano(c.Deadline), MemoryNano: int64(c.Memory),
 	}
@@ -29,10 +29,10 @@
 			m.GetDeadlineUnixNano(), m.GetMemoryNano())
 	}
 	return Claim{
-		ID:       ID{pabundle.ServiceName(m.GetService()), m.GetKey()},
-		Request:  m.GetRequest(),
-		Claimant: Claimant{pabundle.EntryName(m.GetClaimant()), m.GetClaimantIncarnation()},
-		Body:     m.GetBodyDigest(), FirstSent: instant(m.GetFirstSentUnixNano()), Repeat: m.GetRepeat(),
+		ID:         ID{pabundle.ServiceName(m.GetService()), m.GetKey()},
+		Request:    m.GetRequest(),
+		Claimant:   Claimant{pabundle.EntryName(m.GetClaimant()), m.GetClaimantIncarnation()},
+		BodyDigest: m.GetBodyDigest(), FirstSent: instant(m.GetFirstSentUnixNano()), Repeat: m.GetRepeat(),
 		Deadline: instant(m.GetDeadlineUnixNano()), Memory: time.Duration(m.GetMemoryNano()),
 	}, nil
 }
@@ -41,7 +41,7 @@
 func (r Reply) Wire() *pawire.LedgerReply {
 	return &pawire.LedgerReply{
 		Verdict: uint32(r.Verdict), Reason: uint32(r.Reason), Outcome: uint32(r.Outcome), Status: uint32(max(0, r.Status)),
-		AnswerDigest: r.Answer, Live: r.Live, ComeBackMilliseconds: uint32(r.ComeBack.Milliseconds()),
+		AnswerDigest: r.AnswerDigest, Live: r.Live, ComeBackMilliseconds: uint32(r.RetryAfter.Milliseconds()),
 	}
 }
 
@@ -53,8 +53,8 @@
 	}
 	return Reply{
 		Verdict: Verdict(m.GetVerdict()), Reason: Reason(m.GetReason()), Outcome: Outcome(m.GetOutcome()),
-		Status: int(m.GetStatus()), Answer: m.GetAnswerDigest(), Live: m.GetLive(),
-		ComeBack: time.Duration(m.GetComeBackMilliseconds()) * time.Millisecond,
+		Status: int(m.GetStatus()), AnswerDigest: m.GetAnswerDigest(), Live: m.GetLive(),
+		RetryAfter: time.Duration(m.GetComeBackMilliseconds()) * time.Millisecond,
 	}, nil
 }
 
@@ -62,7 +62,7 @@
 func (s Settlement) Wire() *pawire.LedgerSettle {
 	return &pawire.LedgerSettle{
 		Service: string(s.ID.Service), Key: s.ID.Key, Request: s.Request,
-		Outcome: uint32(s.Outcome), Status: uint32(max(0, s.Status)), AnswerDigest: s.Answer,
+		Outcome: uint32(s.Outcome), Status: uint32(max(0, s.Status)), AnswerDigest: s.AnswerDigest,
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	return Settlement{
 		ID: ID{pabundle.ServiceName(m.GetService()), m.GetKey()}, Request: m.GetRequest(),
-		Outcome: Outcome(m.GetOutcome()), Status: int(m.GetStatus()), Answer: m.GetAnswerDigest(),
+		Outcome: Outcome(m.GetOutcome()), Status: int(m.GetStatus()), AnswerDigest: m.GetAnswerDigest(),
 	}, nil
 }
 
@@ -93,7 +93,7 @@
 		m.Records = append(m.Records, &pawire.LedgerRecord{
 			Service: string(r.ID.Service), Key: r.ID.Key, Request: r.Request, BodyDigest: r.Body,
 			State: uint32(r.State), Status: uint32(max(0, r.Status)), AnswerDigest: r.Answer,
-			DeadlineUnixNano: nano(r.Deadline), TouchedUnixNano: nano(r.Touched), MemoryNano: int64(r.Memory),
+			DeadlineUnixNano: nano(r.Deadline), TouchedUnixNano: nano(r.ChangedAt), MemoryNano: int64(r.Memory),
 			Claimant: string(r.Claimant.Name), ClaimantIncarnation: r.Claimant.Incarnation,
 		})
 	}
@@ -133,7 +133,7 @@
 			ID: ID{pabundle.ServiceName(r.GetService()), r.GetKey()}, Request: r.GetRequest(), Body: r.GetBodyDigest(),
 			Claimant: Claimant{pabundle.EntryName(r.GetClaimant()), r.GetClaimantIncarnation()},
 			State:    State(r.GetState()), Status: int(r.GetStatus()), Answer: r.GetAnswerDigest(),
-			Deadline: instant(r.GetDeadlineUnixNano()), Touched: instant(r.GetTouchedUnixNano()),
+			Deadline: instant(r.GetDeadlineUnixNano()), ChangedAt: instant(r.GetTouchedUnixNano()),
 			Memory: time.Duration(r.GetMemoryNano()),
 		})
 	}
--- a/paledger/world_test.go
+++ b/paledger/world_test.go
@@ -70,7 +70,7 @@
 	n := &node{offset: time.Duration(w.random.IntN(5000)-2500) * time.Millisecond}
 	n.view = &paview.View{Self: paview.Member{Name: name, Incarnation: w.starts}, Lag: lag, Started: w.clock(n)}
 	n.ledger = &Ledger{Self: name, Incarnation: w.starts, Region: region, Capacity: 100}
-	n.ledger.SetHomes(w.clock(n), 1, regions)
+	n.ledger.SetCandidateRegions(w.clock(n), 1, regions)
 	w.nodes[name] = n
 }
 
@@ -146,8 +146,8 @@
 	w.requests++
 	a := &attempt{by: by, claim: Claim{
 		ID: ID{deposit, fmt.Sprint(key)}, Request: fmt.Sprint(w.requests),
-		Claimant: Claimant{by.view.Self.Name, by.view.Self.Incarnation},
-		Body:     7, FirstSent: k.first, Repeat: marked && len(k.sent) > 0,
+		Claimant:   Claimant{by.view.Self.Name, by.view.Self.Incarnation},
+		BodyDigest: 7, FirstSent: k.first, Repeat: marked && len(k.sent) > 0,
 		Deadline: w.now.Add(timeout), Memory: memory,
 	}}
 	k.sent = append(k.sent, a)
@@ -157,7 +157,7 @@
 // keeper is the node that keeps a key, or now and then any other.
 func (w *world) keeper(t *rapid.T, key int) *node {
 	for _, name := range entryVMs {
-		if n := w.nodes[name]; n != nil && n.ledger.Keeps(ID{deposit, fmt.Sprint(key)}) && rapid.IntRange(0, 4).Draw(t, "right") > 0 {
+		if n := w.nodes[name]; n != nil && n.ledger.IsKeeper(ID{deposit, fmt.Sprint(key)}) && rapid.IntRange(0, 4).Draw(t, "right") > 0 {
 			return n
 		}
 	}
@@ -208,7 +208,7 @@
 				t.Fatal(err)
 			}
 			if o := w.nodes[name]; o != nil {
-				w.post(n, o, func() { o.ledger.Inherit(w.clock(o), read) })
+				w.post(n, o, func() { o.ledger.AcceptHandover(w.clock(o), read) })
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 	for name, n := range w.nodes {
 		for key := range w.keys {
 			id := ID{deposit, fmt.Sprint(key)}
-			if w.awake(n) && n.ledger.Keeps(id) {
+			if w.awake(n) && n.ledger.IsKeeper(id) {
 				if o, ok := holders[id.Key]; ok {
 					t.Fatalf("%s and %s both keep key %s", o, name, id.Key)
 				}
--- a/paroll/prepare.go
+++ b/paroll/prepare.go
@@ -14,14 +14,14 @@
 //
 // Guards against a jump: a daemon that boots in mid-shift, or after a second roll, knows the head in
 // force and its bundle but no history. With the start in the head it stands where the others stand.
-func (o *Operator) prepare(ctx context.Context, current, next pabundle.Head) (pashift.Position, error) {
+func (o *Operator) prepare(ctx context.Context, current, next pabundle.Head) (pashift.ServiceShares, error) {
 	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
 	was, will, err := p.both(ctx, current.Digest, next.Digest)
 	if err != nil || current.Sequence == 0 {
 		return nil, err
 	}
-	stands := pashift.At(pashift.Roll{Bundle: &was, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
-	return pashift.Moves(stands, &will), nil
+	stands := pashift.SharesAt(pashift.RollOut{Bundle: &was, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
+	return pashift.ChangedShares(stands, &will), nil
 }
 
 // pieces reads pieces for one command, each once.
--- a/pascenario/commands.go
+++ b/pascenario/commands.go
@@ -318,7 +318,7 @@
 // settled waits until a key that is first sent now is younger than every keeper's memory, whatever
 // the clocks say.
 func settled(_ *World, _ *testscript.TestScript, _ []string) error {
-	time.Sleep(2*paledger.MaxSkew + time.Second)
+	time.Sleep(2*paledger.MaxClockSkew + time.Second)
 	return nil
 }
 
--- a/pashift/counter.go
+++ b/pashift/counter.go
@@ -27,13 +27,13 @@
 	Region pabundle.RegionName
 	// Refused says that it may go nowhere yet.
 	Refused bool
-	// ComeBack is when to ask again after a refusal, jittered.
-	ComeBack time.Duration
+	// RetryAfter is when to ask again after a refusal, jittered.
+	RetryAfter time.Duration
 }
 
-// Counter makes single choices from tables by counted deficit. The zero value is ready; it is used
+// Selector makes single choices from tables by counted deficit. The zero value is ready; it is used
 // by one goroutine at a time, and several counters may share a Table.
-type Counter struct {
+type Selector struct {
 	deficits map[deficitKey]*deficit
 	arrivals map[arrivalKey]*arrival
 }
@@ -67,10 +67,10 @@
 // the one that is owed most gets it. What a destination got can then pass what it was owed by one
 // request, at any time and over any stretch by one for each destination: drawing at random would
 // pass the cap whenever the draw is unlucky.
-func (c *Counter) Route(t *Table, use Use, service pabundle.ServiceName, from pabundle.RegionName, random float64) Route {
+func (c *Selector) Route(t *Table, use Use, service pabundle.ServiceName, from pabundle.RegionName, random float64) Route {
 	p, i := t.services[service], t.index(from)
 	if p == nil || i < 0 {
-		return Route{Refused: true, ComeBack: comeBack(1, 0, random)}
+		return Route{Refused: true, RetryAfter: comeBack(1, 0, random)}
 	}
 	weights := p.lookUps[i]
 	if use == Forward {
@@ -85,18 +85,18 @@
 	if use == LookUp && (p.forwardOnly || p.rows[i][i] > 0) {
 		return Route{Region: from}
 	}
-	return Route{Refused: true, ComeBack: comeBack(1-p.rows[i].sum(), p.rate, random)}
+	return Route{Refused: true, RetryAfter: comeBack(1-p.rows[i].sum(), p.rate, random)}
 }
 
-// Arrive decides on a request that reached an entry VM of the region here although its caller
+// AdmitArrival decides on a request that reached an entry VM of the region here although its caller
 // belongs to another region: by a look-up, or because the caller went on along its list.
 //
 // The load is a region whose entry VMs are gone: all its callers arrive elsewhere at once. They are
 // taken up to the share's part of the region's known demand; the rest comes back while shares move.
-func (c *Counter) Arrive(t *Table, now time.Time, service pabundle.ServiceName, from, here pabundle.RegionName, random float64) Route {
+func (c *Selector) AdmitArrival(t *Table, now time.Time, service pabundle.ServiceName, from, here pabundle.RegionName, random float64) Route {
 	p, i, j := t.services[service], t.index(from), t.index(here)
 	if p == nil || j < 0 {
-		return Route{Refused: true, ComeBack: comeBack(1, 0, random)}
+		return Route{Refused: true, RetryAfter: comeBack(1, 0, random)}
 	}
 	if i < 0 || i == j || p.demand[i] == 0 {
 		return Route{Region: here}
@@ -107,13 +107,13 @@
 	a.tokens = math.Min(limit, a.tokens+allowed*max(0, now.Sub(a.at).Seconds()))
 	a.at = now
 	if a.tokens < 1 {
-		return Route{Refused: true, ComeBack: comeBack(1-p.rows[i][j], p.rate, random)}
+		return Route{Refused: true, RetryAfter: comeBack(1-p.rows[i][j], p.rate, random)}
 	}
 	a.tokens--
 	return Route{Region: here}
 }
 
-func (c *Counter) deficit(k deficitKey, regions []pabundle.RegionName, random float64) *deficit {
+func (c *Selector) deficit(k deficitKey, regions []pabundle.RegionName, random float64) *deficit {
 	if c.deficits == nil {
 		c.deficits = make(map[deficitKey]*deficit)
 	}
@@ -128,7 +128,7 @@
 	return d
 }
 
-func (c *Counter) arrival(k arrivalKey, now time.Time) *arrival {
+func (c *Selector) arrival(k arrivalKey, now time.Time) *arrival {
 	if c.arrivals == nil {
 		c.arrivals = make(map[arrivalKey]*arrival)
 	}
--- a/pashift/example_test.go
+++ b/pashift/example_test.go
@@ -22,19 +22,19 @@
 			Shift:  pabundle.ShiftCap{Share: 0.2, Window: pabundle.Duration{Duration: time.Minute}},
 		}},
 	}
-	start := pashift.Moves(pashift.Position{"deposits": shares(1)}, next)
-	roll := pashift.Roll{Bundle: next, Start: start, RolledAt: rolled}
+	start := pashift.ChangedShares(pashift.ServiceShares{"deposits": shares(1)}, next)
+	roll := pashift.RollOut{Bundle: next, Start: start, RolledAt: rolled}
 
 	now := rolled.Add(2 * time.Minute)
-	for _, s := range pashift.At(roll, now)["deposits"] {
+	for _, s := range pashift.SharesAt(roll, now)["deposits"] {
 		fmt.Printf("%s to %s: %.3f\n", s.From, s.To, s.Share)
 	}
 	fmt.Println("ends after", pashift.EndsAt(roll).Sub(rolled).Round(time.Second))
 
 	var l pashift.Limiter
-	l.Adopt(roll, now)
+	l.SetRollOut(roll, now)
 	table := l.Step(now)
-	var c pashift.Counter
+	var c pashift.Selector
 	count := map[pabundle.RegionName]int{}
 	for range 1000 {
 		count[c.Route(table, pashift.LookUp, "deposits", "centro", 0.5).Region]++
--- a/pashift/limiter.go
+++ b/pashift/limiter.go
@@ -52,7 +52,7 @@
 // Limiter moves the shares of one daemon under the cap. Call Adopt first. It is used by one goroutine.
 type Limiter struct {
 	Config
-	roll     Roll
+	roll     RollOut
 	regions  []pabundle.RegionName
 	services map[pabundle.ServiceName]*state
 	last     time.Time
@@ -83,9 +83,9 @@
 	demand  float64 // requests a second of the region's callers, this entry VM's part
 }
 
-// Adopt takes a roll-out. Rows that the limiter already has go on from where they stand; a limiter
+// SetRollOut takes a roll-out. Rows that the limiter already has go on from where they stand; a limiter
 // without rows starts on the schedule.
-func (l *Limiter) Adopt(r Roll, now time.Time) {
+func (l *Limiter) SetRollOut(r RollOut, now time.Time) {
 	old, names := l.services, l.regions
 	l.roll = r
 	l.regions = regionsOf(r)
@@ -102,9 +102,9 @@
 	}
 }
 
-// Follow takes over the standing of a neighbour that has been running longer. Only a limiter that
+// CopyShares takes over the standing of a neighbour that has been running longer. Only a limiter that
 // has just adopted its first roll-out may call it: it keeps the progress of a failover over a restart.
-func (l *Limiter) Follow(service pabundle.ServiceName, n Standing) {
+func (l *Limiter) CopyShares(service pabundle.ServiceName, n ShareState) {
 	s := l.services[service]
 	if s == nil {
 		return
@@ -130,9 +130,9 @@
 	}
 }
 
-// Demand takes this entry VM's fair part of the requests a second of a region's callers: the
+// SetDemand takes this entry VM's fair part of the requests a second of a region's callers: the
 // region's total over the entry VMs that serve it. Zero forgets it.
-func (l *Limiter) Demand(service pabundle.ServiceName, from pabundle.RegionName, requests float64) {
+func (l *Limiter) SetDemand(service pabundle.ServiceName, from pabundle.RegionName, requests float64) {
 	if s := l.services[service]; s != nil {
 		for i := range s.health {
 			if l.regions[i] == from {
--- a/pashift/position.go
+++ b/pashift/position.go
@@ -8,28 +8,28 @@
 	"papayahead/pabundle"
 )
 
-// MaxSkew is the largest difference between the clocks of two machines that the caps allow for.
+// MaxClockSkew is the largest difference between the clocks of two machines that the caps allow for.
 //
 // Load: entry VMs and operators' machines set their clocks by the network. Harm: a daemon that
 // restarts with another clock stands elsewhere on the schedule. Value: 5 s is the worst case that
 // operators state; healthy clocks are a thousand times better.
-const MaxSkew = 5 * time.Second
+const MaxClockSkew = 5 * time.Second
 
 // skewMargin lengthens the window of a cap. A daemon ahead of the operator's clock has gone on
 // along the old shift when a roll-back reaches it, and comes back by the same way: twice MaxSkew.
-const skewMargin = 2 * MaxSkew
+const skewMargin = 2 * MaxClockSkew
 
-// Position is the share that each region sends to each other, by service; the shares of one From
+// ServiceShares is the share that each region sends to each other, by service; the shares of one From
 // region add up to 1.
-type Position map[pabundle.ServiceName][]pabundle.Share
+type ServiceShares map[pabundle.ServiceName][]pabundle.Share
 
-// Roll is what a daemon needs of a roll-out to know the schedule.
-type Roll struct {
+// RollOut is what a daemon needs of a roll-out to know the schedule.
+type RollOut struct {
 	// Bundle is the bundle in force.
 	Bundle *pabundle.Bundle
 	// Start is where the services stood at RolledAt whose shares the bundle moves (Moves); the others
 	// stand at their goal. It travels in the roll-out's head.
-	Start Position
+	Start ServiceShares
 	// RolledAt is when the operator's command wrote the head.
 	RolledAt time.Time
 }
@@ -37,22 +37,22 @@
 // row is where the requests of one region go; index i is the region regions[i] of its owner.
 type row []float64
 
-// Goal returns the shares that the bundle asks for.
-func Goal(b *pabundle.Bundle) Position {
-	p := make(Position, len(b.Services))
+// GoalShares returns the shares that the bundle asks for.
+func GoalShares(b *pabundle.Bundle) ServiceShares {
+	p := make(ServiceShares, len(b.Services))
 	for _, s := range b.Services {
 		p[s.Name] = slices.Clone(s.Shares)
 	}
 	return p
 }
 
-// Moves returns the part of a position that a bundle changes, for the head that rolls it out: the
+// ChangedShares returns the part of a position that a bundle changes, for the head that rolls it out: the
 // services it has whose shares differ.
 //
 // Guards against the jump of a second roll in mid-shift: a daemon that boots after it knows the
 // bundles, but not that the first shift never reached its end. The position travels with the head.
-func Moves(p Position, b *pabundle.Bundle) Position {
-	moved := Position{}
+func ChangedShares(p ServiceShares, b *pabundle.Bundle) ServiceShares {
+	moved := ServiceShares{}
 	for _, s := range b.Services {
 		if was, ok := p[s.Name]; ok && !sameShares(was, s.Shares) {
 			moved[s.Name] = was
@@ -84,12 +84,12 @@
 // shareEpsilon is the difference under which two shares are the same: far below one request in a day.
 const shareEpsilon = 1e-9
 
-// At returns where the schedule of the roll-out stands at now.
+// SharesAt returns where the schedule of the roll-out stands at now.
 //
 // The load is a planned move of traffic onto cold caches. Each row goes straight from its start to
 // its goal, at the pace at which its fastest share keeps the cap, so the row adds up to 1 all along.
-func At(r Roll, now time.Time) Position {
-	p := make(Position, len(r.Bundle.Services))
+func SharesAt(r RollOut, now time.Time) ServiceShares {
+	p := make(ServiceShares, len(r.Bundle.Services))
 	regions := regionsOf(r)
 	w := make(row, len(regions))
 	for i := range r.Bundle.Services {
@@ -111,7 +111,7 @@
 
 // EndsAt returns when the schedule of the roll-out has reached all its goals; a service whose cap
 // moves nothing is left out.
-func EndsAt(r Roll) time.Time {
+func EndsAt(r RollOut) time.Time {
 	var most time.Duration
 	regions := regionsOf(r)
 	for i := range r.Bundle.Services {
@@ -140,7 +140,7 @@
 	part float64
 }
 
-func spanOf(r Roll, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) span {
+func spanOf(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) span {
 	start, goal := ends(r, s, from, regions)
 	p := span{start: start, goal: goal, part: math.Inf(1)}
 	if gap := distance(start, goal); gap > 0 {
@@ -165,7 +165,7 @@
 
 // ends returns both ends of a row's shift. A service or region that is new has no traffic to move
 // and starts at its goal.
-func ends(r Roll, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) (start, goal row) {
+func ends(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) (start, goal row) {
 	goal = rowOf(s.Shares, from, regions)
 	if shares, ok := r.Start[s.Name]; ok {
 		start = rowOf(shares, from, regions)
@@ -179,7 +179,7 @@
 	return start, goal
 }
 
-func regionsOf(r Roll) []pabundle.RegionName {
+func regionsOf(r RollOut) []pabundle.RegionName {
 	var names []pabundle.RegionName
 	for _, g := range r.Bundle.Regions {
 		names = append(names, g.Name)
--- a/pashift/shift_test.go
+++ b/pashift/shift_test.go
@@ -31,7 +31,7 @@
 // where the last one never arrived, or a region that flaps and takes its traffic along.
 func TestSharesNeverPassTheCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: epoch, rolls: []Roll{{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch.Add(-time.Hour)}}}
+		w := &world{now: epoch, rolls: []RollOut{{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch.Add(-time.Hour)}}}
 		offset := rapid.Custom(func(t *rapid.T) time.Duration {
 			return time.Duration(rapid.IntRange(-2500, 2500).Draw(t, "offset")) * time.Millisecond
 		})
@@ -55,7 +55,7 @@
 				if n := len(w.rolls); n > 1 && rapid.Bool().Draw(t, "back") {
 					next = w.rolls[n-2].Bundle
 				}
-				w.rolls = append(w.rolls, Roll{Bundle: next, Start: Moves(At(last, at), next), RolledAt: at})
+				w.rolls = append(w.rolls, RollOut{Bundle: next, Start: ChangedShares(SharesAt(last, at), next), RolledAt: at})
 				steps(1)
 			},
 			"health": func(t *rapid.T) {
@@ -86,13 +86,13 @@
 // its callers would see it come back by twice that way beside the cap.
 func TestARollBackKeepsTheCapWithTheClocksApart(t *testing.T) {
 	before, drained := bundle([]float64{1, 0, 0}), bundle([]float64{0, 1, 0})
-	first := Roll{Bundle: drained, Start: Moves(Goal(before), drained), RolledAt: epoch}
+	first := RollOut{Bundle: drained, Start: ChangedShares(GoalShares(before), drained), RolledAt: epoch}
 	rolled := epoch.Add(100 * time.Second)
-	back := Roll{Bundle: before, Start: Moves(At(first, rolled), before), RolledAt: rolled}
-	home := func(r Roll, at time.Time) float64 {
+	back := RollOut{Bundle: before, Start: ChangedShares(SharesAt(first, rolled), before), RolledAt: rolled}
+	home := func(r RollOut, at time.Time) float64 {
 		l := &Limiter{}
-		l.Adopt(r, at.Add(MaxSkew))
-		return l.Step(at.Add(MaxSkew)).services[service].rows[0][0]
+		l.SetRollOut(r, at.Add(MaxClockSkew))
+		return l.Step(at.Add(MaxClockSkew)).services[service].rows[0][0]
 	}
 	if change := home(back, rolled.Add(capWindow)) - home(first, rolled); math.Abs(change) > capShare+1e-9 {
 		t.Errorf("the share moved by %.4f in %v, the cap is %.2f", change, capWindow, capShare)
@@ -135,8 +135,8 @@
 	const callers, refresh = 300, 10
 	random := rand.New(rand.NewPCG(1, 2))
 	l := &Limiter{}
-	l.Adopt(Roll{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
-	var c Counter
+	l.SetRollOut(RollOut{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
+	var c Selector
 	answers := make([]pabundle.RegionName, callers)
 	var served [][3]float64
 	for n := range 4000 {
@@ -177,7 +177,7 @@
 // to and fro. It keeps its share in the first case and stays empty until it is steady in the second.
 func TestAFlappingRegionIsLeftOnce(t *testing.T) {
 	l := &Limiter{}
-	l.Adopt(Roll{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
+	l.SetRollOut(RollOut{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
 	returns, last := 0, 1.0
 	for n := range 2400 {
 		now := epoch.Add(time.Duration(n) * tick)
@@ -202,7 +202,7 @@
 // shed has to come back slowly.
 func TestLateReadingsDoNotOscillate(t *testing.T) {
 	l := &Limiter{}
-	l.Adopt(Roll{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
+	l.SetRollOut(RollOut{Bundle: bundle([]float64{1, 0, 0}), RolledAt: epoch}, epoch)
 	var loads [][3]float64
 	turns, last := 0, 0.0
 	home := func(table *Table) float64 { return table.services[service].rows[0][0] }
@@ -251,16 +251,16 @@
 // 100 requests a second where its share was 30. The other region takes the share, not the rush.
 func TestARushOfAnotherRegionsCallersIsHeldToItsShare(t *testing.T) {
 	l := &Limiter{}
-	l.Adopt(Roll{Bundle: bundle([]float64{0.7, 0.3, 0}), RolledAt: epoch}, epoch)
-	l.Demand(service, names[0], 100)
-	var c Counter
+	l.SetRollOut(RollOut{Bundle: bundle([]float64{0.7, 0.3, 0}), RolledAt: epoch}, epoch)
+	l.SetDemand(service, names[0], 100)
+	var c Selector
 	taken := 0
 	for n := range 3000 {
 		now := epoch.Add(time.Duration(n) * 10 * time.Millisecond)
-		if r := c.Arrive(l.Step(epoch), now, service, names[0], names[1], 0.5); !r.Refused {
+		if r := c.AdmitArrival(l.Step(epoch), now, service, names[0], names[1], 0.5); !r.Refused {
 			taken++
-		} else if r.ComeBack < minComeBack {
-			t.Fatalf("a refused request is to come back after %v", r.ComeBack)
+		} else if r.RetryAfter < minComeBack {
+			t.Fatalf("a refused request is to come back after %v", r.RetryAfter)
 		}
 	}
 	if most := int(30*30*arrivalSlack + 30*arrivalSlack*arrivalBurst.Seconds()); taken > most || taken < 900 {
@@ -270,9 +270,9 @@
 
 func BenchmarkRoute(b *testing.B) {
 	l := &Limiter{}
-	l.Adopt(Roll{Bundle: bundle([]float64{0.5, 0.3, 0.2}), RolledAt: epoch}, epoch)
+	l.SetRollOut(RollOut{Bundle: bundle([]float64{0.5, 0.3, 0.2}), RolledAt: epoch}, epoch)
 	table := l.Step(epoch)
-	var c Counter
+	var c Selector
 	b.ReportAllocs()
 	for b.Loop() {
 		c.Route(table, LookUp, service, names[0], 0.5)
@@ -301,7 +301,7 @@
 				will.Services = append(will.Services, s)
 			}
 			l := &Limiter{}
-			l.Adopt(Roll{Bundle: will, Start: Goal(was), RolledAt: epoch}, epoch)
+			l.SetRollOut(RollOut{Bundle: will, Start: GoalShares(was), RolledAt: epoch}, epoch)
 			now := epoch
 			b.ReportAllocs()
 			for b.Loop() {
--- a/pashift/table.go
+++ b/pashift/table.go
@@ -42,20 +42,20 @@
 	down                    []pabundle.RegionName
 }
 
-// Standing is where a daemon's shares of a service are, for operators and for neighbours that start.
-type Standing struct {
+// ShareState is where a daemon's shares of a service are, for operators and for neighbours that start.
+type ShareState struct {
 	Shares []pabundle.Share
 	// Down lists the regions that the daemon takes for down.
 	Down []pabundle.RegionName
 }
 
-// Standing returns where a service's shares are.
-func (t *Table) Standing(service pabundle.ServiceName) Standing {
+// ShareState returns where a service's shares are.
+func (t *Table) ShareState(service pabundle.ServiceName) ShareState {
 	p := t.services[service]
 	if p == nil {
-		return Standing{}
+		return ShareState{}
 	}
-	s := Standing{Down: p.down}
+	s := ShareState{Down: p.down}
 	for i, w := range p.rows {
 		for j, x := range w {
 			if x > 0 {
--- a/pashift/world_test.go
+++ b/pashift/world_test.go
@@ -58,7 +58,7 @@
 
 type world struct {
 	now     time.Time
-	rolls   []Roll
+	rolls   []RollOut
 	down    [3]bool
 	load    [3]float64
 	silent  bool
@@ -72,10 +72,10 @@
 	if !d.cut {
 		d.seen = len(w.rolls)
 	}
-	d.limiter.Adopt(w.rolls[d.seen-1], w.now.Add(offset))
+	d.limiter.SetRollOut(w.rolls[d.seen-1], w.now.Add(offset))
 	for _, n := range w.daemons {
 		if n != nil && n != d && n.table != nil && !alone && !n.cut && !d.cut && !w.now.Before(n.thaw) {
-			d.limiter.Follow(service, n.table.Standing(service))
+			d.limiter.CopyShares(service, n.table.ShareState(service))
 			d.history = append([]sample(nil), n.history...)
 			d.displace, d.jump = n.displace, true
 			return
@@ -97,7 +97,7 @@
 		clock := w.now.Add(d.offset)
 		if !d.cut && d.seen < len(w.rolls) {
 			d.seen = len(w.rolls)
-			d.limiter.Adopt(w.rolls[d.seen-1], clock)
+			d.limiter.SetRollOut(w.rolls[d.seen-1], clock)
 		}
 		for r, name := range names {
 			if !w.silent {
