--- a/pacredit/credit.go
+++ b/pacredit/credit.go
@@ -7,35 +7,34 @@
 )
 
 const (
-	// Term is how long a credit is good. Load: demand of several sources that changes from second
-	// to second. Harm: a longer term leaves slots idle with a source that has no use for them or
-	// is gone; a shorter one costs messages and a round trip too often. Value: tens of round trips
-	// between regions.
+	// Term is the lifetime of a credit. The demand of each source changes from second to second: a
+	// longer term leaves slots idle at a source that does not need them or has failed, a shorter one
+	// costs extra messages and round trips. It spans tens of round trips between regions.
 	Term = 2 * time.Second
-	// transit is how long the owner keeps an expired credit's slot for a request on its way. Harm:
-	// without it a request that spends its credit late is refused on arrival. Value: a slow hand-over
-	// between regions; what takes longer is refused, not run.
-	transit = time.Second
-	// maxLot is the most credits in one grant of a service; they are marked in one word.
-	maxLot = 64
-	// localPart is the part of the slots kept for local work. Harm: callers of the own zone find
-	// all slots promised away for a term. Value: local work that comes without notice is served
-	// while the grants run out; at three slots a target it is one slot in four.
-	localPart = 0.25
-	// demandAge is how long a source's last demand counts in the split. Value: two terms, so that
-	// one lost Ask does not change the split.
-	demandAge = 2 * Term
-	// shortAge is how long a source whose requests wait keeps its turn without asking again. Harm of
-	// more: slots wait for one that is gone. Value: several pauses between asks.
-	shortAge = 500 * time.Millisecond
-	// maxSources, maxItems and maxPending bound memory against bad peers.
+	// transitMargin is how long the owner reserves the slot of an expired credit for a request in transit.
+	// Without it, a request that spends its credit at the end of the term is refused on arrival. It
+	// covers a slow transfer between regions; requests that take longer are refused.
+	transitMargin = time.Second
+	// maxBatch is the most credits per service in one grant; spent credits are marked in a 64-bit mask.
+	maxBatch = 64
+	// localShare is the fraction of the slots reserved for local requests. Without it, outstanding
+	// credits could block all slots for callers of the owner's own zone for a whole term. A quarter
+	// serves a sudden rise of local requests until the credits expire.
+	localShare = 0.25
+	// maxDemandAge is how long the last demand of a source counts when slots are divided among sources.
+	// Two terms, so that one lost Ask does not change the division.
+	maxDemandAge = 2 * Term
+	// maxShortageAge is how long a source with waiting requests keeps its turn without asking again. It
+	// covers several intervals between asks; a longer time reserves slots for a source that has failed.
+	maxShortageAge = 500 * time.Millisecond
+	// maxSources, maxItems and maxPending bound the memory that a misbehaving peer can use.
 	maxSources, maxItems, maxPending = 4096, 64, 8
 )
 
-// Identity is one start of an entry VM.
+// Identity identifies one process of an entry VM.
 type Identity struct {
 	Name pabundle.EntryName
-	// Incarnation tells the starts apart; it rises.
+	// Incarnation rises with each start of the VM's process.
 	Incarnation uint64
 }
 
@@ -48,9 +47,9 @@
 // Ask is a source's request for credits.
 type Ask struct {
 	Source Identity
-	// Sequence rises with each Ask of one incarnation.
+	// Sequence rises with each Ask of an incarnation.
 	Sequence uint64
-	// Items are what the source could use beyond what it holds.
+	// Items are the credits that the source could use in addition to those it holds.
 	Items []Item
 }
 
@@ -61,42 +60,43 @@
 	Source   Identity
 	Sequence uint64
 	Items    []Item
-	// Term counts from the sending of the Ask.
+	// Term is the lifetime of the credits, counted from when the Ask was sent.
 	Term time.Duration
 }
 
-// CreditRef names one credit; it travels with the request that spends it.
+// CreditRef identifies one credit; it is sent with the request that spends it.
 type CreditRef struct {
 	Source Identity
-	// Granter is the incarnation that granted.
+	// Granter is the incarnation of the granter that issued the credit.
 	Granter  uint64
 	Sequence uint64
 	Service  pabundle.ServiceName
 	Index    int
 }
 
-// Load is what an owner knows of its slots for a service.
+// Load is the owner's slots and local requests for a service.
 type Load struct {
-	// Slots is how many requests its targets run at once.
+	// Slots is how many requests the owner's targets can run concurrently.
 	Slots int
-	// Local is the local work that runs, Waiting the local work that waits for a slot.
+	// Local counts running local requests, Waiting local requests that wait for a slot.
 	Local, Waiting int
 }
 
-// Redemption is the outcome of presenting a credit.
+// Redemption is the result of redeeming a credit.
 type Redemption int
 
-// The redemptions.
+// The results of a redemption.
 const (
-	// Start means that the credit is spent and the request runs; call Granter.Done at its end.
+	// Start means that the credit is now spent and the request may start; call Granter.Done at its end.
 	Start Redemption = iota
-	// Void means that the credit is expired, spent or of another incarnation: not run.
+	// Void means that the credit has expired, is already spent or belongs to another incarnation; the
+	// request must not start.
 	Void
-	// Full means that the slots went away since the grant: not run.
+	// Full means that no slot is free because capacity fell after the grant; the request must not start.
 	Full
 )
 
-// String returns the redemption's name.
+// String returns the name of the result.
 func (r Redemption) String() string {
 	return [...]string{"Start", "Void", "Full"}[r]
 }
--- a/pacredit/credit_test.go
+++ b/pacredit/credit_test.go
@@ -15,7 +15,7 @@
 	"papayahead/pawire"
 )
 
-// TestMain gives CI the same verdict every run; flags on the command line go before it.
+// TestMain fixes the seed so that CI runs are reproducible; command-line flags override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "20261", "rapid.checks": "4000", "rapid.steps": "100", "rapid.nofailfile": "true",
@@ -37,9 +37,9 @@
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
-// world is one owner, three sources, and a network that keeps every message and delivers any of
-// them at any time, any number of times.
-type world struct {
+// simulation is one owner, three sources and a network that keeps every message and may deliver each
+// at any time and any number of times.
+type simulation struct {
 	now         time.Time
 	granter     *Granter
 	holders     [3]*Holder
@@ -49,16 +49,16 @@
 	grants      [][]byte
 	refs        []CreditRef
 	started     map[CreditRef]bool
-	running     int // work of this start of the owner
-	left        int // work of earlier starts that still runs
+	running     int // remote requests of the owner's current incarnation
+	left        int // requests of earlier incarnations that still run
 	local       int
 	incarnation uint64
 }
 
-func (w *world) clock(i int) time.Time { return w.now.Add(w.offsets[i]) }
+func (w *simulation) clock(i int) time.Time { return w.now.Add(w.offsets[i]) }
 
-// pass lets time pass; the sources that are not frozen tick several times a second.
-func (w *world) pass(milliseconds int) {
+// advance moves the time on; sources that are not frozen tick several times a second.
+func (w *simulation) advance(milliseconds int) {
 	for milliseconds > 0 {
 		w.now = w.now.Add(time.Duration(min(200, milliseconds)) * time.Millisecond)
 		milliseconds -= 200
@@ -72,7 +72,7 @@
 	w.granter.Tick(w.now)
 }
 
-func (w *world) restartGranter() {
+func (w *simulation) restartGranter() {
 	w.incarnation++
 	w.left += w.running
 	w.running = 0
@@ -80,8 +80,9 @@
 	w.load()
 }
 
-// load tells the owner what it can know: after one term its targets have reported what else runs.
-func (w *world) load() {
+// load sets the owner's load. From one term after its start it includes requests of earlier
+// incarnations, which the targets have reported by then.
+func (w *simulation) load() {
 	l := Load{Slots: slots, Local: w.local}
 	if w.now.Sub(w.granter.Started) >= Term {
 		l.Local += w.left
@@ -89,7 +90,7 @@
 	w.granter.SetLoad(deposits, l)
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	held := 0
 	for i, h := range w.holders {
 		if o := h.granters[owner]; o != nil && o.incarnation == w.incarnation {
@@ -97,20 +98,20 @@
 		}
 	}
 	if held+w.running > remote {
-		t.Fatalf("%d credits are held and %d requests run, the owner gives %d slots", held, w.running, remote)
+		t.Fatalf("%d credits are held and %d remote requests run, want at most %d in total", held, w.running, remote)
 	}
 	if held+w.running+w.left+w.local > slots {
-		t.Fatalf("%d credits are held and %d remote, %d earlier and %d local requests run in %d slots",
+		t.Fatalf("%d credits are held and %d remote, %d earlier and %d local requests run, want at most %d in total",
 			held, w.running, w.left, w.local, slots)
 	}
 }
 
-func (w *world) ask(t *rapid.T, i int) {
+func (w *simulation) ask(t *rapid.T, i int) {
 	a := w.holders[i].Ask(w.clock(i), owner, []Item{{deposits, rapid.IntRange(1, 12).Draw(t, "want")}})
 	w.asks = append(w.asks, marshal(a.Wire()))
 }
 
-func (w *world) grant(t *rapid.T, asks [][]byte) {
+func (w *simulation) grant(t *rapid.T, asks [][]byte) {
 	var m pawire.CreditAsk
 	draw(t, asks, &m)
 	a, err := AskFromWire(&m)
@@ -121,7 +122,7 @@
 	w.grants = append(w.grants, marshal(w.granter.Ask(w.now, a).Wire()))
 }
 
-func (w *world) accept(t *rapid.T, i int, grants [][]byte) {
+func (w *simulation) accept(t *rapid.T, i int, grants [][]byte) {
 	var m pawire.CreditGrant
 	draw(t, grants, &m)
 	g, err := GrantFromWire(&m)
@@ -131,7 +132,7 @@
 	w.holders[i].Accept(w.clock(i), g)
 }
 
-func (w *world) redeem(t *rapid.T, r CreditRef) {
+func (w *simulation) redeem(t *rapid.T, r CreditRef) {
 	if w.granter.Redeem(w.now, r) != Start {
 		return
 	}
@@ -142,13 +143,13 @@
 	w.running++
 }
 
-// Three sources fill a region that lost half of its targets' owners a moment ago: grants arrive
-// late, twice and out of order, the owner restarts with its credits out, a source freezes, and a
-// cut keeps both sides apart. Callers would see more work than slots, and all of it slow. At every
-// step the credits that can still be spent and the remote work fit into the slots.
-func TestCreditsNeverPassTheSlots(t *testing.T) {
+// Guards against more requests than slots, which slows down all of them: at every step, spendable
+// credits and running requests must fit into the slots. Three sources ask one owner while grants
+// arrive late, duplicated and reordered, the owner restarts with credits outstanding, sources freeze
+// or restart, clocks are set back, and a network partition voids the credits of a source.
+func TestCreditsNeverExceedTheSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: epoch, started: map[CreditRef]bool{}}
+		w := &simulation{now: epoch, started: map[CreditRef]bool{}}
 		w.restartGranter()
 		for i := range w.holders {
 			w.holders[i] = &Holder{Self: Identity{pabundle.EntryName(fmt.Sprint("source", i)), 1}}
@@ -158,7 +159,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"": w.check,
 			"pass": func(t *rapid.T) {
-				w.pass(rapid.IntRange(1, 1500).Draw(t, "milliseconds"))
+				w.advance(rapid.IntRange(1, 1500).Draw(t, "milliseconds"))
 			},
 			"ask":    func(t *rapid.T) { w.ask(t, source.Draw(t, "source")) },
 			"grant":  func(t *rapid.T) { w.grant(t, w.asks) },
@@ -168,7 +169,7 @@
 				w.ask(t, i)
 				w.grant(t, w.asks[len(w.asks)-1:])
 				if rapid.Bool().Draw(t, "late") {
-					w.pass(rapid.IntRange(0, 1900).Draw(t, "milliseconds"))
+					w.advance(rapid.IntRange(0, 1900).Draw(t, "milliseconds"))
 				}
 				w.accept(t, i, w.grants[len(w.grants)-1:])
 			},
@@ -213,7 +214,7 @@
 				switch h := w.holders[i]; rapid.IntRange(4, 11).Draw(t, "fault") {
 				case 11:
 					w.restartGranter()
-					w.pass(1000 * rapid.IntRange(0, 3).Draw(t, "seconds"))
+					w.advance(1000 * rapid.IntRange(0, 3).Draw(t, "seconds"))
 				case 10:
 					*h = Holder{Self: Identity{h.Self.Name, h.Self.Incarnation + 1}}
 				case 9:
@@ -222,7 +223,7 @@
 					w.frozen[i] = !w.frozen[i]
 				case 7, 8:
 					if w.frozen[i] {
-						// A clock set back in a freeze is not seen; LIMITS.md lists it.
+						// A clock set back during a freeze is not detected; LIMITS.md lists this.
 						return
 					}
 					w.offsets[i] -= time.Duration(rapid.IntRange(1, 3000).Draw(t, "back")) * time.Millisecond
@@ -242,19 +243,19 @@
 
 func draw(t *rapid.T, messages [][]byte, into proto.Message) {
 	if len(messages) == 0 {
-		t.Skip("no message is on its way")
+		t.Skip("no message is in transit")
 	}
-	// The latest messages are the likely ones.
+	// Only the latest seven messages are drawn.
 	i := max(0, len(messages)-1-rapid.IntRange(0, 6).Draw(t, "age"))
 	if err := proto.Unmarshal(messages[i], into); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// An owner restarts, and a source that was restarted five times in a row still has requests with
-// old credits on their way. Started, they would come beside the work that the new start knows of.
-// And what the source's earlier starts held is free again at once.
-func TestCreditsOfEarlierStartsAreVoid(t *testing.T) {
+// Guards against a restarted owner that accepts credits of its previous incarnation, which would run
+// requests in addition to those it counts. Also checks that credits of a source's earlier incarnations
+// are free again as soon as the source asks after a restart.
+func TestCreditsOfEarlierIncarnationsAreVoid(t *testing.T) {
 	h := &Holder{Self: Identity{"source", 1}}
 	g := &Granter{Self: Identity{owner, 1}}
 	now := epoch
@@ -264,7 +265,7 @@
 		g.SetLoad(deposits, Load{Slots: slots})
 		a := h.Ask(now, owner, []Item{{deposits, slots}})
 		if grant := g.Ask(now, a); sum(grant.Items) != remote || !h.Accept(now, grant) {
-			t.Fatalf("start %d of the source got %d credits, want %d", n+1, sum(grant.Items), remote)
+			t.Fatalf("incarnation %d of the source got %d credits, want %d", n+1, sum(grant.Items), remote)
 		}
 		old, _ = h.Spend(now, owner, deposits)
 	}
@@ -274,21 +275,21 @@
 	g = &Granter{Self: Identity{owner, 2}}
 	g.SetLoad(deposits, Load{Slots: slots})
 	if r := g.Redeem(now, old); r != Void {
-		t.Errorf("a credit of the owner's earlier start: %v", r)
+		t.Errorf("redeeming a credit of the owner's earlier incarnation returned %v, want Void", r)
 	}
 	h.Accept(now, g.Ask(now, h.Ask(now, owner, []Item{{deposits, 1}})))
 	if h.Accept(now, lateGrant); h.Held(now, owner, deposits) != 1 {
-		t.Errorf("%d credits are held beside the owner's new start, want its own", h.Held(now, owner, deposits))
+		t.Errorf("%d credits are held after the owner's restart, want only the 1 of its new incarnation", h.Held(now, owner, deposits))
 	}
 	g.Ask(now, Ask{h.Self, old.Sequence, []Item{{deposits, 1}}})
 	if r := g.Redeem(now, old); r != Void {
-		t.Errorf("a credit of the owner's earlier start after a late Ask: %v", r)
+		t.Errorf("redeeming a credit of the owner's earlier incarnation after a late Ask returned %v, want Void", r)
 	}
 }
 
-// Every other region spills into one at once, one source ten times as hard as the rest. The first to
-// ask must not get all: callers of the other zones would find nothing for a whole term. Local work
-// keeps its quarter.
+// Guards against the first source to ask taking all credits, which leaves the others without any for a
+// whole term. Four sources ask one owner, the first with ten times the demand of the others; local
+// requests keep a quarter of the slots. When capacity falls later, only as many credits as slots start.
 func TestSourcesShareByDemand(t *testing.T) {
 	g := &Granter{Self: Identity{owner, 1}}
 	g.SetLoad(deposits, Load{Slots: 40})
@@ -297,7 +298,7 @@
 	for round := range 3 {
 		for i, want := range wants {
 			name := pabundle.EntryName(fmt.Sprint("source", i))
-			now := epoch.Add(time.Duration(round)*(Term+transit) + time.Duration(i)*time.Millisecond)
+			now := epoch.Add(time.Duration(round)*(Term+transitMargin) + time.Duration(i)*time.Millisecond)
 			a := g.Ask(now, Ask{Identity{name, 1}, uint64(round + 1), []Item{{deposits, want}}})
 			got[name] = 0
 			for _, x := range a.Items {
@@ -311,9 +312,9 @@
 		}
 	}
 	if g.LocalFreeSlots(deposits) < 10 {
-		t.Errorf("local work has %d of 40 slots left", g.LocalFreeSlots(deposits))
+		t.Errorf("local requests have %d of 40 slots left, want at least 10", g.LocalFreeSlots(deposits))
 	}
-	// Half a minute later three in four targets die with 30 credits out.
+	// Later, three of four targets fail while 30 credits are outstanding.
 	now := epoch.Add(time.Minute)
 	n := sum(g.Ask(now, Ask{Identity{"source0", 1}, 9, []Item{{deposits, 40}}}).Items)
 	g.SetLoad(deposits, Load{Slots: 10})
@@ -324,13 +325,13 @@
 		}
 	}
 	if n != 30 || started != 10 {
-		t.Errorf("of %d credits %d started in 10 slots", n, started)
+		t.Errorf("of %d credits %d started a request, want 10 of 30", n, started)
 	}
 }
 
-// A request spends its credit in the last moment of the term and is half a second on its way. Refused
-// on arrival, its caller would lose the way there and back for nothing; a second later it has to be.
-func TestACreditSpentLateIsGoodOnArrival(t *testing.T) {
+// Guards against refusing a request that spends its credit at the end of the term and arrives half a
+// second later; its caller would lose a round trip for nothing. After transitMargin it must be refused.
+func TestCreditSpentAtEndOfTermIsValidOnArrival(t *testing.T) {
 	g, h := &Granter{Self: Identity{owner, 1}}, &Holder{Self: Identity{"source", 1}}
 	g.SetLoad(deposits, Load{Slots: slots})
 	h.Accept(epoch, g.Ask(epoch, h.Ask(epoch, owner, []Item{{deposits, 2}})))
@@ -338,14 +339,14 @@
 	first, _ := h.Spend(late, owner, deposits)
 	second, _ := h.Spend(late, owner, deposits)
 	if r := g.Redeem(late.Add(500*time.Millisecond), first); r != Start {
-		t.Errorf("after half of the margin: %v", r)
+		t.Errorf("redeeming after half of the margin returned %v, want Start", r)
 	}
 	if r := g.Redeem(late.Add(1100*time.Millisecond), second); r != Void {
-		t.Errorf("after the margin: %v", r)
+		t.Errorf("redeeming after the margin returned %v, want Void", r)
 	}
 }
 
-// Whatever bytes arrive, reading them gives an error or a value that is safe to use.
+// Decoding arbitrary bytes must return an error or a value that is safe to use.
 func FuzzMessages(f *testing.F) {
 	f.Add(marshal(Ask{Identity{"a", 1}, 1, []Item{{deposits, 3}}}.Wire()))
 	f.Add(marshal(Grant{Identity{owner, 1}, Identity{"a", 1}, 1, []Item{{deposits, 3}}, Term}.Wire()))
--- a/pacredit/doc.go
+++ b/pacredit/doc.go
@@ -1,12 +1,15 @@
-// Package pacredit keeps remote work within the free slots of whoever owns the targets.
+// Package pacredit implements credit-based flow control for requests that one entry VM (the source)
+// forwards to targets owned by another entry VM (the owner).
 //
-// A Granter stands at the owner and gives out credits: leave to start one request each, good for
-// about two seconds. A Holder stands at the source and spends them. At any time the credits that
-// are out and the remote work that runs come to no more than the slots that the owner had for them
-// when it granted; local work keeps a part of the slots for itself.
+// A slot is the capacity of a target to run one request. The owner runs a Granter, which issues
+// credits; each credit permits the source to start one request and expires after about two seconds.
+// The source runs a Holder, which spends them. At any time, outstanding credits plus running remote
+// requests do not exceed the slots that the owner had available when it issued the credits. A share
+// of the slots is reserved for local requests, those that reach the owner without a credit.
 //
-// Messages may be lost, delayed, repeated and reordered. An Ask is answered once for its sequence
-// number, a credit is redeemed once by its index, and both ends tie everything to the start
-// (incarnation) of the other. The holder counts the term from when it asked, the granter from when
-// it granted and a margin more, so a credit is void at the source before it is free at the owner.
+// Messages may be lost, delayed, duplicated and reordered. Each Ask is answered once per sequence
+// number, each credit is redeemed once by its index, and all state is bound to the incarnation of
+// the peer: a number that rises with each start of its process. The holder counts a credit's term
+// from when it sent the Ask; the granter counts it from when it granted, plus a margin. So a credit
+// expires at the source before the owner reuses its slot.
 package pacredit
--- a/pacredit/example_test.go
+++ b/pacredit/example_test.go
@@ -7,7 +7,8 @@
 	"papayahead/pacredit"
 )
 
-// A source asks the owner of four slots for six credits, spends one, and its request runs.
+// A source asks an owner with four slots for six credits, gets three and spends one; the same credit is
+// refused the second time, and the rest expire.
 func Example() {
 	now := time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 	owner := pacredit.Granter{Self: pacredit.Identity{Name: "norte-1", Incarnation: 1}, Started: now.Add(-time.Minute)}
--- a/pacredit/granter.go
+++ b/pacredit/granter.go
@@ -7,192 +7,197 @@
 	"papayahead/pabundle"
 )
 
-// Granter gives out credits for the slots of one owner. Set the exported fields before use; it is
-// used by one goroutine.
+// Granter issues credits for the slots of one owner. Set the exported fields before use. It is not
+// safe for concurrent use.
 type Granter struct {
-	// Self is this entry VM and its start.
+	// Self identifies this process.
 	Self Identity
 	// Started is when this process started.
 	Started time.Time
 
-	services map[pabundle.ServiceName]*service
-	sources  map[pabundle.EntryName]*source
+	services map[pabundle.ServiceName]*serviceAccount
+	sources  map[pabundle.EntryName]*sourceState
 }
 
-// service is an owner's account of a service.
-type service struct {
+// serviceAccount counts the slots of one service and their use.
+type serviceAccount struct {
 	Load
-	running     int // remote work
-	outstanding int // credits that are out
+	running     int // remote requests
+	outstanding int // credits issued, neither spent nor expired
 }
 
-// source is what a granter knows of one asker.
-type source struct {
+// sourceState is a granter's state for one source.
+type sourceState struct {
 	incarnation uint64
-	last        Grant
-	lots        []*lot
-	demand      map[pabundle.ServiceName]int // what the last Ask wanted, with what was held then
-	asked       time.Time
-	short       map[pabundle.ServiceName]shortage
+	lastGrant   Grant
+	batches     []*batch
+	demand      map[pabundle.ServiceName]int // credits wanted by the last Ask plus those held at that time
+	lastAsk     time.Time
+	shortages   map[pabundle.ServiceName]shortage
 }
 
-// shortage is a spell in which a source's requests wait and its asks bring nothing.
-type shortage struct{ since, last time.Time }
+// shortage is a period in which a source has waiting requests and its asks are not granted.
+type shortage struct{ since, lastAsk time.Time }
 
-// stands says whether requests still wait, as far as asks tell.
-func (s shortage) stands(now time.Time) bool { return !s.last.IsZero() && now.Sub(s.last) <= shortAge }
+// active reports whether the source asked recently enough to assume that its requests still wait.
+func (s shortage) active(now time.Time) bool {
+	return !s.lastAsk.IsZero() && now.Sub(s.lastAsk) <= maxShortageAge
+}
 
-// lot is one granted item.
-type lot struct {
+// batch is the credits for one service in one grant.
+type batch struct {
 	sequence uint64
 	service  pabundle.ServiceName
 	count    int
-	spent    uint64
-	left     int
-	until    time.Time
+	spent    uint64 // bit mask by credit index
+	unspent  int
+	expires  time.Time
 }
 
-// SetLoad tells the granter about its slots and local work; call it before Ask whenever they changed.
-// From one term after the start on, Local has to count the work of an earlier start that still runs.
+// SetLoad sets the slots and local requests of a service; call it before Ask whenever they changed.
+// From one term after the start of the process on, Local must include requests that an earlier
+// incarnation admitted and that still run.
 func (g *Granter) SetLoad(name pabundle.ServiceName, l Load) {
 	g.service(name).Load = l
 }
 
-// Ask grants what there is to give to a source whose requests wait for credits. A repeat of the last
-// Ask gets the same answer, an older one nothing, whatever the network did with them.
+// Ask grants available credits to a source with waiting requests. A duplicate of the source's last Ask
+// gets the same grant again and an older Ask gets an empty one, so duplicated and reordered messages
+// do not issue credits twice.
 func (g *Granter) Ask(now time.Time, a Ask) Grant { return g.ask(now, a, g.shareNow) }
 
-// AskAhead is Ask for requests that are expected and not there yet.
+// AskAhead grants credits like Ask, but for expected requests, which yield to waiting ones.
 func (g *Granter) AskAhead(now time.Time, a Ask) Grant { return g.ask(now, a, g.shareAhead) }
 
-// shareFunc decides how many credits a source gets of a service.
-type shareFunc func(now time.Time, s *source, name pabundle.ServiceName, want int) int
+// shareFunc returns how many credits of a service a source gets.
+type shareFunc func(now time.Time, s *sourceState, name pabundle.ServiceName, want int) int
 
 func (g *Granter) ask(now time.Time, a Ask, share shareFunc) Grant {
 	g.expire(now)
 	empty := Grant{Granter: g.Self, Source: a.Source, Sequence: a.Sequence, Term: Term}
 	s := g.source(now, a.Source)
-	if s == nil || a.Sequence < s.last.Sequence {
+	if s == nil || a.Sequence < s.lastGrant.Sequence {
 		return empty
 	}
-	if a.Sequence == s.last.Sequence {
-		return s.last
+	if a.Sequence == s.lastGrant.Sequence {
+		return s.lastGrant
 	}
-	s.asked = now
+	s.lastAsk = now
 	clear(s.demand)
 	wants := make(map[pabundle.ServiceName]int, len(a.Items))
 	for _, i := range a.Items[:min(len(a.Items), maxItems)] {
-		wants[i.Service] += max(0, min(i.Count, maxLot))
+		wants[i.Service] += max(0, min(i.Count, maxBatch))
 	}
 	for name, want := range wants {
-		s.demand[name] = want + s.held(name)
+		s.demand[name] = want + s.unspent(name)
 	}
 	grant := empty
 	for name, want := range wants {
 		if n := share(now, s, name, want); n > 0 {
-			g.give(now, s, a.Sequence, name, n)
+			g.issue(now, s, a.Sequence, name, n)
 			grant.Items = append(grant.Items, Item{name, n})
 		}
 	}
 	slices.SortFunc(grant.Items, func(x, y Item) int { return compare(x.Service, y.Service) })
-	s.last = grant
+	s.lastGrant = grant
 	return grant
 }
 
-// shareNow decides how many credits a source gets whose requests wait for them: its part, at least
-// one, without those that are due to sources that have waited longer.
+// shareNow returns how many credits a source with waiting requests gets: its share by demand, at
+// least one, less one credit for each source that has waited longer.
 //
-// Load: fewer free slots than sources, asks that come in the same order again and again. Harm
-// prevented: each slot that becomes free goes to whoever asks first, and the requests of one source
-// are refused for as long as the others ask.
-func (g *Granter) shareNow(now time.Time, s *source, name pabundle.ServiceName, want int) int {
+// With fewer free slots than sources, and asks that always arrive in the same order, every slot that
+// becomes free would go to the first source that asks, and the requests of another would be refused
+// for as long as the others ask.
+func (g *Granter) shareNow(now time.Time, s *sourceState, name pabundle.ServiceName, want int) int {
 	if want <= 0 {
 		return 0
 	}
-	free := g.free(now, name)
-	n := min(want, max(1, g.part(now, s, name, free)), free-g.waitLonger(now, s, name), maxLot)
+	free := g.grantable(now, name)
+	n := min(want, max(1, g.demandShare(now, s, name, free)), free-g.longerWaiting(now, s, name), maxBatch)
 	if n > 0 {
-		delete(s.short, name)
+		delete(s.shortages, name)
 		return n
 	}
-	x := s.short[name]
-	if !x.stands(now) {
+	x := s.shortages[name]
+	if !x.active(now) {
 		x.since = now
 	}
-	x.last = now
-	s.short[name] = x
+	x.lastAsk = now
+	s.shortages[name] = x
 	return 0
 }
 
-// shareAhead decides how many credits a source gets for requests that are still to come: its part,
-// but not the last free one, nor any while requests of other sources wait.
+// shareAhead returns how many credits a source gets for expected requests: its share by demand, less
+// one credit for each source with waiting requests, and never the last free credit.
 //
-// Load: a source with a request now and then beside one with many. Harm prevented: credits that lie
-// unused at the first for a term each are all there is, and the second one's requests are refused.
-func (g *Granter) shareAhead(now time.Time, s *source, name pabundle.ServiceName, want int) int {
-	free := g.free(now, name)
-	return max(0, min(want, g.part(now, s, name, free), free-1-g.waitLonger(now, s, name), maxLot))
+// Otherwise a source with few requests could hold all credits unused, each for a whole term, while
+// the requests of a busier source are refused.
+func (g *Granter) shareAhead(now time.Time, s *sourceState, name pabundle.ServiceName, want int) int {
+	free := g.grantable(now, name)
+	return max(0, min(want, g.demandShare(now, s, name, free), free-1-g.longerWaiting(now, s, name), maxBatch))
 }
 
-// free is how many credits may be granted for a service now.
+// grantable returns how many credits of a service may be granted now.
 //
-// Guards against a restarted granter: work that its predecessor let in still runs, unknown to it,
-// and shows as more work than slots. For one term it grants nothing: the old credits are void by
-// their incarnation, and the targets' own reports have told by then what runs.
-func (g *Granter) free(now time.Time, name pabundle.ServiceName) int {
+// After a restart it is 0 for one term: requests admitted by the previous incarnation still run and
+// are unknown to this one, so granting at once would run more requests than there are slots. By the
+// end of the term the targets have reported what runs. Credits of the previous incarnation are void.
+func (g *Granter) grantable(now time.Time, name pabundle.ServiceName) int {
 	if now.Sub(g.Started) < Term {
 		return 0
 	}
 	return max(0, g.service(name).free())
 }
 
-// part is what a source may get beyond what it holds, by its part of the recent demand.
+// demandShare returns how many credits a source may get in addition to those it holds, in proportion
+// to its share of the recent demand of all sources.
 //
-// The load is many sources that turn to one owner at once. Each gets its part of what can be out, so
-// the first to ask does not take all; the sum is held by what is free now, whoever asks.
-func (g *Granter) part(now time.Time, s *source, name pabundle.ServiceName, free int) int {
+// When many sources ask one owner at once, this keeps the first from taking all credits. The callers
+// limit the result to the credits that are free.
+func (g *Granter) demandShare(now time.Time, s *sourceState, name pabundle.ServiceName, free int) int {
 	total := 0
 	for _, o := range g.sources {
-		if now.Sub(o.asked) <= demandAge {
+		if now.Sub(o.lastAsk) <= maxDemandAge {
 			total += o.demand[name]
 		}
 	}
-	return (free+g.service(name).outstanding)*s.demand[name]/max(1, total) - s.held(name)
+	return (free+g.service(name).outstanding)*s.demand[name]/max(1, total) - s.unspent(name)
 }
 
-// waitLonger counts the other sources whose requests have waited for longer, and still ask.
-func (g *Granter) waitLonger(now time.Time, s *source, name pabundle.ServiceName) int {
-	own := s.short[name]
+// longerWaiting returns how many other sources still ask for requests that have waited for longer.
+func (g *Granter) longerWaiting(now time.Time, s *sourceState, name pabundle.ServiceName) int {
+	own := s.shortages[name]
 	n := 0
 	for _, o := range g.sources {
-		x := o.short[name]
-		if o != s && x.stands(now) && (!own.stands(now) || x.since.Before(own.since)) {
+		x := o.shortages[name]
+		if o != s && x.active(now) && (!own.active(now) || x.since.Before(own.since)) {
 			n++
 		}
 	}
 	return n
 }
 
-func (g *Granter) give(now time.Time, s *source, sequence uint64, name pabundle.ServiceName, n int) {
+func (g *Granter) issue(now time.Time, s *sourceState, sequence uint64, name pabundle.ServiceName, n int) {
 	g.service(name).outstanding += n
-	l := &lot{sequence: sequence, service: name, count: n, left: n, until: now.Add(Term + transit)}
-	s.lots = append(s.lots, l)
+	l := &batch{sequence: sequence, service: name, count: n, unspent: n, expires: now.Add(Term + transitMargin)}
+	s.batches = append(s.batches, l)
 }
 
-// Redeem spends a credit for a request that arrived. Only after Start may the request be sent to a
-// target; a repeated request finds its credit spent.
+// Redeem spends a credit for an arrived request. The request may be sent to a target only if the
+// result is Start. Redeeming a credit a second time returns Void.
 func (g *Granter) Redeem(now time.Time, r CreditRef) Redemption {
 	g.expire(now)
 	s := g.sources[r.Source.Name]
 	if r.Granter != g.Self.Incarnation || s == nil || s.incarnation != r.Source.Incarnation {
 		return Void
 	}
-	l := s.lot(r)
+	l := s.batch(r)
 	if l == nil || l.spent&(1<<r.Index) != 0 {
 		return Void
 	}
 	l.spent |= 1 << r.Index
-	l.left--
+	l.unspent--
 	v := g.service(r.Service)
 	v.outstanding--
 	if v.Local+v.running >= v.Slots {
@@ -202,51 +207,52 @@
 	return Start
 }
 
-// Done frees the slot of remote work that ended.
+// Done frees the slot of a remote request that ended.
 func (g *Granter) Done(name pabundle.ServiceName) {
 	if v := g.service(name); v.running > 0 {
 		v.running--
 	}
 }
 
-// Tick drops what has expired.
+// Tick removes expired credits, and sources that no longer ask.
 func (g *Granter) Tick(now time.Time) { g.expire(now) }
 
 func (g *Granter) expire(now time.Time) {
 	for n, s := range g.sources {
-		s.lots = slices.DeleteFunc(s.lots, func(l *lot) bool {
-			if now.Before(l.until) {
+		s.batches = slices.DeleteFunc(s.batches, func(l *batch) bool {
+			if now.Before(l.expires) {
 				return false
 			}
-			g.service(l.service).outstanding -= l.left
+			g.service(l.service).outstanding -= l.unspent
 			return true
 		})
-		if len(s.lots) == 0 && now.Sub(s.asked) > maxSourceAge {
+		if len(s.batches) == 0 && now.Sub(s.lastAsk) > maxSourceAge {
 			delete(g.sources, n)
 		}
 	}
 }
 
-// maxSourceAge is how long a source that stopped asking is remembered. Harm: forgotten too soon, a
-// delayed Ask of it would be granted anew. Value: longer than any message is on its way.
+// maxSourceAge is how long the state of a source that stopped asking is kept. Removed too soon, a
+// delayed duplicate Ask would be granted again; 10 minutes exceeds any message delay.
 const maxSourceAge = 10 * time.Minute
 
-func (g *Granter) service(name pabundle.ServiceName) *service {
+func (g *Granter) service(name pabundle.ServiceName) *serviceAccount {
 	if g.services == nil {
-		g.services = make(map[pabundle.ServiceName]*service)
+		g.services = make(map[pabundle.ServiceName]*serviceAccount)
 	}
 	v := g.services[name]
 	if v == nil {
-		v = &service{}
+		v = &serviceAccount{}
 		g.services[name] = v
 	}
 	return v
 }
 
-// source returns the record of an asker, nil for one that has been replaced by a later start.
-func (g *Granter) source(now time.Time, id Identity) *source {
+// source returns the state of a source and creates it if needed. It returns nil if a later incarnation
+// is known or the limit of sources is reached.
+func (g *Granter) source(now time.Time, id Identity) *sourceState {
 	if g.sources == nil {
-		g.sources = make(map[pabundle.EntryName]*source)
+		g.sources = make(map[pabundle.EntryName]*sourceState)
 	}
 	s := g.sources[id.Name]
 	if s == nil {
@@ -260,34 +266,34 @@
 		return nil
 	}
 	if id.Incarnation > s.incarnation {
-		// The old start is gone and what it held is void.
-		for _, l := range s.lots {
-			g.service(l.service).outstanding -= l.left
+		// The previous incarnation has ended; its unspent credits are void.
+		for _, l := range s.batches {
+			g.service(l.service).outstanding -= l.unspent
 		}
 		*s = *newSource(now, id)
 	}
 	return s
 }
 
-func newSource(now time.Time, id Identity) *source {
-	return &source{
-		incarnation: id.Incarnation, asked: now,
-		demand: make(map[pabundle.ServiceName]int), short: make(map[pabundle.ServiceName]shortage),
+func newSource(now time.Time, id Identity) *sourceState {
+	return &sourceState{
+		incarnation: id.Incarnation, lastAsk: now,
+		demand: make(map[pabundle.ServiceName]int), shortages: make(map[pabundle.ServiceName]shortage),
 	}
 }
 
-func (s *source) held(name pabundle.ServiceName) int {
+func (s *sourceState) unspent(name pabundle.ServiceName) int {
 	n := 0
-	for _, l := range s.lots {
+	for _, l := range s.batches {
 		if l.service == name {
-			n += l.left
+			n += l.unspent
 		}
 	}
 	return n
 }
 
-func (s *source) lot(r CreditRef) *lot {
-	for _, l := range s.lots {
+func (s *sourceState) batch(r CreditRef) *batch {
+	for _, l := range s.batches {
 		if l.sequence == r.Sequence && l.service == r.Service && r.Index >= 0 && r.Index < l.count {
 			return l
 		}
--- a/pacredit/holder.go
+++ b/pacredit/holder.go
@@ -7,88 +7,90 @@
 	"papayahead/pabundle"
 )
 
-// Holder keeps the credits of one source. Set Self before use; it is used by one goroutine, and
-// Tick is called several times a second.
+// Holder keeps the credits of one source. Set Self before use and call Tick several times a second.
+// It is not safe for concurrent use.
 type Holder struct {
-	// Self is this entry VM and its start.
+	// Self identifies this process.
 	Self Identity
 
 	sequence uint64
-	granters map[pabundle.EntryName]*granted
-	last     time.Time
+	granters map[pabundle.EntryName]*granterState
+	lastTick time.Time
 }
 
-// granted is what a holder has from one granter.
-type granted struct {
+// granterState is a holder's state for one granter.
+type granterState struct {
 	incarnation uint64
-	pending     []pending
-	lots        []*heldLot
+	pending     []pendingAsk
+	batches     []*heldBatch
 }
 
-// pending is an Ask without an answer.
-type pending struct {
+// pendingAsk is an Ask that has not been answered.
+type pendingAsk struct {
 	sequence uint64
-	at       time.Time
+	sent     time.Time
 }
 
-type heldLot struct {
+// heldBatch is the unspent credits for one service from one grant; next is the index of the first.
+type heldBatch struct {
 	sequence    uint64
 	service     pabundle.ServiceName
 	next, count int
-	until       time.Time
+	expires     time.Time
 }
 
-// Ask returns the message that asks a granter for credits; it can be sent more than once.
+// Ask returns a new request for credits to send to a granter. Sending it more than once is safe.
 func (h *Holder) Ask(now time.Time, granter pabundle.EntryName, items []Item) Ask {
 	h.Tick(now)
 	o := h.granter(granter)
 	h.sequence++
-	o.pending = append(o.pending, pending{h.sequence, now})
+	o.pending = append(o.pending, pendingAsk{h.sequence, now})
 	if len(o.pending) > maxPending {
 		o.pending = o.pending[1:]
 	}
 	return Ask{Source: h.Self, Sequence: h.sequence, Items: items}
 }
 
-// Accept takes a grant and says whether any of it can be spent. Grants that were not asked for,
-// came twice, belong to an earlier start of either end or are past their term are dropped.
+// Accept adds the credits of a grant and reports whether the grant was valid and not empty. It ignores
+// grants that are unsolicited, duplicated, expired or of an earlier incarnation of either end.
 func (h *Holder) Accept(now time.Time, g Grant) bool {
 	h.Tick(now)
 	o := h.granters[g.Granter.Name]
 	if o == nil || g.Source != h.Self || g.Granter.Incarnation < o.incarnation {
 		return false
 	}
-	i := slices.IndexFunc(o.pending, func(p pending) bool { return p.sequence == g.Sequence })
+	i := slices.IndexFunc(o.pending, func(p pendingAsk) bool { return p.sequence == g.Sequence })
 	if i < 0 {
 		return false
 	}
-	asked := o.pending[i].at
+	asked := o.pending[i].sent
 	o.pending = slices.Delete(o.pending, i, i+1)
 	if g.Granter.Incarnation > o.incarnation {
-		o.incarnation, o.lots = g.Granter.Incarnation, nil
+		o.incarnation, o.batches = g.Granter.Incarnation, nil
 	}
-	// The term counts from the asking: when the grant was made is not known here, but it was later.
+	// The term counts from when the Ask was sent: the time of the grant is not known here, but was later.
 	until := asked.Add(min(g.Term, Term))
 	if !now.Before(until) {
 		return false
 	}
 	for _, x := range g.Items[:min(len(g.Items), maxItems)] {
-		if x.Count > 0 && x.Count <= maxLot {
-			o.lots = append(o.lots, &heldLot{sequence: g.Sequence, service: x.Service, count: x.Count, until: until})
+		if x.Count > 0 && x.Count <= maxBatch {
+			o.batches = append(o.batches, &heldBatch{sequence: g.Sequence, service: x.Service, count: x.Count, expires: until})
 		}
 	}
 	return len(g.Items) > 0
 }
 
-// Spend takes one credit; the one that expires first goes first. It returns false if there is none.
+// Spend removes and returns one credit of a granter for a service, the earliest accepted first. It
+// returns false if none is left.
 func (h *Holder) Spend(now time.Time, granter pabundle.EntryName, name pabundle.ServiceName) (CreditRef, bool) {
 	h.Tick(now)
 	o := h.granters[granter]
 	if o == nil {
 		return CreditRef{}, false
 	}
-	for _, l := range o.lots {
-		if l.service == name && l.next < l.count && now.Before(l.until) {
+	for _, l := range o.batches {
+		if l.service == name && l.next < l.count && now.Before(l.expires) {
 			r := CreditRef{Source: h.Self, Granter: o.incarnation, Sequence: l.sequence, Service: name, Index: l.next}
 			l.next++
 			return r, true
@@ -97,44 +99,44 @@
 	return CreditRef{}, false
 }
 
-// Tick drops what has expired. A frozen source needs no more than that: its clock went on, so its
-// credits are past their term when it goes on.
+// Tick removes expired credits and unanswered asks. A process that was frozen for longer than a term
+// finds its credits expired, because the clock went on.
 //
-// Guards against a clock that is set back: it shows as credits that are spent after their owner has
-// given the slots to others. The guard holds because the step is seen before the next use.
+// If the clock was set back, Tick voids all credits: they would otherwise be spent after their owner
+// has given the slots to others. Every use of a credit calls Tick first, so the step is noticed in time.
 func (h *Holder) Tick(now time.Time) {
-	if now.Before(h.last) {
+	if now.Before(h.lastTick) {
 		h.VoidAll()
 	}
-	h.last = now
+	h.lastTick = now
 	for _, o := range h.granters {
-		o.lots = slices.DeleteFunc(o.lots, func(l *heldLot) bool { return l.next >= l.count || !now.Before(l.until) })
-		o.pending = slices.DeleteFunc(o.pending, func(p pending) bool { return now.Sub(p.at) >= Term })
+		o.batches = slices.DeleteFunc(o.batches, func(l *heldBatch) bool { return l.next >= l.count || !now.Before(l.expires) })
+		o.pending = slices.DeleteFunc(o.pending, func(p pendingAsk) bool { return now.Sub(p.sent) >= Term })
 	}
 }
 
-// Void drops all credits of a granter, and the answers that are still on their way: after a cut, or
-// when the granter called one void.
+// Void removes all credits of a granter and ignores grants still in transit. Call it after a network
+// partition, or when the granter answered a credit with Void.
 func (h *Holder) Void(granter pabundle.EntryName) {
 	if o := h.granters[granter]; o != nil {
-		o.lots, o.pending = nil, nil
+		o.batches, o.pending = nil, nil
 	}
 }
 
-// VoidAll drops all credits.
+// VoidAll removes the credits of all granters.
 func (h *Holder) VoidAll() {
 	for n := range h.granters {
 		h.Void(n)
 	}
 }
 
-func (h *Holder) granter(n pabundle.EntryName) *granted {
+func (h *Holder) granter(n pabundle.EntryName) *granterState {
 	if h.granters == nil {
-		h.granters = make(map[pabundle.EntryName]*granted)
+		h.granters = make(map[pabundle.EntryName]*granterState)
 	}
 	o := h.granters[n]
 	if o == nil {
-		o = &granted{}
+		o = &granterState{}
 		h.granters[n] = o
 	}
 	return o
--- a/pacredit/query.go
+++ b/pacredit/query.go
@@ -7,7 +7,7 @@
 	"papayahead/pabundle"
 )
 
-// LocalFreeSlots returns how many more local requests may start without breaking a promise that is out.
+// LocalFreeSlots returns how many more local requests may start without using slots of outstanding credits.
 func (g *Granter) LocalFreeSlots(name pabundle.ServiceName) int {
 	v := g.services[name]
 	if v == nil {
@@ -16,7 +16,7 @@
 	return max(0, v.Slots-v.Local-v.running-v.outstanding)
 }
 
-// Outstanding returns the credits that are out for a service, Running the remote work that runs.
+// Outstanding returns how many credits of a service are issued and neither spent nor expired.
 func (g *Granter) Outstanding(name pabundle.ServiceName) int {
 	if v := g.services[name]; v != nil {
 		return v.outstanding
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// Running returns the remote work of a service that runs.
+// Running returns how many remote requests of a service run.
 func (g *Granter) Running(name pabundle.ServiceName) int {
 	if v := g.services[name]; v != nil {
 		return v.running
@@ -32,21 +32,23 @@
 	return 0
 }
 
-// free is what may still be granted: the slots without what local work uses, waits for or keeps.
-func (v *service) free() int {
-	keep := int(math.Ceil(float64(v.Slots) * localPart))
-	return v.Slots - max(v.Local+v.Waiting, keep) - v.running - v.outstanding
+// free returns the slots left to grant: all slots less remote requests, outstanding credits, and the
+// larger of the local requests (running or waiting) and the slots reserved for them. It may be negative.
+func (v *serviceAccount) free() int {
+	reserved := int(math.Ceil(float64(v.Slots) * localShare))
+	return v.Slots - max(v.Local+v.Waiting, reserved) - v.running - v.outstanding
 }
 
-// Held returns how many credits of a granter can be spent on a service at now.
+// Held returns how many credits of a granter can be spent on a service at now. It returns 0 if the
+// clock was set back since the last Tick.
 func (h *Holder) Held(now time.Time, granter pabundle.EntryName, name pabundle.ServiceName) int {
 	o := h.granters[granter]
-	if o == nil || now.Before(h.last) {
+	if o == nil || now.Before(h.lastTick) {
 		return 0
 	}
 	n := 0
-	for _, l := range o.lots {
-		if l.service == name && now.Before(l.until) {
+	for _, l := range o.batches {
+		if l.service == name && now.Before(l.expires) {
 			n += l.count - l.next
 		}
 	}
--- a/pacredit/wire.go
+++ b/pacredit/wire.go
@@ -9,26 +9,26 @@
 	"papayahead/pawire"
 )
 
-// maxName bounds the names in messages.
-const maxName = 255
+// maxNameLength is the longest name in a message, in bytes.
+const maxNameLength = 255
 
-// Wire returns the Ask as a message.
+// Wire encodes the Ask.
 func (a Ask) Wire() *pawire.CreditAsk {
 	return &pawire.CreditAsk{
-		Source: string(a.Source.Name), SourceIncarnation: a.Source.Incarnation, Sequence: a.Sequence, Items: items(a.Items),
+		Source: string(a.Source.Name), SourceIncarnation: a.Source.Incarnation, Sequence: a.Sequence, Items: itemsToWire(a.Items),
 	}
 }
 
-// Wire returns the grant as a message.
+// Wire encodes the grant.
 func (g Grant) Wire() *pawire.CreditGrant {
 	return &pawire.CreditGrant{
 		Granter: string(g.Granter.Name), GranterIncarnation: g.Granter.Incarnation,
 		Source: string(g.Source.Name), SourceIncarnation: g.Source.Incarnation, Sequence: g.Sequence,
-		Items: items(g.Items), TermMilliseconds: uint32(g.Term.Milliseconds()),
+		Items: itemsToWire(g.Items), TermMilliseconds: uint32(g.Term.Milliseconds()),
 	}
 }
 
-// Wire returns the reference as a message.
+// Wire encodes the reference.
 func (r CreditRef) Wire() *pawire.CreditRef {
 	return &pawire.CreditRef{
 		Source: string(r.Source.Name), SourceIncarnation: r.Source.Incarnation, GranterIncarnation: r.Granter,
@@ -36,7 +36,7 @@
 	}
 }
 
-// AskFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// AskFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func AskFromWire(m *pawire.CreditAsk) (Ask, error) {
 	read, err := itemsFromWire(m.GetItems())
 	if err != nil {
@@ -49,7 +49,7 @@
 	return Ask{Source: source, Sequence: m.GetSequence(), Items: read}, nil
 }
 
-// GrantFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// GrantFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func GrantFromWire(m *pawire.CreditGrant) (Grant, error) {
 	read, err := itemsFromWire(m.GetItems())
 	if err != nil {
@@ -69,7 +69,7 @@
 	}, nil
 }
 
-// RefFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// RefFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func RefFromWire(m *pawire.CreditRef) (CreditRef, error) {
 	if err := checkName(m.GetSource()); err != nil {
 		return CreditRef{}, trace.Wrap(err)
@@ -77,8 +77,8 @@
 	if err := checkName(m.GetService()); err != nil {
 		return CreditRef{}, trace.Wrap(err)
 	}
-	if m.GetIndex() >= maxLot {
-		return CreditRef{}, trace.BadParameter("credit: index %d, want less than %d", m.GetIndex(), maxLot)
+	if m.GetIndex() >= maxBatch {
+		return CreditRef{}, trace.BadParameter("credit: index %d is out of range, want less than %d", m.GetIndex(), maxBatch)
 	}
 	return CreditRef{
 		Source:  Identity{pabundle.EntryName(m.GetSource()), m.GetSourceIncarnation()},
@@ -87,7 +87,7 @@
 	}, nil
 }
 
-func items(in []Item) []*pawire.CreditItem {
+func itemsToWire(in []Item) []*pawire.CreditItem {
 	var out []*pawire.CreditItem
 	for _, i := range in {
 		out = append(out, &pawire.CreditItem{Service: string(i.Service), Count: uint32(max(0, i.Count))})
@@ -97,15 +97,15 @@
 
 func itemsFromWire(in []*pawire.CreditItem) ([]Item, error) {
 	if len(in) > maxItems {
-		return nil, trace.BadParameter("credit: %d items, want at most %d", len(in), maxItems)
+		return nil, trace.BadParameter("credit: message has %d items, want at most %d", len(in), maxItems)
 	}
 	var out []Item
 	for _, i := range in {
 		if err := checkName(i.GetService()); err != nil {
 			return nil, trace.Wrap(err)
 		}
-		if i.GetCount() > maxLot {
-			return nil, trace.BadParameter("credit: count %d, want at most %d", i.GetCount(), maxLot)
+		if i.GetCount() > maxBatch {
+			return nil, trace.BadParameter("credit: item has %d credits, want at most %d", i.GetCount(), maxBatch)
 		}
 		out = append(out, Item{pabundle.ServiceName(i.GetService()), int(i.GetCount())})
 	}
@@ -113,8 +113,8 @@
 }
 
 func checkName(n string) error {
-	if n == "" || len(n) > maxName {
-		return trace.BadParameter("credit: a name has %d bytes, want 1 to %d", len(n), maxName)
+	if n == "" || len(n) > maxNameLength {
+		return trace.BadParameter("credit: name has %d bytes, want 1 to %d", len(n), maxNameLength)
 	}
 	return nil
 }
