--- a/paledger/claim.go
+++ b/paledger/claim.go
@@ -7,71 +7,72 @@
 )
 
 const (
-	// MaxClockSkew is the largest difference between two clocks, a caller's among them, that memory
-	// allows for. Harm: a repeat whose stamp is too young passes for a first copy. Value: as for
-	// the caps of shifts.
+	// MaxClockSkew is the largest difference between two clocks, including a caller's, that the ledger
+	// tolerates. With a larger one, a repeat whose FirstSent is too late could pass for a first copy.
+	// The value is that of pashift.MaxClockSkew.
 	MaxClockSkew = 5 * time.Second
-	// skewMargin is how much younger than the memory a first copy has to be.
+	// skewMargin is how long after the start of complete records a copy must have been first sent.
 	skewMargin = 2 * MaxClockSkew
-	// liveMargin is how long after its deadline a granted copy is still taken for live. Its
-	// claimant starts nothing after the deadline; the margin is for the settling message.
-	liveMargin = MaxClockSkew
-	// FreezeThreshold is the pause between two calls after which a keeper trusts nothing until its members
-	// have confirmed it anew. It is that of paview.
+	// settlementMargin is how long after its deadline a granted copy still counts as running. Its
+	// claimant starts nothing after the deadline; the margin is for the settlement to arrive.
+	settlementMargin = MaxClockSkew
+	// FreezeThreshold is the gap between two calls after which a keeper assumes that its process was
+	// frozen; it then refuses claims until SetMembers sets the members again. The value is that of paview.
 	FreezeThreshold = 3 * time.Second
-	// maxEras bounds the changes of keepers that are kept; more are summed up to the latest.
-	maxEras = 32
-	// minComeBack is the time to come back to a keeper that cannot answer yet.
-	minComeBack = time.Second
-	// maxText bounds keys, names and identities in bytes.
-	maxText = 1024
+	// maxAssignments bounds the past assignments of keys to keepers that are kept. Beyond it, the
+	// oldest two are merged into one that ends with the later and whose keepers are unknown.
+	maxAssignments = 32
+	// minRetryAfter is the shortest delay after which a caller retries a claim that the keeper cannot answer yet.
+	minRetryAfter = time.Second
+	// maxTextLength is the longest key, name or request identity in a message, in bytes.
+	maxTextLength = 1024
 )
 
-// ID is a caller's key within a service.
+// ID is an idempotency key within a service.
 type ID struct {
 	Service pabundle.ServiceName
 	Key     string
 }
 
-// Claimant is the start of an entry VM that would run a request.
+// Claimant identifies the process of an entry VM that wants to run a request.
 type Claimant struct {
 	Name        pabundle.EntryName
 	Incarnation uint64
 }
 
-// Claim asks for leave to run one copy of a keyed request.
+// Claim asks for permission to run one copy of a request.
 type Claim struct {
 	ID ID
-	// Request is the identity of this copy; a repeat by the caller has another.
+	// Request identifies this copy; a repeat by the caller has another identity.
 	Request  string
 	Claimant Claimant
-	// BodyDigest is a digest of method, path and body: another request under the same key is refused.
+	// BodyDigest is a digest of method, path and body. A different request under the same key is refused.
 	BodyDigest uint64
-	// FirstSent is when the caller sent its first copy, zero if it did not say.
+	// FirstSent is when the caller sent the first copy, zero if unknown.
 	FirstSent time.Time
 	// Repeat says that the caller marked this copy as a repeat.
 	Repeat bool
-	// Deadline is when the copy may start no more.
+	// Deadline is the time from which on the copy must not start.
 	Deadline time.Time
-	// Memory is the service's KeyMemory.
+	// Memory is how long the outcome is remembered: the service's KeyMemory.
 	Memory time.Duration
 }
 
 // Verdict is the answer to a claim.
 type Verdict int
 
-// The verdicts. Only after Granted may a byte of the request be sent to a target.
+// The verdicts. The request may be sent to a target only after Granted.
 const (
-	// NotRun means that neither this copy nor an earlier one has run, as far as its stamp shows,
-	// and that this copy never will.
+	// NotRun means that neither this copy nor, judging by FirstSent, an earlier one has run, and that
+	// this copy never will.
 	NotRun Verdict = iota
 	// Granted means that this copy, and no other, may run.
 	Granted
-	// Join means that another copy runs; its outcome will be the answer.
+	// Join means that another copy is running; its outcome will be the answer.
 	Join
-	// Repeated means that a copy has run; the reply says how it ended.
+	// Repeated means that a copy has run; the reply describes its outcome.
 	Repeated
-	// Conflict means that the key was used for another request. This copy does not run.
+	// Conflict means that the key was used for a different request. This copy does not run.
 	Conflict
 	// Unknown means that an earlier copy may have run. This copy does not run.
 	Unknown
@@ -100,26 +101,26 @@
 	return [...]string{"Unknown", "Answered", "NotRun"}[o]
 }
 
-// Reason says why a claim was not granted.
+// Reason is why a claim was not granted.
 type Reason int
 
 // The reasons.
 const (
-	// NoReason goes with verdicts that explain themselves.
+	// NoReason accompanies verdicts that need no reason.
 	NoReason Reason = iota
-	// NotKeeper means that another entry VM keeps the key.
+	// NotKeeper means that this entry VM is not the keeper of the key.
 	NotKeeper
-	// Unsettled means that the keeper's members have not confirmed it yet.
+	// Unsettled means that the members are not agreed on yet, or that the keeper has shut down.
 	Unsettled
-	// Full means that the ledger remembers all it can.
+	// Full means that the ledger has reached its capacity.
 	Full
 	// Late means that the deadline has passed.
 	Late
-	// TooOld means that the first copy may predate the keeper's memory.
+	// TooOld means that the first copy may be older than the keeper's complete records.
 	TooOld
-	// Unstamped means that the claim does not say when the first copy was sent, or says what cannot be.
+	// Unstamped means that FirstSent is missing where it is needed, or is in the future.
 	Unstamped
-	// GivenUp means that this very copy was settled as not run before.
+	// GivenUp means that this same copy has already been settled as not run.
 	GivenUp
 )
 
@@ -132,32 +133,32 @@
 type Reply struct {
 	Verdict Verdict
 	Reason  Reason
-	// Outcome, Status and Answer are what is remembered of a copy that ended.
+	// Outcome, Status and Answer describe a copy that ended.
 	Outcome      Outcome
 	Status       int
 	AnswerDigest uint64
-	// Live is the identity of the copy that runs, with Join.
+	// Live is the identity of the running copy, with Join.
 	Live string
-	// RetryAfter is when to ask again, without jitter; 0 means that asking again is of no use.
+	// RetryAfter is the delay before a retry, without jitter; 0 means that a retry is of no use.
 	RetryAfter time.Duration
 }
 
-// Settlement tells a keeper how a granted copy ended.
+// Settlement reports to the keeper how a granted copy ended.
 type Settlement struct {
 	ID      ID
 	Request string
 	Outcome Outcome
 	Status  int
-	// AnswerDigest is a digest of the answer.
+	// AnswerDigest is a digest of the target's answer.
 	AnswerDigest uint64
 }
 
-// State is what a ledger holds of a key.
+// State is the state of a key in a ledger.
 type State int
 
 // The states of a key.
 const (
-	// Live means that a copy was granted and has not been settled.
+	// Live means that a copy was granted and is not settled yet.
 	Live State = iota
 	// Done means that a copy was answered.
 	Done
@@ -172,7 +173,7 @@
 	return [...]string{"Live", "Done", "Lost", "Free"}[s]
 }
 
-// Record is a ledger's memory of a key.
+// Record is what a ledger remembers about a key.
 type Record struct {
 	ID       ID
 	Request  string
@@ -181,7 +182,7 @@
 	State    State
 	Status   int
 	Answer   uint64
-	// Deadline is that of the granted copy, ChangedAt when the record last changed.
+	// Deadline is that of the granted copy, ChangedAt the time of the record's last change.
 	Deadline, ChangedAt time.Time
 	// Memory is how long the record is kept after Touched.
 	Memory time.Duration
--- a/paledger/doc.go
+++ b/paledger/doc.go
@@ -1,12 +1,14 @@
-// Package paledger keeps keyed requests that are not idempotent from running twice.
+// Package paledger deduplicates requests that carry an idempotency key, so that each key runs at most
+// once. A caller may send several copies of a request under one key; "run" means that a target
+// executes a copy.
 //
-// Every key has one keeper. Home finds its region from the bundle alone and Keeper the entry VM from
-// the members that the region's entry VMs agree on (package paview), never from health, so that both
-// sides of a cut name the same one; while it is away, its keys are refused. Whoever wants to run a
-// keyed request claims the key from its keeper first. The keeper grants a key to one copy, remembers
-// how it ended, and answers repeats from memory.
+// Every key has one keeper, an entry VM. HomeRegion chooses its region by rendezvous hashing from the
+// bundle alone; Keeper chooses the VM from the members that the region's entry VMs agree on (package
+// paview). Neither depends on health, so both sides of a network partition name the same keeper; while
+// it is unreachable, its keys are refused. An entry VM claims a key from the keeper before it runs a
+// request. The keeper grants the key to one copy, records how it ended and answers repeats from the record.
 //
-// A keeper knows from when on it remembers a key: memory ends with the process, and a key may have
-// had another keeper. A copy whose first sending may be older than that is answered Unknown and
-// never run. A keeper that shuts down gracefully hands its memory over.
+// The ledger is held in memory only: a restart loses it, and a key may have had another keeper before.
+// So a keeper knows since when its records of a key are complete. A copy whose first sending may be
+// earlier is answered Unknown and never run. A keeper that shuts down gracefully hands its records over.
 package paledger
--- a/paledger/example_test.go
+++ b/paledger/example_test.go
@@ -8,7 +8,8 @@
 	"papayahead/paledger"
 )
 
-// A deposit is sent twice under one key: the second copy joins the first and then learns its end.
+// A keeper that has just started refuses the key as too old. Later, of two copies under one key, the
+// first is granted; the second joins it and then gets its outcome.
 func Example() {
 	started := time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 	l := paledger.Ledger{Self: "centro-1", Incarnation: 1, Region: "centro", Capacity: 1000}
--- a/paledger/handover.go
+++ b/paledger/handover.go
@@ -7,54 +7,54 @@
 	"papayahead/pabundle"
 )
 
-// maxRecords bounds the records of one part of a handover; a part then stays well under a megabyte
+// maxRecords bounds the records of one part of a handover, which keeps a part well under a megabyte
 // for keys of ordinary length.
 const maxRecords = 1000
 
-// maxParts bounds the parts of a handover.
+// maxParts bounds the parts of a handover to one successor.
 const maxParts = 10000
 
 // maxSuccessors bounds the successors named in a handover.
 const maxSuccessors = 512
 
-// Handover is a part of a keeper's memory for one successor.
+// Handover is one part of the records that a keeper hands over to one successor when it shuts down.
 type Handover struct {
 	From        pabundle.EntryName
 	Incarnation uint64
-	// Part counts from 0 to Parts-1; only all parts together count.
+	// Part counts from 0 to Parts-1; the handover takes effect when all parts have arrived.
 	Part, Parts int
-	// Since is from when on the sender remembers all its keys.
+	// Since is the time since when the sender's records are complete.
 	Since time.Time
-	// Successors are all those among whom the sender split its keys.
+	// Successors are all entry VMs among which the sender divided its keys.
 	Successors []pabundle.EntryName
 	Records    []Record
 }
 
-// inheritance is what came from one predecessor.
-type inheritance struct {
+// receivedHandover is the state of a handover from one predecessor.
+type receivedHandover struct {
 	incarnation uint64
 	parts       []bool
 	since       time.Time
 	successors  []pabundle.EntryName
 }
 
-// Retire ends the keeping of keys for good and returns the memory for each of the successors, which
-// are the members without this one. Every successor gets at least one part, which may be empty.
+// Retire stops this ledger from granting keys for good and returns the handovers for each successor.
+// The successors are the members without this entry VM. Each gets at least one part, which may be empty.
 func (l *Ledger) Retire(now time.Time, successors []pabundle.EntryName) map[pabundle.EntryName][]Handover {
 	l.Tick(now)
 	l.retired = true
-	sorted := make(map[pabundle.EntryName][]Record)
+	bySuccessor := make(map[pabundle.EntryName][]Record)
 	for _, n := range successors {
-		sorted[n] = nil
+		bySuccessor[n] = nil
 	}
 	for id, r := range l.records {
 		if n := Keeper(id, successors); n != "" {
-			sorted[n] = append(sorted[n], *r)
+			bySuccessor[n] = append(bySuccessor[n], *r)
 		}
 	}
 	since := l.MemorySince()
-	out := make(map[pabundle.EntryName][]Handover, len(sorted))
-	for n, records := range sorted {
+	out := make(map[pabundle.EntryName][]Handover, len(bySuccessor))
+	for n, records := range bySuccessor {
 		slices.SortFunc(records, func(a, b Record) int { return a.ChangedAt.Compare(b.ChangedAt) })
 		parts := max(1, (len(records)+maxRecords-1)/maxRecords)
 		for p := range parts {
@@ -65,11 +65,12 @@
 	return out
 }
 
-// AcceptHandover takes a part of a predecessor's memory. What is known here of a copy that may have run stays. A part that
-// does not fit leaves the handover incomplete, and the predecessor's keys stay refused as too old.
+// AcceptHandover adds a part of a predecessor's records. Own records stay, except those in state Free. A
+// part that exceeds the capacity is ignored, so the handover stays incomplete and requests for the
+// predecessor's keys are refused as too old.
 func (l *Ledger) AcceptHandover(now time.Time, h Handover) {
 	l.Tick(now)
-	i := l.inheritance(h)
+	i := l.handoverFrom(h)
 	if i == nil || len(l.records)+len(h.Records) > l.Capacity {
 		return
 	}
@@ -81,17 +82,17 @@
 	i.parts[h.Part] = true
 }
 
-func (l *Ledger) inheritance(h Handover) *inheritance {
+func (l *Ledger) handoverFrom(h Handover) *receivedHandover {
 	if h.Parts < 1 || h.Parts > maxParts || h.Part < 0 || h.Part >= h.Parts {
 		return nil
 	}
-	if l.heirs == nil {
-		l.heirs = make(map[pabundle.EntryName]*inheritance)
+	if l.handovers == nil {
+		l.handovers = make(map[pabundle.EntryName]*receivedHandover)
 	}
-	i := l.heirs[h.From]
+	i := l.handovers[h.From]
 	if i == nil || i.incarnation < h.Incarnation {
-		i = &inheritance{h.Incarnation, make([]bool, h.Parts), h.Since, h.Successors}
-		l.heirs[h.From] = i
+		i = &receivedHandover{h.Incarnation, make([]bool, h.Parts), h.Since, h.Successors}
+		l.handovers[h.From] = i
 	}
 	if i.incarnation > h.Incarnation || len(i.parts) != h.Parts {
 		return nil
@@ -99,17 +100,17 @@
 	return i
 }
 
-// covers says whether all that the predecessor knew of the key is here.
+// covers reports whether this ledger has everything that the predecessor knew about the key.
 //
-// Guards against two entry VMs that shut down one after the other: the first gives a key's record to
-// the second, which leaves before it arrives. It shows as a second run at a third one that has had
-// its own, complete part. The guard holds because that part counts only for the keys meant for it.
-func (i *inheritance) covers(id ID, self pabundle.EntryName) bool {
+// A complete handover counts only for the keys assigned to this VM. Otherwise, when two entry VMs shut
+// down one after the other, the first could hand a key's record to the second, which leaves before it
+// arrives, and a third VM that has its own complete handover would run the key again.
+func (i *receivedHandover) covers(id ID, self pabundle.EntryName) bool {
 	return i != nil && !slices.Contains(i.parts, false) && Keeper(id, i.successors) == self
 }
 
-// whole says whether it covers every key that self keeps among the members.
-func (i *inheritance) whole(self pabundle.EntryName, members []pabundle.EntryName) bool {
+// coversAll reports whether the handover covers every key whose keeper among the members is self.
+func (i *receivedHandover) coversAll(self pabundle.EntryName, members []pabundle.EntryName) bool {
 	if i == nil || slices.Contains(i.parts, false) || !slices.Contains(i.successors, self) {
 		return false
 	}
--- a/paledger/keeper.go
+++ b/paledger/keeper.go
@@ -6,18 +6,19 @@
 	"papayahead/pabundle"
 )
 
-// HomeRegion returns the region that keeps a key: the one with the highest rendezvous score among those
-// that have targets of the service. It depends on the bundle only. It returns "" for no regions.
+// HomeRegion returns the region of a key's keeper: the one with the highest rendezvous hash among the
+// service's candidate regions (CandidateRegions). It returns "" if there are none.
 func HomeRegion(id ID, regions []pabundle.RegionName) pabundle.RegionName {
-	return highest(id, regions)
+	return highestScore(id, regions)
 }
 
-// Keeper returns the entry VM that keeps a key among the members of its home region, "" for none.
+// Keeper returns the keeper of a key: the entry VM with the highest rendezvous hash among the members of
+// the key's home region. It returns "" if there are none.
 func Keeper(id ID, members []pabundle.EntryName) pabundle.EntryName {
-	return highest(id, members)
+	return highestScore(id, members)
 }
 
-func highest[N ~string](id ID, names []N) N {
+func highestScore[N ~string](id ID, names []N) N {
 	var best N
 	var most uint64
 	for _, n := range names {
@@ -28,7 +29,7 @@
 	return best
 }
 
-// score hashes the parts with their lengths, so that no two identities read alike.
+// score hashes each string with its length, so that different splits of the same text differ.
 func score(id ID, name string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -39,7 +40,7 @@
 	return d.Sum64()
 }
 
-// CandidateRegions returns the regions that have targets of each service, in the bundle's order.
+// CandidateRegions returns the regions that have targets of each service, in the order of the bundle.
 func CandidateRegions(b *pabundle.Bundle) map[pabundle.ServiceName][]pabundle.RegionName {
 	regionOf := make(map[pabundle.ZoneName]pabundle.RegionName)
 	for _, r := range b.Regions {
--- a/paledger/ledger.go
+++ b/paledger/ledger.go
@@ -8,96 +8,97 @@
 	"papayahead/pabundle"
 )
 
-// Ledger is the memory of one keeper. Set the exported fields before use; it is used by one
-// goroutine.
+// Ledger holds the records of one keeper. Set the exported fields before use. It is not safe for
+// concurrent use.
 type Ledger struct {
-	// Self is this entry VM, Incarnation its start, Region its region.
+	// Self is this entry VM, Incarnation identifies its process, Region is its region.
 	Self        pabundle.EntryName
 	Incarnation uint64
 	Region      pabundle.RegionName
-	// Capacity is how many keys are remembered at most.
+	// Capacity is the largest number of keys.
 	Capacity int
-	// TrustUnstamped takes a claim without FirstSent that is not marked as a repeat for a first
-	// copy. Without it such a claim is answered Unknown until the keeper has remembered for the
-	// service's whole KeyMemory.
+	// TrustUnstamped treats a claim that has no FirstSent and is not marked as a repeat as a first
+	// copy. Otherwise such a claim is answered Unknown until the keeper's records have been complete
+	// for the service's KeyMemory.
 	TrustUnstamped bool
 
-	members  []pabundle.EntryName
-	homes    []homes
-	eras     []era
-	heirs    map[pabundle.EntryName]*inheritance
-	records  map[ID]*Record
-	expiries expiries
-	// forgotten is the latest change of a record that was dropped, by service.
-	forgotten map[pabundle.ServiceName]time.Time
-	last      time.Time
-	retired   bool
+	members         []pabundle.EntryName
+	rollOuts        []rollOutRegions
+	pastAssignments []assignment
+	handovers       map[pabundle.EntryName]*receivedHandover
+	records         map[ID]*Record
+	expiries        expiries
+	// lastDropped is the time of the latest change among dropped records, by service.
+	lastDropped map[pabundle.ServiceName]time.Time
+	lastTick    time.Time
+	retired     bool
 }
 
-// homes are the home regions by a roll-out.
-type homes struct {
+// rollOutRegions is the candidate regions of each service in one roll-out.
+type rollOutRegions struct {
 	sequence pabundle.Sequence
 	regions  map[pabundle.ServiceName][]pabundle.RegionName
 }
 
-// era is a time in which keys had other keepers; without members no one is known.
-type era struct {
+// assignment is a past period with a different assignment of keys to keepers. Nil members mean that
+// the keepers are unknown.
+type assignment struct {
 	members []pabundle.EntryName
-	homes   []homes
+	homes   []rollOutRegions
 	until   time.Time
 }
 
-// SetMembers takes the members that the region's entry VMs agree on, sorted; nil while they do not.
+// SetMembers sets the members that the region's entry VMs agree on, sorted, or nil while they disagree.
 func (l *Ledger) SetMembers(now time.Time, members []pabundle.EntryName) {
 	l.Tick(now)
 	if slices.Equal(l.members, members) && (l.members == nil) == (members == nil) {
 		return
 	}
-	l.endEra(now)
+	l.closeAssignment(now)
 	l.members = slices.Clone(members)
 }
 
-// SetCandidateRegions takes the home regions of a roll-out (HomeRegions). Until Confirm, a key that the
-// roll-out moves is refused.
+// SetCandidateRegions sets the candidate regions of a roll-out (CandidateRegions). Keys that the
+// roll-out moves are refused until ConfirmRollOut.
 //
-// Guards against a keeper that has not heard of a roll-out, behind a cut: it shows as a key that
-// runs in both regions. The guard holds because the new keeper waits until every entry VM has
-// confirmed the roll-out, and whoever has taken it refuses what it moved.
+// Otherwise a key could run in both regions, if a network partition keeps its old keeper from learning
+// of the roll-out. The new keeper waits until every entry VM has confirmed the roll-out, and a VM that
+// has applied it refuses the keys that it moves away.
 func (l *Ledger) SetCandidateRegions(now time.Time, s pabundle.Sequence, regions map[pabundle.ServiceName][]pabundle.RegionName) {
 	l.Tick(now)
-	if n := len(l.homes); n > 0 && l.homes[n-1].sequence >= s {
+	if n := len(l.rollOuts); n > 0 && l.rollOuts[n-1].sequence >= s {
 		return
 	}
-	l.endEra(now)
-	l.homes = append(slices.Clone(l.homes), homes{s, regions})
+	l.closeAssignment(now)
+	l.rollOuts = append(slices.Clone(l.rollOuts), rollOutRegions{s, regions})
 }
 
-// ConfirmRollOut says that every entry VM of all regions has taken the roll-out s or a later one.
+// ConfirmRollOut records that every entry VM of all regions has applied the roll-out s or a later one.
 func (l *Ledger) ConfirmRollOut(now time.Time, s pabundle.Sequence) {
 	l.Tick(now)
-	for len(l.homes) > 1 && l.homes[1].sequence <= s {
-		l.endEra(now)
-		l.homes = slices.Clone(l.homes[1:])
+	for len(l.rollOuts) > 1 && l.rollOuts[1].sequence <= s {
+		l.closeAssignment(now)
+		l.rollOuts = slices.Clone(l.rollOuts[1:])
 	}
 }
 
-// Tick drops what has expired and finds a freeze of this process; call it about once a second.
+// Tick removes expired records and detects a freeze of this process; call it about once a second.
 func (l *Ledger) Tick(now time.Time) {
-	if !l.last.IsZero() && now.Sub(l.last) > FreezeThreshold && l.members != nil {
-		l.endEra(now)
+	if !l.lastTick.IsZero() && now.Sub(l.lastTick) > FreezeThreshold && l.members != nil {
+		l.closeAssignment(now)
 		l.members = nil
 	}
-	if now.After(l.last) {
-		l.last = now
+	if now.After(l.lastTick) {
+		l.lastTick = now
 	}
 	l.expire(now)
 }
 
-// Claim decides whether a copy of a keyed request may run.
+// Claim decides whether a copy of a request may run.
 //
-// The load is a caller that asks again, through this or another entry VM, while its first copy runs,
-// has run, or is still on its way. The harm is a deposit posted twice. A key is granted to one copy;
-// what the keeper cannot know to be the first is not granted.
+// A caller may repeat a request through this or another entry VM while the first copy is in transit, is
+// running or has run; a second run could, for example, post a deposit twice. So a key is granted to one
+// copy only, and a copy that may not be the first is not granted.
 func (l *Ledger) Claim(now time.Time, c Claim) Reply {
 	l.Tick(now)
 	if !now.Before(c.Deadline) {
@@ -106,12 +107,12 @@
 	if l.members == nil || l.retired {
 		return refuse(now, c, Unsettled)
 	}
-	if !keeps(l.Self, l.Region, c.ID, l.members, l.homes) {
+	if !isKeeper(l.Self, l.Region, c.ID, l.members, l.rollOuts) {
 		return refuse(now, c, NotKeeper)
 	}
 	r := l.records[c.ID]
 	if r != nil && (r.State != Free || r.Request == c.Request) {
-		return l.repeat(now, r, c)
+		return l.answerKnown(now, r, c)
 	}
 	if reason := l.tooOld(now, c); reason != NoReason {
 		return Reply{Verdict: Unknown, Reason: reason}
@@ -126,18 +127,18 @@
 	return Reply{Verdict: Granted}
 }
 
-// repeat answers a claim for a key that is remembered.
-func (l *Ledger) repeat(now time.Time, r *Record, c Claim) Reply {
+// answerKnown answers a claim for a key that has a record.
+func (l *Ledger) answerKnown(now time.Time, r *Record, c Claim) Reply {
 	if r.Body != c.BodyDigest {
 		return Reply{Verdict: Conflict}
 	}
 	switch r.State {
 	case Live:
 		if r.Request == c.Request && r.Claimant == c.Claimant {
-			// The first reply was lost; the claimant starts a request only once.
+			// The first reply was lost. Granting again is safe, as a claimant starts a copy only once.
 			return Reply{Verdict: Granted}
 		}
-		return Reply{Verdict: Join, Live: r.Request, RetryAfter: minComeBack}
+		return Reply{Verdict: Join, Live: r.Request, RetryAfter: minRetryAfter}
 	case Done:
 		return Reply{Verdict: Repeated, Outcome: EndedAnswered, Status: r.Status, AnswerDigest: r.Answer}
 	case Free:
@@ -147,8 +148,8 @@
 	}
 }
 
-// Settle takes the end of a granted copy. A repeated or late settlement changes nothing that is
-// already known; an answer that arrives after the copy was given up as lost is still taken.
+// Settle records how a granted copy ended. Duplicated and late settlements do not change a known
+// outcome, but a copy that was marked as lost may still be settled as answered or not run.
 func (l *Ledger) Settle(now time.Time, s Settlement) {
 	l.Tick(now)
 	r := l.records[s.ID]
@@ -169,11 +170,11 @@
 	l.put(r)
 }
 
-// tooOld says why a copy without a record may not be the first.
+// tooOld returns why a copy of a key without a record may not be the first, or NoReason.
 //
-// Guards against a first copy that ran under an earlier keeper, or so long ago that its record was
-// dropped: it shows as a second run minutes after the first. The guard holds because the copy's
-// stamp has to be younger, by twice the skew, than all that this keeper may not remember.
+// An earlier copy may have run under another keeper, or so long ago that its record was dropped; this
+// copy would then run the request again. So FirstSent must be later, by twice the clock skew, than
+// the time since when the records of the key are complete.
 func (l *Ledger) tooOld(now time.Time, c Claim) Reason {
 	since := l.since(c.ID)
 	switch {
@@ -189,10 +190,10 @@
 	return NoReason
 }
 
-// refuse answers a claim that is not granted, without a look at the memory. A repeat is not told
-// that it has not run: that would be true of this copy only.
+// refuse answers a claim without consulting the records. A repeat is answered Unknown instead of
+// NotRun, which would hold for this copy only.
 func refuse(now time.Time, c Claim, why Reason) Reply {
-	r := Reply{Verdict: NotRun, Reason: why, RetryAfter: minComeBack}
+	r := Reply{Verdict: NotRun, Reason: why, RetryAfter: minRetryAfter}
 	if c.Repeat || !c.FirstSent.IsZero() && now.Sub(c.FirstSent) > MaxClockSkew {
 		r.Verdict = Unknown
 	}
@@ -210,7 +211,7 @@
 	heap.Push(&l.expiries, expiry{r.ID, r.expires()})
 }
 
-// expire turns live copies past their deadline into lost ones and drops what was kept for its time.
+// expire marks live copies that are past their deadline as lost and removes records whose time is over.
 func (l *Ledger) expire(now time.Time) {
 	for len(l.expiries) > 0 && !now.Before(l.expiries[0].at) {
 		e := heap.Pop(&l.expiries).(expiry)
@@ -223,26 +224,27 @@
 			heap.Push(&l.expiries, expiry{r.ID, r.expires()})
 			continue
 		}
-		l.forget(r)
+		l.drop(r)
 	}
 }
 
-func (l *Ledger) forget(r *Record) {
-	if l.forgotten == nil {
-		l.forgotten = make(map[pabundle.ServiceName]time.Time)
+func (l *Ledger) drop(r *Record) {
+	if l.lastDropped == nil {
+		l.lastDropped = make(map[pabundle.ServiceName]time.Time)
 	}
-	if r.ChangedAt.After(l.forgotten[r.ID.Service]) {
-		l.forgotten[r.ID.Service] = r.ChangedAt
+	if r.ChangedAt.After(l.lastDropped[r.ID.Service]) {
+		l.lastDropped[r.ID.Service] = r.ChangedAt
 	}
 	delete(l.records, r.ID)
 }
 
-// endEra closes the time of the present keepers; what lies beyond every record's memory is summed up.
-func (l *Ledger) endEra(now time.Time) {
-	l.eras = append(l.eras, era{l.members, l.homes, now})
-	if len(l.eras) > maxEras {
-		l.eras = slices.Delete(l.eras, 0, 1)
-		l.eras[0].members = nil
+// closeAssignment ends the current assignment of keys to keepers and keeps it as a past one. Beyond
+// maxAssignments, it merges the oldest two.
+func (l *Ledger) closeAssignment(now time.Time) {
+	l.pastAssignments = append(l.pastAssignments, assignment{l.members, l.rollOuts, now})
+	if len(l.pastAssignments) > maxAssignments {
+		l.pastAssignments = slices.Delete(l.pastAssignments, 0, 1)
+		l.pastAssignments[0].members = nil
 	}
 }
 
@@ -251,17 +253,17 @@
 	at time.Time
 }
 
-// expiries is a heap of the times at which records change by themselves.
+// expiries is a min-heap of the times at which records expire.
 type expiries []expiry
 
 func (e expiries) Len() int           { return len(e) }
 func (e expiries) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
 func (e expiries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (e *expiries) Push(x any) { *e = append(*e, x.(expiry)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (e *expiries) Pop() any {
 	old := *e
 	x := old[len(old)-1]
--- a/paledger/ledger_test.go
+++ b/paledger/ledger_test.go
@@ -15,7 +15,7 @@
 	"papayahead/pawire"
 )
 
-// TestMain gives CI the same verdict every run; flags on the command line go before it.
+// TestMain fixes the seed so that CI runs are reproducible; command-line flags override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "20262", "rapid.checks": "300", "rapid.steps": "120", "rapid.shrinktime": "3s", "rapid.nofailfile": "true",
@@ -28,21 +28,21 @@
 	os.Exit(m.Run())
 }
 
-// A school's deposit is sent again and again, through different entry VMs, while these die, are
-// replaced, restart, freeze beyond the VM list's patience, are cut apart or shut down, and while
-// claims, replies and settlements are lost, late and out of order. It would pay twice if two keepers
-// granted the key, or one that had forgotten. The targets' log is the oracle: one run for each key.
-// On the same ground the parts of a link never add up to more than the whole.
-func TestAKeyRunsAtMostOnce(t *testing.T) {
+// Guards against running a key twice, which happens if two keepers grant it or one that lost its
+// records. A request is repeated through several entry VMs while these fail, are replaced, restart,
+// freeze until the VM list drops them, are partitioned or shut down, and while messages are lost, delayed
+// and reordered. The run counter of each key is the oracle. The test also checks that the shares of a
+// link that the entry VMs compute from their members never add up to more than 1.
+func TestKeyRunsAtMostOnce(t *testing.T) {
 	grants, runs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: epoch, nodes: map[pabundle.EntryName]*node{}}
+		w := &simulation{now: epoch, nodes: map[pabundle.EntryName]*node{}}
 		w.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		for _, name := range entryVMs[:rapid.IntRange(1, 4).Draw(t, "entry VMs")] {
 			w.boot(name)
 		}
 		for range 30 {
-			w.second()
+			w.advanceSecond()
 		}
 		name := rapid.SampledFrom(entryVMs)
 		pick := func(t *rapid.T, label string) *node { return w.nodes[name.Draw(t, label)] }
@@ -50,13 +50,13 @@
 			"": w.check,
 			"pass": func(t *rapid.T) {
 				for range rapid.SampledFrom([]int{1, 1, 2, 5, 25, 60}).Draw(t, "seconds") {
-					w.second()
+					w.advanceSecond()
 					w.check(t)
 				}
 			},
 			"heal": func(*rapid.T) {
 				for _, n := range w.nodes {
-					n.cut, n.blind = 0, false
+					n.cut, n.listUnreadable = 0, false
 				}
 			},
 			"copies": func(t *rapid.T) {
@@ -88,14 +88,14 @@
 					delete(w.nodes, at.view.Self.Name)
 				case kind == 3:
 					frozen := rapid.SampledFrom([]int{1, 3, 40}).Draw(t, "frozen")
-					if until := w.now.Add(time.Duration(frozen) * time.Second); until.After(at.thaw) {
-						at.thaw = until
+					if until := w.now.Add(time.Duration(frozen) * time.Second); until.After(at.frozenUntil) {
+						at.frozenUntil = until
 					}
-					at.lost = at.lost || frozen > 30
+					at.delisted = at.delisted || frozen > 30
 				case kind == 4:
 					at.cut = rapid.IntRange(0, 1).Draw(t, "side")
 				case kind == 5:
-					at.blind = !at.blind
+					at.listUnreadable = !at.listUnreadable
 				case kind == 6 && w.awake(at):
 					w.retire(t, at)
 				}
@@ -110,13 +110,13 @@
 	})
 	t.Logf("%d grants, %d keys ran", grants, runs)
 	if runs < 300 {
-		t.Errorf("only %d keys ran, of %d grants", runs, grants)
+		t.Errorf("%d keys ran of %d grants, want at least 300 runs", runs, grants)
 	}
 }
 
-// One keeper, and a caller that repeats its deposit in each way that has to be told apart. A wrong
-// answer here is a second run, or a caller that is told "not run" of a deposit that was made.
-func TestWhatAKeeperAnswers(t *testing.T) {
+// Checks the answer of a keeper to each kind of repeat. A wrong answer causes a second run, or tells
+// the caller that a request has not run although it has.
+func TestKeeperAnswers(t *testing.T) {
 	now := epoch.Add(time.Minute)
 	copyOf := func(request string) Claim {
 		return Claim{
@@ -139,12 +139,12 @@
 		want   Verdict
 		why    Reason
 	}{
-		"the first copy":      {func(*Ledger) {}, first, Granted, NoReason},
-		"its claim once more": {func(l *Ledger) { l.Claim(now, first) }, first, Granted, NoReason},
-		"its claim by another start": {func(l *Ledger) { l.Claim(now, first) },
+		"the first copy":          {func(*Ledger) {}, first, Granted, NoReason},
+		"the same claim repeated": {func(l *Ledger) { l.Claim(now, first) }, first, Granted, NoReason},
+		"the same copy claimed by a later incarnation": {func(l *Ledger) { l.Claim(now, first) },
 			with(func(c *Claim) { c.Request, c.Claimant.Incarnation = "1", 2 }), Join, NoReason},
 		"a repeat of a live copy": {func(l *Ledger) { l.Claim(now, first) }, copyOf("2"), Join, NoReason},
-		"another body":            {func(l *Ledger) { l.Claim(now, first) }, with(func(c *Claim) { c.BodyDigest = 8 }), Conflict, NoReason},
+		"a different body":        {func(l *Ledger) { l.Claim(now, first) }, with(func(c *Claim) { c.BodyDigest = 8 }), Conflict, NoReason},
 		"a repeat of an answered copy": {func(l *Ledger) {
 			l.Claim(now, first)
 			l.Settle(now, settle("1", EndedAnswered))
@@ -157,19 +157,19 @@
 			l.Claim(now, first)
 			l.Settle(now, settle("1", EndedNotRun))
 		}, copyOf("2"), Granted, NoReason},
-		"a late claim of a copy that was given up": {func(l *Ledger) {
+		"a late claim of a copy settled as not run": {func(l *Ledger) {
 			l.Claim(now, first)
 			l.Settle(now, settle("1", EndedNotRun))
 		}, first, NotRun, GivenUp},
-		"a stamp from before the memory":     {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent = epoch }), Unknown, TooOld},
-		"a stamp from the future":            {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent = now.Add(time.Hour) }), Unknown, Unstamped},
-		"no stamp":                           {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent, c.Memory = time.Time{}, time.Hour }), Unknown, Unstamped},
-		"no stamp, trusted":                  {func(l *Ledger) { l.TrustUnstamped = true }, with(func(c *Claim) { c.FirstSent = time.Time{} }), Granted, NoReason},
-		"a full ledger":                      {func(l *Ledger) { l.Capacity = 0 }, first, NotRun, Full},
-		"a full ledger and a repeat":         {func(l *Ledger) { l.Capacity = 0 }, with(func(c *Claim) { c.Repeat = true }), Unknown, Full},
-		"past its deadline":                  {func(*Ledger) {}, with(func(c *Claim) { c.Deadline = now }), NotRun, Late},
-		"a keeper that shut down":            {func(l *Ledger) { l.Retire(now, nil) }, first, NotRun, Unsettled},
-		"a keeper that was frozen until now": {func(l *Ledger) { l.last = now.Add(-FreezeThreshold - 1) }, first, NotRun, Unsettled},
+		"first sent before the records are complete": {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent = epoch }), Unknown, TooOld},
+		"first sent in the future":                   {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent = now.Add(time.Hour) }), Unknown, Unstamped},
+		"no FirstSent":                               {func(*Ledger) {}, with(func(c *Claim) { c.FirstSent, c.Memory = time.Time{}, time.Hour }), Unknown, Unstamped},
+		"no FirstSent, trusted":                      {func(l *Ledger) { l.TrustUnstamped = true }, with(func(c *Claim) { c.FirstSent = time.Time{} }), Granted, NoReason},
+		"a full ledger":                              {func(l *Ledger) { l.Capacity = 0 }, first, NotRun, Full},
+		"a full ledger and a repeat":                 {func(l *Ledger) { l.Capacity = 0 }, with(func(c *Claim) { c.Repeat = true }), Unknown, Full},
+		"past the deadline":                          {func(*Ledger) {}, with(func(c *Claim) { c.Deadline = now }), NotRun, Late},
+		"a keeper that shut down":                    {func(l *Ledger) { l.Retire(now, nil) }, first, NotRun, Unsettled},
+		"a keeper that was frozen until now":         {func(l *Ledger) { l.lastTick = now.Add(-FreezeThreshold - 1) }, first, NotRun, Unsettled},
 		"a roll-out that moves the key": {func(l *Ledger) {
 			l.SetCandidateRegions(now, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
 		}, first, NotRun, NotKeeper},
@@ -178,22 +178,22 @@
 			l.SetCandidateRegions(epoch, 3, regions)
 			l.Tick(now)
 		}, first, NotRun, NotKeeper},
-		"and was confirmed": {func(l *Ledger) {
+		"a confirmed roll-out that moved the key here": {func(l *Ledger) {
 			l.SetCandidateRegions(epoch, 2, map[pabundle.ServiceName][]pabundle.RegionName{deposit: {"norte"}})
 			l.SetCandidateRegions(epoch, 3, regions)
 			l.ConfirmRollOut(epoch, 3)
 		}, first, Granted, NoReason},
-		"a part of a handover is missing": {func(l *Ledger) {
+		"a handover with a missing part": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
 			l.AcceptHandover(now, Handover{From: "b", Incarnation: 1, Part: 1, Parts: 2, Since: epoch, Successors: entryVMs[:1]})
 		}, first, Unknown, TooOld},
-		"a handover in which the key was meant for another": {func(l *Ledger) {
+		"a handover that assigned the key to another VM": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
 			l.AcceptHandover(now, Handover{From: "b", Incarnation: 1, Parts: 1, Since: epoch, Successors: []pabundle.EntryName{"c"}})
 		}, first, Unknown, TooOld},
-		"all parts of a handover": {func(l *Ledger) {
+		"a complete handover": {func(l *Ledger) {
 			l.SetMembers(now, []pabundle.EntryName{"b"})
 			l.SetMembers(now, []pabundle.EntryName{"a"})
 			for part := range 2 {
@@ -211,13 +211,13 @@
 			}
 			c.before(l)
 			if r := l.Claim(now, c.claim); r.Verdict != c.want || r.Reason != c.why {
-				t.Errorf("answered %v (%v), want %v (%v)", r.Verdict, r.Reason, c.want, c.why)
+				t.Errorf("claim answered %v (%v), want %v (%v)", r.Verdict, r.Reason, c.want, c.why)
 			}
 		})
 	}
 }
 
-// Whatever bytes arrive, reading them gives an error or a value that is safe to use.
+// Decoding arbitrary bytes must return an error or a value that is safe to use.
 func FuzzMessages(f *testing.F) {
 	c := Claim{ID: ID{deposit, "k"}, Request: "r", Claimant: Claimant{"a", 1}, Deadline: epoch.Add(timeout), Memory: memory}
 	record := Record{ID: ID{deposit, "l"}, Request: "r", Claimant: Claimant{"a", 1}, Deadline: epoch, ChangedAt: epoch, Memory: memory}
--- a/paledger/query.go
+++ b/paledger/query.go
@@ -8,33 +8,35 @@
 	"papayahead/pabundle"
 )
 
-// MemorySince returns from when on the ledger remembers all keys that it keeps now. An era counts
-// only as far as its other keepers did not hand over: a keeper that inherited all of a predecessor's
-// memory and then hands over itself would otherwise make every key of both too old.
+// MemorySince returns the time since when the records of all keys kept here are complete. A past
+// assignment whose other keepers handed over everything counts only from when their records are
+// complete: otherwise a keeper that received a full handover and then hands over itself would make
+// the keys of both too old.
 func (l *Ledger) MemorySince() time.Time {
 	var since time.Time
-	for _, e := range l.eras {
-		since = later(since, l.eraSince(e))
+	for _, e := range l.pastAssignments {
+		since = later(since, l.assignmentSince(e))
 	}
-	for _, t := range l.forgotten {
+	for _, t := range l.lastDropped {
 		since = later(since, t)
 	}
 	return since
 }
 
-func (l *Ledger) eraSince(e era) time.Time {
-	if e.members == nil || !sameHomes(e.homes, l.homes) {
+func (l *Ledger) assignmentSince(e assignment) time.Time {
+	if e.members == nil || !sameHomes(e.homes, l.rollOuts) {
 		return e.until
 	}
 	var since time.Time
 	for _, m := range e.members {
-		// Who is a member still keeps what it kept: it scores higher than this keeper for those keys.
+		// A VM that is still a member still keeps its keys: it scores higher than this VM for them.
 		if m == l.Self || slices.Contains(l.members, m) {
 			continue
 		}
-		// A handover that was split among more than the present members may have gone past this one.
-		h := l.heirs[m]
-		if !h.whole(l.Self, l.members) {
+		// If the successors include others than the present members, records of keys kept here now may
+		// have gone to them.
+		h := l.handovers[m]
+		if !h.coversAll(l.Self, l.members) {
 			return e.until
 		}
 		since = later(since, h.since)
@@ -42,8 +44,9 @@
 	return since
 }
 
-// sameHomes says whether two lists of roll-outs leave every key in the same region.
-func sameHomes(a, b []homes) bool {
+// sameHomes reports whether the candidate regions are equal in all roll-outs of both lists, so that every
+// key has the same home region.
+func sameHomes(a, b []rollOutRegions) bool {
 	for _, x := range a {
 		for _, y := range b {
 			if !maps.EqualFunc(x.regions, y.regions, slices.Equal[[]pabundle.RegionName]) {
@@ -54,25 +57,26 @@
 	return len(a) > 0 && len(b) > 0
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of records.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// IsKeeper reports whether this entry VM keeps the key and may answer for it.
+// IsKeeper reports whether this entry VM is the keeper of a key and may answer claims for it.
 func (l *Ledger) IsKeeper(id ID) bool {
-	return l.members != nil && !l.retired && keeps(l.Self, l.Region, id, l.members, l.homes)
+	return l.members != nil && !l.retired && isKeeper(l.Self, l.Region, id, l.members, l.rollOuts)
 }
 
-// since returns from when on nothing about the key is missing: the end of the last era in which it
-// had another keeper that did not hand over, and the youngest record that was dropped.
+// since returns the time since when the records of a key are complete. That is the latest of: the end of
+// the last assignment in which the key had another keeper that did not hand over, the start of
+// complete records in a received handover, and the latest change among dropped records of the service.
 func (l *Ledger) since(id ID) time.Time {
-	since := l.forgotten[id.Service]
-	for _, e := range l.eras {
-		if e.members == nil || !home(l.Region, id, e.homes) {
+	since := l.lastDropped[id.Service]
+	for _, e := range l.pastAssignments {
+		if e.members == nil || !isHomeRegion(l.Region, id, e.homes) {
 			since = later(since, e.until)
 			continue
 		}
 		keeper := Keeper(id, e.members)
-		switch h := l.heirs[keeper]; {
+		switch h := l.handovers[keeper]; {
 		case keeper == l.Self:
 		case h.covers(id, l.Self):
 			since = later(since, h.since)
@@ -83,12 +87,15 @@
 	return since
 }
 
-// keeps says whether self keeps the key by the members and by all the roll-outs that may be in force.
-func keeps(self pabundle.EntryName, region pabundle.RegionName, id ID, members []pabundle.EntryName, hs []homes) bool {
-	return home(region, id, hs) && Keeper(id, members) == self
+// isKeeper reports whether self is the keeper of a key, given the members and all roll-outs that may
+// be in force.
+func isKeeper(
+	self pabundle.EntryName, region pabundle.RegionName, id ID, members []pabundle.EntryName, hs []rollOutRegions,
+) bool {
+	return isHomeRegion(region, id, hs) && Keeper(id, members) == self
 }
 
-func home(region pabundle.RegionName, id ID, hs []homes) bool {
+func isHomeRegion(region pabundle.RegionName, id ID, hs []rollOutRegions) bool {
 	for _, h := range hs {
 		if HomeRegion(id, h.regions[id.Service]) != region {
 			return false
@@ -99,7 +106,7 @@
 
 func (r *Record) expires() time.Time {
 	if r.State == Live {
-		return r.Deadline.Add(liveMargin)
+		return r.Deadline.Add(settlementMargin)
 	}
 	return r.ChangedAt.Add(r.Memory + skewMargin)
 }
--- a/paledger/wire.go
+++ b/paledger/wire.go
@@ -9,35 +9,35 @@
 	"papayahead/pawire"
 )
 
-// Wire returns the claim as a message.
+// Wire encodes the claim.
 func (c Claim) Wire() *pawire.LedgerClaim {
 	return &pawire.LedgerClaim{
 		Service: string(c.ID.Service), Key: c.ID.Key, Request: c.Request,
 		Claimant: string(c.Claimant.Name), ClaimantIncarnation: c.Claimant.Incarnation, BodyDigest: c.BodyDigest,
-		FirstSentUnixNano: nano(c.FirstSent), Repeat: c.Repeat,
-		DeadlineUnixNano: nano(c.Deadline), MemoryNano: int64(c.Memory),
+		FirstSentUnixNano: toUnixNano(c.FirstSent), Repeat: c.Repeat,
+		DeadlineUnixNano: toUnixNano(c.Deadline), MemoryNano: int64(c.Memory),
 	}
 }
 
-// ClaimFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// ClaimFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func ClaimFromWire(m *pawire.LedgerClaim) (Claim, error) {
 	if err := checkTexts(m.GetService(), m.GetKey(), m.GetRequest(), m.GetClaimant()); err != nil {
 		return Claim{}, trace.Wrap(err)
 	}
 	if m.GetDeadlineUnixNano() <= 0 || m.GetMemoryNano() < 0 {
-		return Claim{}, trace.BadParameter("ledger: deadline %d and memory %d, want a positive deadline and no negative memory",
+		return Claim{}, trace.BadParameter("ledger: claim has deadline %d and memory %d, want a positive deadline and a memory of at least 0",
 			m.GetDeadlineUnixNano(), m.GetMemoryNano())
 	}
 	return Claim{
 		ID:         ID{pabundle.ServiceName(m.GetService()), m.GetKey()},
 		Request:    m.GetRequest(),
 		Claimant:   Claimant{pabundle.EntryName(m.GetClaimant()), m.GetClaimantIncarnation()},
-		BodyDigest: m.GetBodyDigest(), FirstSent: instant(m.GetFirstSentUnixNano()), Repeat: m.GetRepeat(),
-		Deadline: instant(m.GetDeadlineUnixNano()), Memory: time.Duration(m.GetMemoryNano()),
+		BodyDigest: m.GetBodyDigest(), FirstSent: fromUnixNano(m.GetFirstSentUnixNano()), Repeat: m.GetRepeat(),
+		Deadline: fromUnixNano(m.GetDeadlineUnixNano()), Memory: time.Duration(m.GetMemoryNano()),
 	}, nil
 }
 
-// Wire returns the reply as a message.
+// Wire encodes the reply.
 func (r Reply) Wire() *pawire.LedgerReply {
 	return &pawire.LedgerReply{
 		Verdict: uint32(r.Verdict), Reason: uint32(r.Reason), Outcome: uint32(r.Outcome), Status: uint32(max(0, r.Status)),
@@ -45,10 +45,10 @@
 	}
 }
 
-// ReplyFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// ReplyFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func ReplyFromWire(m *pawire.LedgerReply) (Reply, error) {
 	if m.GetVerdict() > uint32(Unknown) || m.GetReason() > uint32(GivenUp) || m.GetOutcome() > uint32(EndedNotRun) {
-		return Reply{}, trace.BadParameter("ledger: verdict %d, reason %d or outcome %d is not known",
+		return Reply{}, trace.BadParameter("ledger: reply has an unknown verdict %d, reason %d or outcome %d",
 			m.GetVerdict(), m.GetReason(), m.GetOutcome())
 	}
 	return Reply{
@@ -58,7 +58,7 @@
 	}, nil
 }
 
-// Wire returns the settlement as a message.
+// Wire encodes the settlement.
 func (s Settlement) Wire() *pawire.LedgerSettle {
 	return &pawire.LedgerSettle{
 		Service: string(s.ID.Service), Key: s.ID.Key, Request: s.Request,
@@ -66,13 +66,13 @@
 	}
 }
 
-// SettlementFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// SettlementFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func SettlementFromWire(m *pawire.LedgerSettle) (Settlement, error) {
 	if err := checkTexts(m.GetService(), m.GetKey(), m.GetRequest()); err != nil {
 		return Settlement{}, trace.Wrap(err)
 	}
 	if m.GetOutcome() > uint32(EndedNotRun) {
-		return Settlement{}, trace.BadParameter("ledger: outcome %d is not known", m.GetOutcome())
+		return Settlement{}, trace.BadParameter("ledger: settlement has an unknown outcome %d", m.GetOutcome())
 	}
 	return Settlement{
 		ID: ID{pabundle.ServiceName(m.GetService()), m.GetKey()}, Request: m.GetRequest(),
@@ -80,11 +80,11 @@
 	}, nil
 }
 
-// Wire returns the handover as a message.
+// Wire encodes the handover.
 func (h Handover) Wire() *pawire.LedgerHandover {
 	m := &pawire.LedgerHandover{
 		From: string(h.From), Incarnation: h.Incarnation, Part: uint32(h.Part), Parts: uint32(h.Parts),
-		SinceUnixNano: nano(h.Since),
+		SinceUnixNano: toUnixNano(h.Since),
 	}
 	for _, n := range h.Successors {
 		m.Successors = append(m.Successors, string(n))
@@ -93,28 +93,28 @@
 		m.Records = append(m.Records, &pawire.LedgerRecord{
 			Service: string(r.ID.Service), Key: r.ID.Key, Request: r.Request, BodyDigest: r.Body,
 			State: uint32(r.State), Status: uint32(max(0, r.Status)), AnswerDigest: r.Answer,
-			DeadlineUnixNano: nano(r.Deadline), TouchedUnixNano: nano(r.ChangedAt), MemoryNano: int64(r.Memory),
+			DeadlineUnixNano: toUnixNano(r.Deadline), TouchedUnixNano: toUnixNano(r.ChangedAt), MemoryNano: int64(r.Memory),
 			Claimant: string(r.Claimant.Name), ClaimantIncarnation: r.Claimant.Incarnation,
 		})
 	}
 	return m
 }
 
-// HandoverFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// HandoverFromWire decodes and validates a message. It returns trace.BadParameter if the message is invalid.
 func HandoverFromWire(m *pawire.LedgerHandover) (Handover, error) {
 	if err := checkTexts(m.GetFrom()); err != nil {
 		return Handover{}, trace.Wrap(err)
 	}
 	if m.GetParts() < 1 || m.GetParts() > maxParts || m.GetPart() >= m.GetParts() || len(m.GetRecords()) > maxRecords {
-		return Handover{}, trace.BadParameter("ledger: part %d of %d with %d records, want at most %d parts of %d",
+		return Handover{}, trace.BadParameter("ledger: handover part %d of %d with %d records is out of range, want at most %d parts of %d records",
 			m.GetPart(), m.GetParts(), len(m.GetRecords()), maxParts, maxRecords)
 	}
 	h := Handover{
 		From: pabundle.EntryName(m.GetFrom()), Incarnation: m.GetIncarnation(),
-		Part: int(m.GetPart()), Parts: int(m.GetParts()), Since: instant(m.GetSinceUnixNano()),
+		Part: int(m.GetPart()), Parts: int(m.GetParts()), Since: fromUnixNano(m.GetSinceUnixNano()),
 	}
 	if len(m.GetSuccessors()) > maxSuccessors {
-		return Handover{}, trace.BadParameter("ledger: %d successors, want at most %d", len(m.GetSuccessors()), maxSuccessors)
+		return Handover{}, trace.BadParameter("ledger: handover has %d successors, want at most %d", len(m.GetSuccessors()), maxSuccessors)
 	}
 	for _, n := range m.GetSuccessors() {
 		if err := checkTexts(n); err != nil {
@@ -127,13 +127,13 @@
 			return Handover{}, trace.Wrap(err)
 		}
 		if r.GetState() > uint32(Free) || r.GetMemoryNano() < 0 {
-			return Handover{}, trace.BadParameter("ledger: state %d or memory %d of a record", r.GetState(), r.GetMemoryNano())
+			return Handover{}, trace.BadParameter("ledger: record has an unknown state %d or a negative memory %d", r.GetState(), r.GetMemoryNano())
 		}
 		h.Records = append(h.Records, Record{
 			ID: ID{pabundle.ServiceName(r.GetService()), r.GetKey()}, Request: r.GetRequest(), Body: r.GetBodyDigest(),
 			Claimant: Claimant{pabundle.EntryName(r.GetClaimant()), r.GetClaimantIncarnation()},
 			State:    State(r.GetState()), Status: int(r.GetStatus()), Answer: r.GetAnswerDigest(),
-			Deadline: instant(r.GetDeadlineUnixNano()), ChangedAt: instant(r.GetTouchedUnixNano()),
+			Deadline: fromUnixNano(r.GetDeadlineUnixNano()), ChangedAt: fromUnixNano(r.GetTouchedUnixNano()),
 			Memory: time.Duration(r.GetMemoryNano()),
 		})
 	}
@@ -142,22 +142,22 @@
 
 func checkTexts(texts ...string) error {
 	for _, t := range texts {
-		if t == "" || len(t) > maxText {
-			return trace.BadParameter("ledger: a name, key or identity has %d bytes, want 1 to %d", len(t), maxText)
+		if t == "" || len(t) > maxTextLength {
+			return trace.BadParameter("ledger: name, key or request identity has %d bytes, want 1 to %d", len(t), maxTextLength)
 		}
 	}
 	return nil
 }
 
-// nano and instant keep the zero time zero.
-func nano(t time.Time) int64 {
+// toUnixNano and fromUnixNano map the zero time to 0 and back.
+func toUnixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func instant(n int64) time.Time {
+func fromUnixNano(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
--- a/paledger/world_test.go
+++ b/paledger/world_test.go
@@ -26,46 +26,47 @@
 	entryVMs = []pabundle.EntryName{"a", "b", "c", "d", "e"}
 )
 
-// node is one start of an entry VM.
+// node is one process of an entry VM.
 type node struct {
-	view   *paview.View
-	ledger *Ledger
-	offset time.Duration
-	thaw   time.Time
-	cut    int  // nodes of unequal cut hear nothing of each other
-	blind  bool // it can't read the VM list
-	lost   bool // the list has dropped it while it was frozen
-	mail   []func()
+	view           *paview.View
+	ledger         *Ledger
+	offset         time.Duration
+	frozenUntil    time.Time
+	cut            int  // side of a partition; nodes of different sides do not reach each other
+	listUnreadable bool // it cannot read the VM list
+	delisted       bool // the VM list dropped it while it was frozen
+	inbox          []func()
 }
 
 // attempt is one copy of a keyed request at its claimant.
 type attempt struct {
 	claim Claim
 	by    *node
-	over  bool // it ran or was given up; it starts once at most
+	done  bool // it ran or was abandoned; it starts at most once
 }
 
-// deposits are the copies of one key.
+// copies are the copies of one keyed request.
 type copies struct {
 	first time.Time
 	sent  []*attempt
 	ran   int
 }
 
-type world struct {
+// simulation is the entry VMs of a region, the VM list and the copies of each key.
+type simulation struct {
 	now      time.Time
 	random   *rand.Rand
 	nodes    map[pabundle.EntryName]*node
-	lists    [][]pabundle.EntryName // the true list, second by second
+	lists    [][]pabundle.EntryName // the true VM list at each second
 	starts   uint64
 	requests int
 	keys     [4]*copies
 	grants   int
 }
 
-func (w *world) clock(n *node) time.Time { return w.now.Add(n.offset) }
+func (w *simulation) clock(n *node) time.Time { return w.now.Add(n.offset) }
 
-func (w *world) boot(name pabundle.EntryName) {
+func (w *simulation) boot(name pabundle.EntryName) {
 	w.starts++
 	n := &node{offset: time.Duration(w.random.IntN(5000)-2500) * time.Millisecond}
 	n.view = &paview.View{Self: paview.Member{Name: name, Incarnation: w.starts}, Lag: lag, Started: w.clock(n)}
@@ -74,15 +75,15 @@
 	w.nodes[name] = n
 }
 
-func (w *world) awake(n *node) bool { return !w.now.Before(n.thaw) }
+func (w *simulation) awake(n *node) bool { return !w.now.Before(n.frozenUntil) }
 
-// second lets a second pass: the list is read at some age below lag, announcements are sent and
-// arrive in any order within seconds, and mail to frozen nodes waits.
-func (w *world) second() {
+// advanceSecond moves the time on by a second. Nodes may read the VM list, in a version younger than lag, and
+// send announcements, which arrive in any order within seconds; messages to frozen nodes wait.
+func (w *simulation) advanceSecond() {
 	w.now = w.now.Add(time.Second)
 	var live []pabundle.EntryName
 	for _, name := range entryVMs {
-		if n := w.nodes[name]; n != nil && !n.lost {
+		if n := w.nodes[name]; n != nil && !n.delisted {
 			live = append(live, name)
 		}
 	}
@@ -93,12 +94,12 @@
 			continue
 		}
 		if w.random.IntN(2) == 0 {
-			// After a freeze, mail may come before the tick.
+			// After a freeze, messages may be handled before the tick.
 			w.deliver(n)
 		}
 		n.view.Tick(w.clock(n))
 		n.ledger.Tick(w.clock(n))
-		if !n.blind && w.random.IntN(2) == 0 {
+		if !n.listUnreadable && w.random.IntN(2) == 0 {
 			n.view.List(w.clock(n), w.lists[max(0, len(w.lists)-1-w.random.IntN(int(lag.Seconds())))])
 		}
 		w.announce(n)
@@ -107,37 +108,37 @@
 	}
 }
 
-func (w *world) announce(n *node) {
+func (w *simulation) announce(n *node) {
 	a := n.view.Announcement()
 	for _, name := range entryVMs {
 		if o := w.nodes[name]; o != nil && o != n && o.cut == n.cut && w.random.IntN(5) > 0 {
-			o.mail = append(o.mail, func() { o.view.Hear(w.clock(o), a) })
+			o.inbox = append(o.inbox, func() { o.view.Hear(w.clock(o), a) })
 		}
 	}
 }
 
-// deliver handles some of the mail, in any order.
-func (w *world) deliver(n *node) {
-	w.random.Shuffle(len(n.mail), func(i, j int) { n.mail[i], n.mail[j] = n.mail[j], n.mail[i] })
+// deliver handles some of the messages to a node, in any order.
+func (w *simulation) deliver(n *node) {
+	w.random.Shuffle(len(n.inbox), func(i, j int) { n.inbox[i], n.inbox[j] = n.inbox[j], n.inbox[i] })
 	keep := w.random.IntN(3)
-	for len(n.mail) > keep {
-		m := n.mail[0]
-		n.mail = n.mail[1:]
+	for len(n.inbox) > keep {
+		m := n.inbox[0]
+		n.inbox = n.inbox[1:]
 		m()
 		n.ledger.SetMembers(w.clock(n), n.view.Members())
 	}
 }
 
-// post puts a message to a node into its mail, or loses it.
-func (w *world) post(from, to *node, m func()) {
+// enqueue puts a message into the inbox of a node, or loses it.
+func (w *simulation) enqueue(from, to *node, m func()) {
 	if from.cut == to.cut && w.random.IntN(8) > 0 {
-		to.mail = append(to.mail, m)
+		to.inbox = append(to.inbox, m)
 	}
 }
 
-// send lets a caller send another copy of a key through one entry VM, which asks another one that
-// it takes for the keeper; it may be wrong.
-func (w *world) send(t *rapid.T, key int, by, keeper *node, skew time.Duration, marked bool) {
+// send adds a copy of a keyed request through the entry VM by, which claims the key from keeper; that
+// may be the wrong VM.
+func (w *simulation) send(t *rapid.T, key int, by, keeper *node, skew time.Duration, marked bool) {
 	k := w.keys[key]
 	if k == nil {
 		k = &copies{first: w.now.Add(skew)}
@@ -154,8 +155,8 @@
 	w.ask(t, k, a, keeper)
 }
 
-// keeper is the node that keeps a key, or now and then any other.
-func (w *world) keeper(t *rapid.T, key int) *node {
+// keeper returns the keeper of a key, or sometimes any other node.
+func (w *simulation) keeper(t *rapid.T, key int) *node {
 	for _, name := range entryVMs {
 		if n := w.nodes[name]; n != nil && n.ledger.IsKeeper(ID{deposit, fmt.Sprint(key)}) && rapid.IntRange(0, 4).Draw(t, "right") > 0 {
 			return n
@@ -164,41 +165,41 @@
 	return w.nodes[rapid.SampledFrom(entryVMs).Draw(t, "keeper")]
 }
 
-// ask sends the claim, over the wire form; the reply comes back as mail.
-func (w *world) ask(t *rapid.T, k *copies, a *attempt, keeper *node) {
-	w.post(a.by, keeper, func() {
+// ask sends a claim in its wire form; the reply goes to the inbox of the claimant.
+func (w *simulation) ask(t *rapid.T, k *copies, a *attempt, keeper *node) {
+	w.enqueue(a.by, keeper, func() {
 		c, err := ClaimFromWire(a.claim.Wire())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r := keeper.ledger.Claim(w.clock(keeper), c); r.Verdict == Granted {
 			w.grants++
-			w.post(keeper, a.by, func() { w.run(t, k, a, keeper) })
+			w.enqueue(keeper, a.by, func() { w.run(t, k, a, keeper) })
 		}
 	})
 }
 
-// run is the claimant's end: it starts a granted copy once, or gives it up.
-func (w *world) run(t *rapid.T, k *copies, a *attempt, keeper *node) {
-	if a.over || w.nodes[a.by.view.Self.Name] != a.by {
+// run handles a grant at the claimant: it runs the copy, at most once, or abandons it.
+func (w *simulation) run(t *rapid.T, k *copies, a *attempt, keeper *node) {
+	if a.done || w.nodes[a.by.view.Self.Name] != a.by {
 		return
 	}
-	a.over = true
+	a.done = true
 	outcome := EndedNotRun
 	if w.clock(a.by).Before(a.claim.Deadline) && w.random.IntN(4) > 0 {
 		k.ran++
 		outcome = []Outcome{EndedAnswered, EndedUnknown}[w.random.IntN(2)]
 		if k.ran > 1 {
-			t.Fatalf("key %s ran %d times, at last as request %s by %s with the leave of %s",
+			t.Fatalf("key %s ran %d times, last as request %s by %s, granted by %s",
 				a.claim.ID.Key, k.ran, a.claim.Request, a.by.view.Self.Name, keeper.view.Self.Name)
 		}
 	}
 	s := Settlement{ID: a.claim.ID, Request: a.claim.Request, Outcome: outcome, Status: 200}
-	w.post(a.by, keeper, func() { keeper.ledger.Settle(w.clock(keeper), s) })
+	w.enqueue(a.by, keeper, func() { keeper.ledger.Settle(w.clock(keeper), s) })
 }
 
-// retire lets a node shut down gracefully; its memory is on the way to those it knows.
-func (w *world) retire(t *rapid.T, n *node) {
+// retire shuts a node down gracefully and sends its handovers to the members it knows.
+func (w *simulation) retire(t *rapid.T, n *node) {
 	members := slices.DeleteFunc(n.view.Members(), func(m pabundle.EntryName) bool { return m == n.view.Self.Name })
 	handovers := n.ledger.Retire(w.clock(n), members)
 	for _, name := range members {
@@ -208,14 +209,14 @@
 				t.Fatal(err)
 			}
 			if o := w.nodes[name]; o != nil {
-				w.post(n, o, func() { o.ledger.AcceptHandover(w.clock(o), read) })
+				w.enqueue(n, o, func() { o.ledger.AcceptHandover(w.clock(o), read) })
 			}
 		}
 	}
 	n.view.Retire()
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *simulation) check(t *rapid.T) {
 	sum := 0.0
 	for _, n := range w.nodes {
 		if m := n.view.Members(); w.awake(n) && m != nil {
@@ -224,9 +225,9 @@
 	}
 	if sum > 1+1e-9 {
 		for name, n := range w.nodes {
-			t.Logf("%s counts %v", name, n.view.Members())
+			t.Logf("%s sees the members %v", name, n.view.Members())
 		}
-		t.Fatalf("the parts of a link add up to %.3f", sum)
+		t.Fatalf("the shares of a link add up to %.3f, want at most 1", sum)
 	}
 	holders := map[string]pabundle.EntryName{}
 	for name, n := range w.nodes {
@@ -234,7 +235,7 @@
 			id := ID{deposit, fmt.Sprint(key)}
 			if w.awake(n) && n.ledger.IsKeeper(id) {
 				if o, ok := holders[id.Key]; ok {
-					t.Fatalf("%s and %s both keep key %s", o, name, id.Key)
+					t.Fatalf("%s and %s are both keeper of key %s", o, name, id.Key)
 				}
 				holders[id.Key] = name
 			}
