--- a/pashift/counter.go
+++ b/pashift/counter.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// minComeBack and maxComeBack bound the time to come back. Harm: sooner, refused callers double
+	// minRetryAfter and maxComeBack bound the time to come back. Harm: sooner, refused callers double
 	// the load; later, they miss the room that the shift has made. Value: a second is a step of the
 	// shift, half a minute a usual window.
-	minComeBack = time.Second
-	maxComeBack = 30 * time.Second
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
 	// arrivalSlack is by how much the rate of arrivals may pass the share's part of the demand.
 	// Harm: without slack the ordinary scatter of arrivals is refused. Value: three times the
 	// scatter of 150 requests in the burst.
@@ -35,7 +35,7 @@
 // by one goroutine at a time, and several counters may share a Table.
 type Selector struct {
 	deficits map[deficitKey]*deficit
-	arrivals map[arrivalKey]*arrival
+	arrivals map[arrivalKey]*arrivalBucket
 }
 
 type deficitKey struct {
@@ -56,7 +56,7 @@
 	from, here pabundle.RegionName
 }
 
-type arrival struct {
+type arrivalBucket struct {
 	tokens float64
 	at     time.Time
 }
@@ -70,22 +70,22 @@
 func (c *Selector) Route(t *Table, use Use, service pabundle.ServiceName, from pabundle.RegionName, random float64) Route {
 	p, i := t.services[service], t.index(from)
 	if p == nil || i < 0 {
-		return Route{Refused: true, RetryAfter: comeBack(1, 0, random)}
+		return Route{Refused: true, RetryAfter: retryAfter(1, 0, random)}
 	}
 	weights := p.lookUps[i]
 	if use == Forward {
 		weights = p.forwards[i]
 	}
 	d := c.deficit(deficitKey{use, service, from}, t.regions, random)
-	d.weigh(weights, use, i)
-	k := d.take()
+	d.setWeights(weights, use, i)
+	k := d.next()
 	if k < len(t.regions) {
 		return Route{Region: t.regions[k]}
 	}
 	if use == LookUp && (p.forwardOnly || p.rows[i][i] > 0) {
 		return Route{Region: from}
 	}
-	return Route{Refused: true, RetryAfter: comeBack(1-p.rows[i].sum(), p.rate, random)}
+	return Route{Refused: true, RetryAfter: retryAfter(1-p.rows[i].sum(), p.rate, random)}
 }
 
 // AdmitArrival decides on a request that reached an entry VM of the region here although its caller
@@ -96,7 +96,7 @@
 func (c *Selector) AdmitArrival(t *Table, now time.Time, service pabundle.ServiceName, from, here pabundle.RegionName, random float64) Route {
 	p, i, j := t.services[service], t.index(from), t.index(here)
 	if p == nil || j < 0 {
-		return Route{Refused: true, RetryAfter: comeBack(1, 0, random)}
+		return Route{Refused: true, RetryAfter: retryAfter(1, 0, random)}
 	}
 	if i < 0 || i == j || p.demand[i] == 0 {
 		return Route{Region: here}
@@ -107,7 +107,7 @@
 	a.tokens = math.Min(limit, a.tokens+allowed*max(0, now.Sub(a.at).Seconds()))
 	a.at = now
 	if a.tokens < 1 {
-		return Route{Refused: true, RetryAfter: comeBack(1-p.rows[i][j], p.rate, random)}
+		return Route{Refused: true, RetryAfter: retryAfter(1-p.rows[i][j], p.rate, random)}
 	}
 	a.tokens--
 	return Route{Region: here}
@@ -128,21 +128,21 @@
 	return d
 }
 
-func (c *Selector) arrival(k arrivalKey, now time.Time) *arrival {
+func (c *Selector) arrival(k arrivalKey, now time.Time) *arrivalBucket {
 	if c.arrivals == nil {
-		c.arrivals = make(map[arrivalKey]*arrival)
+		c.arrivals = make(map[arrivalKey]*arrivalBucket)
 	}
 	a := c.arrivals[k]
 	if a == nil {
-		a = &arrival{tokens: 1, at: now}
+		a = &arrivalBucket{tokens: 1, at: now}
 		c.arrivals[k] = a
 	}
 	return a
 }
 
-// weigh sets the weights of the next choice. A request that is to stay in its caller's region has
+// setWeights sets the weights of the next choice. A request that is to stay in its caller's region has
 // the rest of the ratios; a refusal has what is left of 1.
-func (d *deficit) weigh(w row, use Use, own int) {
+func (d *deficit) setWeights(w row, use Use, own int) {
 	copy(d.weights, w)
 	n := len(w)
 	var moved float64
@@ -163,7 +163,7 @@
 	d.weights[n] = math.Max(0, 1-d.weights[:n].sum())
 }
 
-func (d *deficit) take() int {
+func (d *deficit) next() int {
 	best := -1
 	for i, w := range d.weights {
 		d.owed[i] += w
@@ -175,15 +175,15 @@
 	return best
 }
 
-// comeBack is the time until half of the missing share may have moved, with jitter so that refused
+// retryAfter is the time until half of the missing share may have moved, with jitter so that refused
 // callers do not return together.
-func comeBack(missing, rate, random float64) time.Duration {
-	wait := maxComeBack.Seconds()
+func retryAfter(missing, rate, random float64) time.Duration {
+	wait := maxRetryAfter.Seconds()
 	if rate > 0 {
 		wait = math.Min(wait, missing/rate/2)
 	}
-	wait = math.Max(wait, minComeBack.Seconds()) * (0.5 + random)
-	return max(minComeBack, time.Duration(wait*float64(time.Second)))
+	wait = math.Max(wait, minRetryAfter.Seconds()) * (0.5 + random)
+	return max(minRetryAfter, time.Duration(wait*float64(time.Second)))
 }
 
 func sameRegions(a, b []pabundle.RegionName) bool {
--- a/pashift/limiter.go
+++ b/pashift/limiter.go
@@ -22,9 +22,9 @@
 	// maxAge is the age from which on a reading says nothing. Harm: acting on a load that was long
 	// gone. Value: three reports lost in a row.
 	maxAge = 15 * time.Second
-	// reaction is the time from a move to the reading that shows it: cached answers, run time and
+	// reactionTime is the time from a move to the reading that shows it: cached answers, run time and
 	// the lag of the report. Acting sooner means acting twice on one cause.
-	reaction = 10 * time.Second
+	reactionTime = 10 * time.Second
 	// gain is the part of an excess that one action removes; under 1 the error only shrinks.
 	gain = 0.4
 	// highLoad and lowLoad are the loads above which a region sheds and below which it takes. The
@@ -54,33 +54,33 @@
 	Config
 	roll     RollOut
 	regions  []pabundle.RegionName
-	services map[pabundle.ServiceName]*state
-	last     time.Time
+	services map[pabundle.ServiceName]*serviceState
+	lastStep time.Time
 }
 
-// state is one service's part of a Limiter.
-type state struct {
-	rows    []row // by From region
-	forward []row // the slewed ratios for forwarding
-	health  []health
-	rise    []float64 // of each region's own share, in the last step
-	stepped bool
-	spans   []span
-	// scheduled, want and takers are for the row at hand.
-	scheduled, want, takers row
+// serviceState is one service's part of a Limiter.
+type serviceState struct {
+	rows        []row // by From region
+	forward     []row // the slewed ratios for forwarding
+	health      []health
+	ownRise     []float64 // of each region's own share, in the last step
+	stepped     bool
+	transitions []transition
+	// scheduled, want and spare are for the row at hand.
+	scheduled, want, spare row
 }
 
 // health is what a Limiter believes of a service in one region.
 type health struct {
 	Reading
-	down    bool
-	since   time.Time // start of the unbroken run of reports against down
-	against bool
-	stay    float64 // part of the scheduled share that is not shed
-	acted   time.Time
-	used    time.Time
-	started bool
-	demand  float64 // requests a second of the region's callers, this entry VM's part
+	down       bool
+	since      time.Time // start of the unbroken run of reports against down
+	changing   bool
+	retained   float64 // part of the scheduled share that is not shed
+	lastAction time.Time
+	lastUsed   time.Time
+	reported   bool
+	demand     float64 // requests a second of the region's callers, this entry VM's part
 }
 
 // SetRollOut takes a roll-out. Rows that the limiter already has go on from where they stand; a limiter
@@ -89,16 +89,16 @@
 	old, names := l.services, l.regions
 	l.roll = r
 	l.regions = regionsOf(r)
-	l.services = make(map[pabundle.ServiceName]*state, len(r.Bundle.Services))
+	l.services = make(map[pabundle.ServiceName]*serviceState, len(r.Bundle.Services))
 	for i := range r.Bundle.Services {
 		s := &r.Bundle.Services[i]
-		l.services[s.Name] = l.fresh(s, now)
+		l.services[s.Name] = l.newState(s, now)
 		if o := old[s.Name]; o != nil {
-			l.services[s.Name].inherit(o, names, l.regions)
+			l.services[s.Name].copyFrom(o, names, l.regions)
 		}
 	}
-	if l.last.IsZero() {
-		l.last = now
+	if l.lastStep.IsZero() {
+		l.lastStep = now
 	}
 }
 
@@ -121,12 +121,12 @@
 	if h == nil || !r.At.After(h.At) {
 		return
 	}
-	r.Load = clean(r.Load)
+	r.Load = sanitize(r.Load)
 	h.Reading = r
 	if r.Down == h.down {
-		h.against = false
-	} else if !h.against {
-		h.against, h.since = true, now
+		h.changing = false
+	} else if !h.changing {
+		h.changing, h.since = true, now
 	}
 }
 
@@ -136,7 +136,7 @@
 	if s := l.services[service]; s != nil {
 		for i := range s.health {
 			if l.regions[i] == from {
-				s.health[i].demand = clean(requests)
+				s.health[i].demand = sanitize(requests)
 			}
 		}
 	}
@@ -148,8 +148,8 @@
 // of all its traffic, while the schedule itself keeps the cap. The guard holds because time that
 // passed between two steps earns movement for maxStep at most, and a clock set back earns none.
 func (l *Limiter) Step(now time.Time) *Table {
-	passed := min(max(now.Sub(l.last), 0), maxStep)
-	l.last = now
+	passed := min(max(now.Sub(l.lastStep), 0), maxStep)
+	l.lastStep = now
 	t := &Table{at: now, regions: l.regions, services: make(map[pabundle.ServiceName]*plan, len(l.services))}
 	for i := range l.roll.Bundle.Services {
 		s := &l.roll.Bundle.Services[i]
@@ -158,24 +158,24 @@
 	return t
 }
 
-func (l *Limiter) step(s *pabundle.Service, st *state, now time.Time, passed time.Duration) *plan {
+func (l *Limiter) step(s *pabundle.Service, st *serviceState, now time.Time, passed time.Duration) *plan {
 	for i := range st.health {
-		st.health[i].settle(now)
+		st.health[i].update(now)
 	}
 	most := rate(s.Shift) * passed.Seconds()
 	for i := range l.regions {
-		st.spans[i].at(now.Sub(l.roll.RolledAt), st.scheduled)
-		st.desire(now)
+		st.transitions[i].at(now.Sub(l.roll.RolledAt), st.scheduled)
+		st.computeWanted(now)
 		before := st.rows[i][i]
-		st.rows[i].toward(st.want, st.health, most)
-		st.rise[i] = max(0, st.rows[i][i]-before)
+		st.rows[i].moveToward(st.want, st.health, most)
+		st.ownRise[i] = max(0, st.rows[i][i]-before)
 	}
 	return l.publish(s, st, most)
 }
 
-// toward moves a row to want. A share of a region that is down falls at once, because nothing can
+// moveToward moves a row to want. A share of a region that is down falls at once, because nothing can
 // be sent there; all other changes keep within most, and what is then missing from 1 is refused.
-func (w row) toward(want row, hs []health, most float64) {
+func (w row) moveToward(want row, hs []health, most float64) {
 	var gap float64
 	for i := range w {
 		if hs[i].down {
@@ -193,24 +193,24 @@
 	}
 }
 
-// desire sets want to the scheduled row without the regions that are down and with less for those
+// computeWanted sets want to the scheduled row without the regions that are down and with less for those
 // that are full; the difference goes to the regions that can take it.
-func (s *state) desire(now time.Time) {
+func (s *serviceState) computeWanted(now time.Time) {
 	var surplus, total float64
 	for i, x := range s.scheduled {
 		h := &s.health[i]
-		s.want[i], s.takers[i] = 0, 0
+		s.want[i], s.spare[i] = 0, 0
 		if !h.down {
-			s.want[i] = x * h.stay
-			s.takers[i] = h.takes(x, now)
+			s.want[i] = x * h.retained
+			s.spare[i] = h.spareWeight(x, now)
 		}
 		surplus += x - s.want[i]
-		total += s.takers[i]
+		total += s.spare[i]
 	}
 	for i := range s.want {
 		switch {
 		case total > 0:
-			s.want[i] += surplus * s.takers[i] / total
+			s.want[i] += surplus * s.spare[i] / total
 		case !s.health[i].down:
 			// A full region keeps its own share when no other can take it.
 			s.want[i] = s.scheduled[i]
@@ -218,14 +218,14 @@
 	}
 }
 
-// takes weighs a region as a taker of others' surplus. One that sheds takes nothing back, or two
+// spareWeight weighs a region as a taker of others' surplus. One that sheds spareWeight nothing back, or two
 // full regions would hand work to and fro. One that the schedule does not use at all is used only
 // when it has said by itself that it has room.
-func (h *health) takes(scheduled float64, now time.Time) float64 {
-	if h.stay < 1 {
+func (h *health) spareWeight(scheduled float64, now time.Time) float64 {
+	if h.retained < 1 {
 		return 0
 	}
-	fresh := h.started && now.Sub(h.At) <= maxAge
+	fresh := h.reported && now.Sub(h.At) <= maxAge
 	if !fresh {
 		return scheduled
 	}
@@ -235,37 +235,37 @@
 	return (scheduled + 0.1) * (1 - h.Load)
 }
 
-// settle turns readings into beliefs: down and up after an unbroken run of reports, and one action
+// update turns readings into beliefs: down and up after an unbroken run of reports, and one action
 // on the load for each reading, no sooner than its effect can have been measured.
-func (h *health) settle(now time.Time) {
-	h.started = h.started || !h.At.IsZero()
+func (h *health) update(now time.Time) {
+	h.reported = h.reported || !h.At.IsZero()
 	after := downAfter
 	if h.down {
 		after = upAfter
 	}
-	if h.against && now.Sub(h.since) >= after && now.Sub(h.At) <= maxAge {
-		h.down, h.against = !h.down, false
+	if h.changing && now.Sub(h.since) >= after && now.Sub(h.At) <= maxAge {
+		h.down, h.changing = !h.down, false
 	}
-	if now.Sub(h.acted) < reaction {
+	if now.Sub(h.lastAction) < reactionTime {
 		return
 	}
 	switch fresh := now.Sub(h.At) <= maxAge; {
-	case !fresh && h.stay < 1:
-		h.act(now, h.stay+gain*(1-h.stay))
-	case !fresh || h.At.Equal(h.used):
+	case !fresh && h.retained < 1:
+		h.setRetained(now, h.retained+gain*(1-h.retained))
+	case !fresh || h.At.Equal(h.lastUsed):
 		return
 	case h.Load > highLoad:
-		h.act(now, h.stay*(1-gain*math.Min(1, (h.Load-highLoad)/h.Load)))
-	case h.Load < lowLoad && h.stay < 1:
-		h.act(now, h.stay+gain*(1-h.stay))
+		h.setRetained(now, h.retained*(1-gain*math.Min(1, (h.Load-highLoad)/h.Load)))
+	case h.Load < lowLoad && h.retained < 1:
+		h.setRetained(now, h.retained+gain*(1-h.retained))
 	}
 }
 
-func (h *health) act(now time.Time, stay float64) {
-	h.acted, h.used = now, h.At
-	h.stay = math.Min(1, math.Max(0, stay))
-	if h.stay > 0.999 {
-		h.stay = 1
+func (h *health) setRetained(now time.Time, stay float64) {
+	h.lastAction, h.lastUsed = now, h.At
+	h.retained = math.Min(1, math.Max(0, stay))
+	if h.retained > 0.999 {
+		h.retained = 1
 	}
 }
 
@@ -282,24 +282,24 @@
 	return nil
 }
 
-func (l *Limiter) fresh(s *pabundle.Service, now time.Time) *state {
+func (l *Limiter) newState(s *pabundle.Service, now time.Time) *serviceState {
 	n := len(l.regions)
-	st := &state{
-		health: make([]health, n), rise: make([]float64, n),
-		scheduled: make(row, n), want: make(row, n), takers: make(row, n),
+	st := &serviceState{
+		health: make([]health, n), ownRise: make([]float64, n),
+		scheduled: make(row, n), want: make(row, n), spare: make(row, n),
 	}
 	for i, from := range l.regions {
-		st.health[i].stay = 1
-		st.spans = append(st.spans, spanOf(l.roll, s, from, l.regions))
+		st.health[i].retained = 1
+		st.transitions = append(st.transitions, newTransition(l.roll, s, from, l.regions))
 		st.rows = append(st.rows, make(row, n))
-		st.spans[i].at(now.Sub(l.roll.RolledAt), st.rows[i])
+		st.transitions[i].at(now.Sub(l.roll.RolledAt), st.rows[i])
 		st.forward = append(st.forward, make(row, n))
 	}
 	return st
 }
 
-// inherit keeps what a service had before a roll-out, region by region.
-func (s *state) inherit(o *state, old, regions []pabundle.RegionName) {
+// copyFrom keeps what a service had before a roll-out, region by region.
+func (s *serviceState) copyFrom(o *serviceState, old, regions []pabundle.RegionName) {
 	index := make(map[pabundle.RegionName]int, len(old))
 	for i, r := range old {
 		index[r] = i
@@ -310,13 +310,13 @@
 			continue
 		}
 		s.health[i] = o.health[oi]
-		s.rows[i] = o.rows[oi].mapped(index, regions)
-		s.forward[i] = o.forward[oi].mapped(index, regions)
+		s.rows[i] = o.rows[oi].remap(index, regions)
+		s.forward[i] = o.forward[oi].remap(index, regions)
 	}
 	s.stepped = o.stepped
 }
 
-func (w row) mapped(index map[pabundle.RegionName]int, regions []pabundle.RegionName) row {
+func (w row) remap(index map[pabundle.RegionName]int, regions []pabundle.RegionName) row {
 	out := make(row, len(regions))
 	for j, to := range regions {
 		if oj, ok := index[to]; ok {
@@ -326,7 +326,7 @@
 	return out
 }
 
-func clean(x float64) float64 {
+func sanitize(x float64) float64 {
 	if math.IsNaN(x) || x < 0 {
 		return 0
 	}
--- a/pashift/position.go
+++ b/pashift/position.go
@@ -96,7 +96,7 @@
 		s := &r.Bundle.Services[i]
 		var shares []pabundle.Share
 		for _, from := range regions {
-			p := spanOf(r, s, from, regions)
+			p := newTransition(r, s, from, regions)
 			p.at(now.Sub(r.RolledAt), w)
 			for j, x := range w {
 				if x > 0 {
@@ -117,8 +117,8 @@
 	for i := range r.Bundle.Services {
 		s := &r.Bundle.Services[i]
 		for _, from := range regions {
-			if p := spanOf(r, s, from, regions); p.part > 0 && !math.IsInf(p.part, 1) {
-				most = max(most, time.Duration(float64(time.Second)/p.part))
+			if p := newTransition(r, s, from, regions); p.speed > 0 && !math.IsInf(p.speed, 1) {
+				most = max(most, time.Duration(float64(time.Second)/p.speed))
 			}
 		}
 	}
@@ -133,27 +133,27 @@
 	return c.Share / (c.Window.Duration + skewMargin).Seconds()
 }
 
-// span is the way of one row from its start to its goal.
-type span struct {
+// transition is the way of one row from its start to its goal.
+type transition struct {
 	start, goal row
-	// part is how much of the way is covered in a second.
-	part float64
+	// speed is how much of the way is covered in a second.
+	speed float64
 }
 
-func spanOf(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) span {
-	start, goal := ends(r, s, from, regions)
-	p := span{start: start, goal: goal, part: math.Inf(1)}
-	if gap := distance(start, goal); gap > 0 {
-		p.part = rate(s.Shift) / gap
+func newTransition(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) transition {
+	start, goal := endpoints(r, s, from, regions)
+	p := transition{start: start, goal: goal, speed: math.Inf(1)}
+	if gap := maxChange(start, goal); gap > 0 {
+		p.speed = rate(s.Shift) / gap
 	}
 	return p
 }
 
 // at writes where the row stands after the time that passed since the roll-out.
-func (p *span) at(passed time.Duration, into row) {
+func (p *transition) at(passed time.Duration, into row) {
 	part := 1.0
-	if !math.IsInf(p.part, 1) {
-		part = math.Min(1, max(0, passed.Seconds())*p.part)
+	if !math.IsInf(p.speed, 1) {
+		part = math.Min(1, max(0, passed.Seconds())*p.speed)
 	}
 	for i := range into {
 		into[i] = p.start[i] + part*(p.goal[i]-p.start[i])
@@ -163,9 +163,9 @@
 	}
 }
 
-// ends returns both ends of a row's shift. A service or region that is new has no traffic to move
+// endpoints returns both endpoints of a row's shift. A service or region that is new has no traffic to move
 // and starts at its goal.
-func ends(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) (start, goal row) {
+func endpoints(r RollOut, s *pabundle.Service, from pabundle.RegionName, regions []pabundle.RegionName) (start, goal row) {
 	goal = rowOf(s.Shares, from, regions)
 	if shares, ok := r.Start[s.Name]; ok {
 		start = rowOf(shares, from, regions)
@@ -211,8 +211,8 @@
 	return t
 }
 
-// distance is the largest change of a single share between two rows.
-func distance(a, b row) float64 {
+// maxChange is the largest change of a single share between two rows.
+func maxChange(a, b row) float64 {
 	var d float64
 	for i := range a {
 		d = math.Max(d, math.Abs(a[i]-b[i]))
--- a/pashift/shift_test.go
+++ b/pashift/shift_test.go
@@ -71,11 +71,11 @@
 			},
 			"freeze": func(t *rapid.T) {
 				d := w.daemons[pick.Draw(t, "daemon")]
-				d.thaw, d.displace = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "seconds"))*time.Second), true
+				d.frozenUntil, d.lagging = w.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "seconds"))*time.Second), true
 			},
 			"cut": func(t *rapid.T) {
 				d := w.daemons[pick.Draw(t, "daemon")]
-				d.cut, d.displace = !d.cut, true
+				d.cut, d.lagging = !d.cut, true
 			},
 		})
 	})
@@ -117,7 +117,7 @@
 					}
 				}
 			}
-			if dead := served[died+1200]; dead[1]+dead[2] < 0.99 {
+			if dead := served[deathTick+1200]; dead[1]+dead[2] < 0.99 {
 				t.Errorf("10 minutes after the death only %.3f of the requests are served", dead[1]+dead[2])
 			}
 			if end := served[len(served)-1]; end[0] < 0.99 {
@@ -127,8 +127,8 @@
 	}
 }
 
-// died is the tick at which the region dies.
-const died = 60
+// deathTick is the tick at which the region dies.
+const deathTick = 60
 
 // countCallers returns the shares of 300 callers of the first region that each region served, tick by tick.
 func countCallers(lookers int) [][3]float64 {
@@ -142,7 +142,7 @@
 	for n := range 4000 {
 		now := epoch.Add(time.Duration(n) * tick)
 		for i, name := range names {
-			l.Observe(now, service, name, Reading{At: now, Down: i == 0 && n > died && n < died+1240, Load: 0.3})
+			l.Observe(now, service, name, Reading{At: now, Down: i == 0 && n > deathTick && n < deathTick+1240, Load: 0.3})
 		}
 		table := l.Step(now)
 		var count [3]float64
@@ -259,7 +259,7 @@
 		now := epoch.Add(time.Duration(n) * 10 * time.Millisecond)
 		if r := c.AdmitArrival(l.Step(epoch), now, service, names[0], names[1], 0.5); !r.Refused {
 			taken++
-		} else if r.RetryAfter < minComeBack {
+		} else if r.RetryAfter < minRetryAfter {
 			t.Fatalf("a refused request is to come back after %v", r.RetryAfter)
 		}
 	}
--- a/pashift/table.go
+++ b/pashift/table.go
@@ -93,7 +93,7 @@
 //
 // With p the part of callers that look up, a share E gets p*E + f*(1 - p*sum of the shares sent
 // away), which keeps to E for every p if f is 0, or if f is E and the sum is 1.
-func (l *Limiter) publish(s *pabundle.Service, st *state, most float64) *plan {
+func (l *Limiter) publish(s *pabundle.Service, st *serviceState, most float64) *plan {
 	p := &plan{rate: rate(s.Shift), rows: clone(st.rows), forwardOnly: l.ForwardOnly}
 	p.lookUps = p.rows
 	if l.ForwardOnly {
@@ -117,7 +117,7 @@
 // slewForward sets the ratios for requests that arrive in their caller's own region, i. They rise no
 // faster than shares do, because for callers that never look up they are the shares. Of callers that
 // do, the region itself serves its share times its own ratio, and that product keeps the pace too.
-func (l *Limiter) slewForward(st *state, i int, most float64) {
+func (l *Limiter) slewForward(st *serviceState, i int, most float64) {
 	w := st.rows[i]
 	whole := w.sum() >= 1-1e-9
 	open := l.ForwardOnly || whole && w[i] <= 1e-9
@@ -136,7 +136,7 @@
 		}
 		step := most
 		if j == i && share > 0 {
-			step = math.Min(most, (most-*f*st.rise[i])/share)
+			step = math.Min(most, (most-*f*st.ownRise[i])/share)
 		}
 		*f = math.Min(want, *f+math.Max(0, step))
 		if !st.stepped {
--- a/pashift/world_test.go
+++ b/pashift/world_test.go
@@ -39,15 +39,15 @@
 
 // daemon is a limiter with a clock of its own and the memory of the oracle.
 type daemon struct {
-	limiter  *Limiter
-	table    *Table
-	offset   time.Duration
-	seen     int // roll-outs seen
-	cut      bool
-	thaw     time.Time
-	displace bool // it was held up since it started, so it may lag behind the schedule
-	jump     bool // it has just started
-	history  []sample
+	limiter     *Limiter
+	table       *Table
+	offset      time.Duration
+	seen        int // roll-outs seen
+	cut         bool
+	frozenUntil time.Time
+	lagging     bool // it was held up since it started, so it may lag behind the schedule
+	justStarted bool // it has just started
+	history     []sample
 }
 
 type sample struct {
@@ -67,31 +67,31 @@
 
 // boot starts a daemon, in reach of its neighbours or alone.
 func (w *world) boot(d *daemon, offset time.Duration, alone bool) {
-	d.offset, d.thaw = offset, time.Time{}
+	d.offset, d.frozenUntil = offset, time.Time{}
 	d.limiter, d.table = &Limiter{}, nil
 	if !d.cut {
 		d.seen = len(w.rolls)
 	}
 	d.limiter.SetRollOut(w.rolls[d.seen-1], w.now.Add(offset))
 	for _, n := range w.daemons {
-		if n != nil && n != d && n.table != nil && !alone && !n.cut && !d.cut && !w.now.Before(n.thaw) {
+		if n != nil && n != d && n.table != nil && !alone && !n.cut && !d.cut && !w.now.Before(n.frozenUntil) {
 			d.limiter.CopyShares(service, n.table.ShareState(service))
 			d.history = append([]sample(nil), n.history...)
-			d.displace, d.jump = n.displace, true
+			d.lagging, d.justStarted = n.lagging, true
 			return
 		}
 	}
-	d.jump = true
-	if d.displace {
+	d.justStarted = true
+	if d.lagging {
 		// Alone and without memory, only the schedule is left; LIMITS.md lists this.
-		d.history, d.displace = nil, false
+		d.history, d.lagging = nil, false
 	}
 }
 
 func (w *world) step(t *rapid.T) {
 	w.now = w.now.Add(tick)
 	for i, d := range w.daemons {
-		if w.now.Before(d.thaw) {
+		if w.now.Before(d.frozenUntil) {
 			continue
 		}
 		clock := w.now.Add(d.offset)
@@ -105,7 +105,7 @@
 			}
 		}
 		d.table = d.limiter.Step(clock)
-		d.displace = d.displace || w.down != [3]bool{} || w.load != [3]float64{}
+		d.lagging = d.lagging || w.down != [3]bool{} || w.load != [3]float64{}
 		d.check(t, i, w.now)
 	}
 }
@@ -139,10 +139,10 @@
 			wasDown[b] = wasDown[b] || o.down[b] || s.down[b]
 		}
 	}
-	if n := len(d.history); n > 0 && !d.jump {
+	if n := len(d.history); n > 0 && !d.justStarted {
 		d.checkStep(t, i, d.history[n-1], s)
 	}
-	d.jump = false
+	d.justStarted = false
 	for _, o := range d.history {
 		for a := range names {
 			for b := range names {
