--- a/pacredit/granter.go
+++ b/pacredit/granter.go
@@ -103,8 +103,8 @@
 	return grant
 }
 
-// shareNow returns how many credits a source with waiting requests gets: its share by demand, at
-// least one, less one credit for each source that has waited longer.
+// shareNow returns how many credits a source with waiting requests gets: its share by demand or at least
+// one, and no more than the free credits less one for each source that has waited longer.
 //
 // With fewer free slots than sources, and asks that always arrive in the same order, every slot that
 // becomes free would go to the first source that asks, and the requests of another would be refused
@@ -128,8 +128,8 @@
 	return 0
 }
 
-// shareAhead returns how many credits a source gets for expected requests: its share by demand, less
-// one credit for each source with waiting requests, and never the last free credit.
+// shareAhead returns how many credits a source gets for expected requests: its share by demand, and no
+// more than the free credits less one, and less one more for each other source with waiting requests.
 //
 // Otherwise a source with few requests could hold all credits unused, each for a whole term, while
 // the requests of a busier source are refused.
@@ -180,8 +180,8 @@
 
 func (g *Granter) issue(now time.Time, s *sourceState, sequence uint64, name pabundle.ServiceName, n int) {
 	g.service(name).outstanding += n
-	l := &batch{sequence: sequence, service: name, count: n, unspent: n, expires: now.Add(Term + transitMargin)}
-	s.batches = append(s.batches, l)
+	b := &batch{sequence: sequence, service: name, count: n, unspent: n, expires: now.Add(Term + transitMargin)}
+	s.batches = append(s.batches, b)
 }
 
 // Redeem spends a credit for an arrived request. The request may be sent to a target only if the
@@ -192,12 +192,12 @@
 	if r.Granter != g.Self.Incarnation || s == nil || s.incarnation != r.Source.Incarnation {
 		return Void
 	}
-	l := s.batch(r)
-	if l == nil || l.spent&(1<<r.Index) != 0 {
+	b := s.batch(r)
+	if b == nil || b.spent&(1<<r.Index) != 0 {
 		return Void
 	}
-	l.spent |= 1 << r.Index
-	l.unspent--
+	b.spent |= 1 << r.Index
+	b.unspent--
 	v := g.service(r.Service)
 	v.outstanding--
 	if v.Local+v.running >= v.Slots {
@@ -219,11 +219,11 @@
 
 func (g *Granter) expire(now time.Time) {
 	for n, s := range g.sources {
-		s.batches = slices.DeleteFunc(s.batches, func(l *batch) bool {
-			if now.Before(l.expires) {
+		s.batches = slices.DeleteFunc(s.batches, func(b *batch) bool {
+			if now.Before(b.expires) {
 				return false
 			}
-			g.service(l.service).outstanding -= l.unspent
+			g.service(b.service).outstanding -= b.unspent
 			return true
 		})
 		if len(s.batches) == 0 && now.Sub(s.lastAsk) > maxSourceAge {
@@ -267,8 +267,8 @@
 	}
 	if id.Incarnation > s.incarnation {
 		// The previous incarnation has ended; its unspent credits are void.
-		for _, l := range s.batches {
-			g.service(l.service).outstanding -= l.unspent
+		for _, b := range s.batches {
+			g.service(b.service).outstanding -= b.unspent
 		}
 		*s = *newSource(now, id)
 	}
@@ -284,18 +284,18 @@
 
 func (s *sourceState) unspent(name pabundle.ServiceName) int {
 	n := 0
-	for _, l := range s.batches {
-		if l.service == name {
-			n += l.unspent
+	for _, b := range s.batches {
+		if b.service == name {
+			n += b.unspent
 		}
 	}
 	return n
 }
 
 func (s *sourceState) batch(r CreditRef) *batch {
-	for _, l := range s.batches {
-		if l.sequence == r.Sequence && l.service == r.Service && r.Index >= 0 && r.Index < l.count {
-			return l
+	for _, b := range s.batches {
+		if b.sequence == r.Sequence && b.service == r.Service && r.Index >= 0 && r.Index < b.count {
+			return b
 		}
 	}
 	return nil
--- a/pacredit/holder.go
+++ b/pacredit/holder.go
@@ -89,10 +89,10 @@
 	if o == nil {
 		return CreditRef{}, false
 	}
-	for _, l := range o.batches {
-		if l.service == name && l.next < l.count && now.Before(l.expires) {
-			r := CreditRef{Source: h.Self, Granter: o.incarnation, Sequence: l.sequence, Service: name, Index: l.next}
-			l.next++
+	for _, b := range o.batches {
+		if b.service == name && b.next < b.count && now.Before(b.expires) {
+			r := CreditRef{Source: h.Self, Granter: o.incarnation, Sequence: b.sequence, Service: name, Index: b.next}
+			b.next++
 			return r, true
 		}
 	}
@@ -110,7 +110,7 @@
 	}
 	h.lastTick = now
 	for _, o := range h.granters {
-		o.batches = slices.DeleteFunc(o.batches, func(l *heldBatch) bool { return l.next >= l.count || !now.Before(l.expires) })
+		o.batches = slices.DeleteFunc(o.batches, func(b *heldBatch) bool { return b.next >= b.count || !now.Before(b.expires) })
 		o.pending = slices.DeleteFunc(o.pending, func(p pendingAsk) bool { return now.Sub(p.sent) >= Term })
 	}
 }
--- a/pacredit/query.go
+++ b/pacredit/query.go
@@ -47,9 +47,9 @@
 		return 0
 	}
 	n := 0
-	for _, l := range o.batches {
-		if l.service == name && now.Before(l.expires) {
-			n += l.count - l.next
+	for _, b := range o.batches {
+		if b.service == name && now.Before(b.expires) {
+			n += b.count - b.next
 		}
 	}
 	return n
--- a/pacredit/share_test.go
+++ b/pacredit/share_test.go
@@ -92,10 +92,13 @@
 // the requests of another source are refused until the others stop asking.
 func TestSourceWithWaitingRequestsIsNotStarved(t *testing.T) {
 	const rare, frequent = 2 * time.Second, 200 * time.Millisecond
-	for _, intervals := range [][]time.Duration{{rare, frequent}, {frequent, rare}, {rare, rare, frequent}, {rare, rare, rare, rare, frequent}} {
+	for _, intervals := range [][]time.Duration{
+		{rare, frequent}, {frequent, rare}, {rare, rare, frequent}, {rare, rare, rare, rare, frequent},
+	} {
 		for i, a := range simulateSources(t, 3, intervals...) {
 			if part := float64(a.served) / float64(a.served+a.refused); part < 0.95 {
-				t.Errorf("sources with a request every %v: source %d got %d of %d requests served", intervals, i, a.served, a.served+a.refused)
+				t.Errorf("sources with a request every %v: source %d got %d of %d requests served, want at least 95 in 100",
+					intervals, i, a.served, a.served+a.refused)
 			}
 		}
 	}
--- a/paledger/claim.go
+++ b/paledger/claim.go
@@ -22,7 +22,7 @@
 	// maxAssignments bounds the past assignments of keys to keepers that are kept. Beyond it, the
 	// oldest two are merged into one that ends with the later and whose keepers are unknown.
 	maxAssignments = 32
-	// minRetryAfter is the shortest delay after which a caller retries a claim that the keeper cannot answer yet.
+	// minRetryAfter is the least delay before the retry of a claim that the keeper cannot answer yet.
 	minRetryAfter = time.Second
 	// maxTextLength is the longest key, name or request identity in a message, in bytes.
 	maxTextLength = 1024
@@ -50,7 +50,7 @@
 	BodyDigest uint64
 	// FirstSent is when the caller sent the first copy, zero if unknown.
 	FirstSent time.Time
-	// Repeat says that the caller marked this copy as a repeat.
+	// Repeat means that the caller marked this copy as a repeat.
 	Repeat bool
 	// Deadline is the time from which on the copy must not start.
 	Deadline time.Time
@@ -133,7 +133,7 @@
 type Reply struct {
 	Verdict Verdict
 	Reason  Reason
-	// Outcome, Status and Answer describe a copy that ended.
+	// Outcome, Status and AnswerDigest describe a copy that ended.
 	Outcome      Outcome
 	Status       int
 	AnswerDigest uint64
@@ -184,6 +184,6 @@
 	AnswerDigest uint64
 	// Deadline is that of the granted copy, ChangedAt the time of the record's last change.
 	Deadline, ChangedAt time.Time
-	// Memory is how long the record is kept after Touched.
+	// Memory is how long the record is kept after ChangedAt, not counting skewMargin.
 	Memory time.Duration
 }
--- a/paledger/ledger.go
+++ b/paledger/ledger.go
@@ -43,9 +43,9 @@
 // assignment is a past period with a different assignment of keys to keepers. Nil members mean that
 // the keepers are unknown.
 type assignment struct {
-	members []pabundle.EntryName
-	homes   []rollOutRegions
-	until   time.Time
+	members  []pabundle.EntryName
+	rollOuts []rollOutRegions
+	until    time.Time
 }
 
 // SetMembers sets the members that the region's entry VMs agree on, sorted, or nil while they disagree.
--- a/paledger/query.go
+++ b/paledger/query.go
@@ -24,7 +24,7 @@
 }
 
 func (l *Ledger) assignmentSince(e assignment) time.Time {
-	if e.members == nil || !sameHomes(e.homes, l.rollOuts) {
+	if e.members == nil || !sameHomes(e.rollOuts, l.rollOuts) {
 		return e.until
 	}
 	var since time.Time
@@ -71,7 +71,7 @@
 func (l *Ledger) since(id ID) time.Time {
 	since := l.lastDropped[id.Service]
 	for _, e := range l.pastAssignments {
-		if e.members == nil || !isHomeRegion(l.Region, id, e.homes) {
+		if e.members == nil || !isHomeRegion(l.Region, id, e.rollOuts) {
 			since = later(since, e.until)
 			continue
 		}
--- a/paledger/wire.go
+++ b/paledger/wire.go
@@ -25,7 +25,8 @@
 		return Claim{}, trace.Wrap(err)
 	}
 	if m.GetDeadlineUnixNano() <= 0 || m.GetMemoryNano() < 0 {
-		return Claim{}, trace.BadParameter("ledger: claim has deadline %d and memory %d, want a positive deadline and a memory of at least 0",
+		return Claim{}, trace.BadParameter(
+			"ledger: claim has deadline %d and memory %d, want a positive deadline and a memory of at least 0",
 			m.GetDeadlineUnixNano(), m.GetMemoryNano())
 	}
 	return Claim{
@@ -106,7 +107,8 @@
 		return Handover{}, trace.Wrap(err)
 	}
 	if m.GetParts() < 1 || m.GetParts() > maxParts || m.GetPart() >= m.GetParts() || len(m.GetRecords()) > maxRecords {
-		return Handover{}, trace.BadParameter("ledger: handover part %d of %d with %d records is out of range, want at most %d parts of %d records",
+		return Handover{}, trace.BadParameter(
+			"ledger: handover part %d of %d with %d records is out of range, want at most %d parts of %d records",
 			m.GetPart(), m.GetParts(), len(m.GetRecords()), maxParts, maxRecords)
 	}
 	h := Handover{
@@ -114,7 +116,8 @@
 		Part: int(m.GetPart()), Parts: int(m.GetParts()), Since: fromUnixNano(m.GetSinceUnixNano()),
 	}
 	if len(m.GetSuccessors()) > maxSuccessors {
-		return Handover{}, trace.BadParameter("ledger: handover has %d successors, want at most %d", len(m.GetSuccessors()), maxSuccessors)
+		return Handover{}, trace.BadParameter("ledger: handover has %d successors, want at most %d",
+			len(m.GetSuccessors()), maxSuccessors)
 	}
 	for _, n := range m.GetSuccessors() {
 		if err := checkTexts(n); err != nil {
@@ -127,7 +130,8 @@
 			return Handover{}, trace.Wrap(err)
 		}
 		if r.GetState() > uint32(Free) || r.GetMemoryNano() < 0 {
-			return Handover{}, trace.BadParameter("ledger: record has an unknown state %d or a negative memory %d", r.GetState(), r.GetMemoryNano())
+			return Handover{}, trace.BadParameter("ledger: record has an unknown state %d or a negative memory %d",
+				r.GetState(), r.GetMemoryNano())
 		}
 		h.Records = append(h.Records, Record{
 			ID: ID{pabundle.ServiceName(r.GetService()), r.GetKey()}, Request: r.GetRequest(), BodyDigest: r.GetBodyDigest(),
--- a/pashift/limiter.go
+++ b/pashift/limiter.go
@@ -76,12 +76,12 @@
 	Reading
 	down       bool
 	since      time.Time // start of the unbroken series of reports that contradict down
-	changing   bool
-	retained   float64 // fraction of the scheduled share that is not shed
+	changing   bool      // the latest reports contradict down
+	retained   float64   // fraction of the scheduled share that is not shed
 	lastAction time.Time
-	lastUsed   time.Time
-	reported   bool
-	demand     float64 // requests per second of the region's callers, this entry VM's part
+	lastUsed   time.Time // time of the reading that the last action used
+	reported   bool      // a reading has been seen
+	demand     float64   // requests per second of the region's callers, this entry VM's part
 }
 
 // SetRollOut sets the roll-out in force. Existing shares move on from their current values; new ones
@@ -163,20 +163,21 @@
 	for i := range st.health {
 		st.health[i].update(now)
 	}
-	most := rate(s.Shift) * passed.Seconds()
+	maxMove := rate(s.Shift) * passed.Seconds()
 	for i := range l.regions {
 		st.transitions[i].at(now.Sub(l.roll.RolledAt), st.scheduled)
 		st.computeWanted(now)
 		before := st.rows[i][i]
-		st.rows[i].moveToward(st.wanted, st.health, most)
+		st.rows[i].moveToward(st.wanted, st.health, maxMove)
 		st.ownRise[i] = max(0, st.rows[i][i]-before)
 	}
-	return l.publish(s, st, most)
+	return l.publish(s, st, maxMove)
 }
 
-// moveToward moves a row towards want, the desired row. The share of a region that is down drops to 0 at once, because
-// nothing can be sent there. Other shares change by no more than most. What the row lacks to 1 is refused.
-func (w row) moveToward(want row, hs []health, most float64) {
+// moveToward moves a row towards want. The share of a region that is down drops to 0 at once, because nothing
+// can be sent there. Other shares change by at most maxMove. The part of requests that the row lacks to
+// add up to 1 is refused.
+func (w row) moveToward(want row, hs []health, maxMove float64) {
 	var gap float64
 	for i := range w {
 		if hs[i].down {
@@ -186,8 +187,8 @@
 		gap = math.Max(gap, math.Abs(want[i]-w[i]))
 	}
 	part := 1.0
-	if gap > most {
-		part = most / gap
+	if gap > maxMove {
+		part = maxMove / gap
 	}
 	for i := range w {
 		w[i] += part * (want[i] - w[i])
@@ -262,9 +263,9 @@
 	}
 }
 
-func (h *health) setRetained(now time.Time, stay float64) {
+func (h *health) setRetained(now time.Time, retained float64) {
 	h.lastAction, h.lastUsed = now, h.At
-	h.retained = math.Min(1, math.Max(0, stay))
+	h.retained = math.Min(1, math.Max(0, retained))
 	if h.retained > 0.999 {
 		h.retained = 1
 	}
--- a/pashift/selector.go
+++ b/pashift/selector.go
@@ -56,6 +56,7 @@
 	from, here pabundle.RegionName
 }
 
+// arrivalBucket is the token bucket that limits the arrivals from one region.
 type arrivalBucket struct {
 	tokens float64
 	at     time.Time
@@ -166,6 +167,7 @@
 	d.weights[n] = math.Max(0, 1-d.weights[:n].sum())
 }
 
+// next returns the index of the destination with the largest deficit and takes one request off it.
 func (d *deficit) next() int {
 	best := -1
 	for i, w := range d.weights {
--- a/pashift/shift_test.go
+++ b/pashift/shift_test.go
@@ -16,7 +16,9 @@
 
 // TestMain fixes the seed so that CI runs are reproducible; command-line flags override it.
 func TestMain(m *testing.M) {
-	for name, value := range map[string]string{"rapid.seed": "20260", "rapid.checks": "400", "rapid.steps": "40", "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{
+		"rapid.seed": "20260", "rapid.checks": "400", "rapid.steps": "40", "rapid.nofailfile": "true",
+	} {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
@@ -104,9 +106,9 @@
 // regions must rise no faster than the cap, and so must the region's own when it returns; the rest is
 // refused with a retry delay.
 func TestCountedTrafficKeepsTheCapWhenARegionDies(t *testing.T) {
-	for _, lookers := range []int{0, 150, 300} {
-		t.Run(fmt.Sprintf("%d of 300 look up", lookers), func(t *testing.T) {
-			served := countCallers(lookers)
+	for _, lookUpCallers := range []int{0, 150, 300} {
+		t.Run(fmt.Sprintf("%d of 300 look up", lookUpCallers), func(t *testing.T) {
+			served := countCallers(lookUpCallers)
 			window := int(capWindow / tick)
 			for to := range names {
 				for i := range served {
@@ -130,9 +132,9 @@
 // deathTick is the tick at which the region fails.
 const deathTick = 60
 
-// countCallers simulates 300 callers of the first region, of which lookers use look-ups, and returns the
+// countCallers simulates 300 callers of the first region, of which lookUpCallers use look-ups, and returns the
 // share of them that each region served, by tick.
-func countCallers(lookers int) [][3]float64 {
+func countCallers(lookUpCallers int) [][3]float64 {
 	const callers, refresh = 300, 10
 	random := rand.New(rand.NewPCG(1, 2))
 	l := &Limiter{}
@@ -150,7 +152,7 @@
 		for i := range callers {
 			if n%refresh == i%refresh || answers[i] == "" {
 				answers[i] = names[0]
-				if r := c.Route(table, LookUp, service, names[0], random.Float64()); i < lookers && !r.Refused {
+				if r := c.Route(table, LookUp, service, names[0], random.Float64()); i < lookUpCallers && !r.Refused {
 					answers[i] = r.Region
 				}
 			}
--- a/pashift/table.go
+++ b/pashift/table.go
@@ -93,7 +93,7 @@
 // Let p be the fraction of callers that use look-ups, E the share of a region and f its forwarding ratio.
 // The region gets p*E + f*(1 - p*sum of the shares sent to other regions). This stays within E for
 // every p if f is 0, or if f is E and the sum is 1.
-func (l *Limiter) publish(s *pabundle.Service, st *serviceState, most float64) *plan {
+func (l *Limiter) publish(s *pabundle.Service, st *serviceState, maxMove float64) *plan {
 	p := &plan{rate: rate(s.Shift), rows: clone(st.rows), forwardOnly: l.ForwardOnly}
 	p.lookUps = p.rows
 	if l.ForwardOnly {
@@ -107,7 +107,7 @@
 		if st.health[i].down {
 			p.down = append(p.down, l.regions[i])
 		}
-		l.slewForward(st, i, most)
+		l.slewForward(st, i, maxMove)
 	}
 	st.stepped = true
 	p.forwards = clone(st.forward)
@@ -117,7 +117,7 @@
 // slewForward sets the forwarding ratios for requests that arrive in their caller's own region i. They
 // rise no faster than shares may, because for callers that never look up they are the shares. For
 // callers that do, region i serves its share times its own ratio, and this product is limited as well.
-func (l *Limiter) slewForward(st *serviceState, i int, most float64) {
+func (l *Limiter) slewForward(st *serviceState, i int, maxMove float64) {
 	w := st.rows[i]
 	whole := w.sum() >= 1-1e-9
 	open := l.ForwardOnly || whole && w[i] <= 1e-9
@@ -134,9 +134,9 @@
 		case j == i:
 			want = 1 // requests that are not moved stay
 		}
-		step := most
+		step := maxMove
 		if j == i && share > 0 {
-			step = math.Min(most, (most-*f*st.ownRise[i])/share)
+			step = math.Min(maxMove, (maxMove-*f*st.ownRise[i])/share)
 		}
 		*f = math.Min(want, *f+math.Max(0, step))
 		if !st.stepped {
