--- a/paledger/world_test.go
+++ b/paledger/world_test.go
@@ -158,8 +158,8 @@
 // keeper returns the keeper of a key, or sometimes any other node.
 func (w *simulation) keeper(t *rapid.T, key int) *node {
 	for _, name := range entryVMs {
-		n := w.nodes[name]
-		if n != nil && n.ledger.IsKeeper(ID{deposit, fmt.Sprint(key)}) && rapid.IntRange(0, 4).Draw(t, "right") > 0 {
+		if n := w.nodes[name]; n != nil && n.ledger.IsKeeper(ID{deposit, fmt.Sprint(key)}) &&
+			rapid.IntRange(0, 4).Draw(t, "right") > 0 {
 			return n
 		}
 	}
