--- a/pacredit/doc.go
+++ b/pacredit/doc.go
@@ -5,7 +5,7 @@
 // credits; each credit permits the source to start one request and expires after about two seconds.
 // The source runs a Holder, which spends them. At any time, outstanding credits plus running remote
 // requests do not exceed the slots that the owner had available when it issued the credits. A share
-// of the slots is reserved for local requests, those that reach the owner without a credit.
+// of the slots is reserved for local requests, which need no credit.
 //
 // Messages may be lost, delayed, duplicated and reordered. Each Ask is answered once per sequence
 // number, each credit is redeemed once by its index, and all state is bound to the incarnation of
