--- a/pashift/table.go
+++ b/pashift/table.go
@@ -7,12 +7,12 @@
 	"papayahead/pabundle"
 )
 
-// Use is what a choice of region is for.
+// Use is the purpose of a choice of region.
 type Use int
 
-// The uses of a choice; both draw on one budget.
+// The uses; both share one budget.
 const (
-	// LookUp chooses the region whose entry VMs a caller is told first.
+	// LookUp chooses the region whose entry VMs a look-up lists first.
 	LookUp Use = iota
 	// Forward chooses the region whose targets run a request that arrived in its caller's region.
 	Forward
@@ -26,14 +26,14 @@
 	return "Forward"
 }
 
-// Table is what traffic may do until the next step; it never changes.
+// Table holds the shares that apply until the next step. It is immutable.
 type Table struct {
 	at       time.Time
 	regions  []pabundle.RegionName
 	services map[pabundle.ServiceName]*plan
 }
 
-// plan is one service's part of a Table, each by From region.
+// plan is the data of one service in a Table, by From region.
 type plan struct {
 	rows, lookUps, forwards []row
 	demand                  []float64
@@ -42,20 +42,20 @@
 	down                    []pabundle.RegionName
 }
 
-// Standing is where a daemon's shares of a service are, for operators and for neighbours that start.
-type Standing struct {
+// ShareState is the current shares of a service at one entry VM, for operators and for starting neighbours.
+type ShareState struct {
 	Shares []pabundle.Share
-	// Down lists the regions that the daemon takes for down.
+	// Down lists the regions that the entry VM considers down.
 	Down []pabundle.RegionName
 }
 
-// Standing returns where a service's shares are.
-func (t *Table) Standing(service pabundle.ServiceName) Standing {
+// ShareState returns the current shares of a service.
+func (t *Table) ShareState(service pabundle.ServiceName) ShareState {
 	p := t.services[service]
 	if p == nil {
-		return Standing{}
+		return ShareState{}
 	}
-	s := Standing{Down: p.down}
+	s := ShareState{Down: p.down}
 	for i, w := range p.rows {
 		for j, x := range w {
 			if x > 0 {
@@ -66,7 +66,7 @@
 	return s
 }
 
-// Refused returns the part of a region's requests for a service that may go nowhere yet, 0 to 1.
+// Refused returns the fraction (0 to 1) of a region's requests for a service that no region may take yet.
 func (t *Table) Refused(service pabundle.ServiceName, from pabundle.RegionName) float64 {
 	p, i := t.services[service], t.index(from)
 	if p == nil || i < 0 {
@@ -84,16 +84,16 @@
 	return -1
 }
 
-// publish splits the shares between look-ups and forwarding.
+// publish divides the shares between look-ups and forwarding.
 //
-// The load is callers of whom some look up and others never do; how many is not known. Look-ups get
-// the whole share: they cost the links nothing. A request that arrives in its caller's own region is
-// forwarded only when nothing is left there, for then the rest, spread by the same shares, cannot
-// pass them.
+// An unknown part of the callers uses look-ups, the others never do. Look-ups get the whole share, as
+// they cost no bandwidth between regions. A request that arrives in its caller's own region is forwarded
+// only when that region keeps no share; then forwarding by the same shares cannot exceed them.
 //
-// With p the part of callers that look up, a share E gets p*E + f*(1 - p*sum of the shares sent
-// away), which keeps to E for every p if f is 0, or if f is E and the sum is 1.
-func (l *Limiter) publish(s *pabundle.Service, st *state, most float64) *plan {
+// Let p be the fraction of callers that use look-ups, E the share of a region and f its forwarding ratio.
+// The region gets p*E + f*(1 - p*sum of the shares sent to other regions). This stays within E for
+// every p if f is 0, or if f is E and the sum is 1.
+func (l *Limiter) publish(s *pabundle.Service, st *serviceState, maxMove float64) *plan {
 	p := &plan{rate: rate(s.Shift), rows: clone(st.rows), forwardOnly: l.ForwardOnly}
 	p.lookUps = p.rows
 	if l.ForwardOnly {
@@ -107,17 +107,17 @@
 		if st.health[i].down {
 			p.down = append(p.down, l.regions[i])
 		}
-		l.slewForward(st, i, most)
+		l.slewForward(st, i, maxMove)
 	}
 	st.stepped = true
 	p.forwards = clone(st.forward)
 	return p
 }
 
-// slewForward sets the ratios for requests that arrive in their caller's own region, i. They rise no
-// faster than shares do, because for callers that never look up they are the shares. Of callers that
-// do, the region itself serves its share times its own ratio, and that product keeps the pace too.
-func (l *Limiter) slewForward(st *state, i int, most float64) {
+// slewForward sets the forwarding ratios for requests that arrive in their caller's own region i. They
+// rise no faster than shares may, because for callers that never look up they are the shares. For
+// callers that do, region i serves its share times its own ratio, and this product is limited as well.
+func (l *Limiter) slewForward(st *serviceState, i int, maxMove float64) {
 	w := st.rows[i]
 	whole := w.sum() >= 1-1e-9
 	open := l.ForwardOnly || whole && w[i] <= 1e-9
@@ -132,11 +132,11 @@
 		case open:
 			want = share
 		case j == i:
-			want = 1 // what is not moved stays
+			want = 1 // requests that are not moved stay
 		}
-		step := most
+		step := maxMove
 		if j == i && share > 0 {
-			step = math.Min(most, (most-*f*st.rise[i])/share)
+			step = math.Min(maxMove, (maxMove-*f*st.ownRise[i])/share)
 		}
 		*f = math.Min(want, *f+math.Max(0, step))
 		if !st.stepped {
