--- a/paentry/daemon.go
+++ b/paentry/daemon.go
@@ -33,8 +33,8 @@
 	// done ends when the control goroutine has, draining when the graceful shutdown begins.
 	done, draining chan struct{}
 
-	front   *paproxy.Front
-	targets *paproxy.Targets
+	front   *paproxy.Proxy
+	targets *paproxy.TargetClient
 	peers   *peers
 	links   *links
 	heads   *paroll.HeadWatch
@@ -89,7 +89,7 @@
 		Random: rand.New(rand.NewPCG(c.Random.Uint64(), c.Random.Uint64())),
 		Heard:  func(h pabundle.Head) { d.post(pacontrol.HeadFound{Head: h}) },
 	}
-	d.targets = &paproxy.Targets{Dial: c.Network.Dial, Clock: c.Clock, Events: c.Recorder, Stamps: &c.Recorder.Stamps}
+	d.targets = &paproxy.TargetClient{Dial: c.Network.Dial, Clock: c.Clock, Events: c.Recorder, Stamps: &c.Recorder.Stamps}
 	d.front = d.newFront()
 	return d, nil
 }
@@ -192,7 +192,7 @@
 		}
 	})
 	// Serve returns only because the server or its listener was closed, which ends the daemon.
-	_ = server.Serve(paproxy.Watch(l))
+	_ = server.Serve(paproxy.NewFramingListener(l))
 	if !stop() {
 		<-flushed
 	}
--- a/paentry/links.go
+++ b/paentry/links.go
@@ -94,7 +94,7 @@
 		return true
 	}
 	f.Done(paproxy.Result{
-		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, ComeBack: max(linkComeBack, k.ComeBack),
+		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, RetryAfter: max(linkComeBack, k.ComeBack),
 	})
 	return false
 }
--- a/paentry/loop.go
+++ b/paentry/loop.go
@@ -127,7 +127,7 @@
 		case pacontrol.Forward:
 			d.placed(v.Request, d.forward(v))
 		case pacontrol.Refuse:
-			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), ComeBack: v.ComeBack})
+			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), RetryAfter: v.ComeBack})
 			delete(d.waiting, v.Request)
 		case pacontrol.Fail:
 			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
@@ -156,7 +156,7 @@
 		case pacontrol.Probe:
 			d.probe(ctx, v)
 		case pacontrol.CloseConnections:
-			d.targets.Forget(v.Address)
+			d.targets.CloseIdle(v.Address)
 		case pacontrol.Note:
 			d.record(v.Event)
 		}
@@ -175,7 +175,7 @@
 
 // concluded is the final answer to a request of which an earlier copy is known.
 func concluded(v pacontrol.Conclude) paproxy.Placement {
-	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, ComeBack: v.ComeBack}
+	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, RetryAfter: v.ComeBack}
 	switch v.Outcome {
 	case paledger.EndedAnswered:
 		c.Outcome = paproxy.Answered
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -25,16 +25,16 @@
 // maxPlacements is how many placements may wait for a request: one, and the final one after it.
 const maxPlacements = 4
 
-func (d *Daemon) newFront() *paproxy.Front {
-	return &paproxy.Front{
+func (d *Daemon) newFront() *paproxy.Proxy {
+	return &paproxy.Proxy{
 		Placer:   d,
 		Services: d,
 		Targets:  d.targets,
-		Peers: &paproxy.Peers{
+		Peers: &paproxy.PeerClient{
 			Self: d.config.Settings.Name, Dial: d.config.Network.Dial, Clock: d.config.Clock, Events: d.config.Recorder, Stamps: &d.config.Recorder.Stamps,
-			NewCall: func() string { return string(d.newRequestID()) },
+			NewCallID: func() string { return string(d.newRequestID()) },
 		},
-		Register: &paproxy.Register{Incarnation: uint64(d.config.Incarnation), Clock: d.config.Clock},
+		Calls:    &paproxy.CallRegistry{Incarnation: uint64(d.config.Incarnation), Clock: d.config.Clock},
 		Observer: d,
 		Events:   d.config.Recorder,
 		Stamps:   &d.config.Recorder.Stamps,
@@ -52,13 +52,13 @@
 		strconv.FormatUint(uint64(d.config.Incarnation), 36) + "-" + strconv.FormatUint(n, 36))
 }
 
-// Terms implements paproxy.Services.
-func (d *Daemon) Terms(name pabundle.ServiceName) (paproxy.Terms, bool) {
+// Timeouts implements paproxy.Services.
+func (d *Daemon) Timeouts(name pabundle.ServiceName) (paproxy.Timeouts, bool) {
 	s, ok := d.snapshot.Load().Services[name]
 	if !ok {
-		return paproxy.Terms{}, false
+		return paproxy.Timeouts{}, false
 	}
-	return paproxy.Terms{Timeout: s.Timeout.Duration, MaxTimeout: s.MaxTimeout.Duration}, true
+	return paproxy.Timeouts{Default: s.Timeout.Duration, Max: s.MaxTimeout.Duration}, true
 }
 
 // Place implements paproxy.Placer. The first attempt offers the request to the control state; later
@@ -78,15 +78,15 @@
 }
 
 func (d *Daemon) flight(ctx context.Context, r paproxy.Request) *flight {
-	if f, ok := d.flights.Load(r.Exchange); ok {
+	if f, ok := d.flights.Load(r.LocalID); ok {
 		return f.(*flight)
 	}
-	f := &flight{id: paowner.RequestID(r.Exchange), placements: make(chan paproxy.Placement, maxPlacements)}
-	d.flights.Store(r.Exchange, f)
+	f := &flight{id: paowner.RequestID(r.LocalID), placements: make(chan paproxy.Placement, maxPlacements)}
+	d.flights.Store(r.LocalID, f)
 	d.inFlight.Add(1)
 	context.AfterFunc(ctx, func() {
 		d.links.forget(r.ID)
-		d.land(r.Exchange, f)
+		d.land(r.LocalID, f)
 	})
 	d.send(step{flight: f, event: d.offer(f.id, r)})
 	return f
@@ -96,7 +96,7 @@
 	o := pacontrol.Offered{
 		Request: paowner.Request{
 			ID: id, Service: r.Service, Deadline: r.Deadline, Idempotent: r.Idempotent,
-			Bytes: max(0, r.Size), Patience: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
+			Bytes: max(0, r.Size), Patience: r.MaxQueueWait, Class: classOf(r), Block: blockOf(r.Caller),
 		},
 		// The caller's own identity may come twice; this one names this copy alone.
 		Identity:  d.copyID(id),
@@ -193,7 +193,7 @@
 
 func (d *Daemon) forward(v pacontrol.Forward) paproxy.Placement {
 	return paproxy.Forward{
-		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, Patience: v.Patience,
+		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, MaxQueueWait: v.Patience,
 		Done: func(r paproxy.Result) {
 			d.post(pacontrol.Ended{Request: v.Request, Result: ended(v.Attempt, r), Status: r.Status})
 		},
@@ -202,7 +202,7 @@
 
 // ended tells the control state how an attempt ended.
 func ended(attempt int, r paproxy.Result) paowner.Result {
-	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, ComeBack: r.ComeBack}
+	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Duration, ComeBack: r.RetryAfter}
 }
 
 // firstServerError is the least HTTP status by which a target says that it failed.
@@ -220,7 +220,7 @@
 		return patarget.NotRun
 	case r.Fault == paproxy.FaultCaller:
 		return patarget.Abandoned
-	case r.Fault == paproxy.FaultConnection, r.Fault == paproxy.FaultDeadline && r.ToHead == 0:
+	case r.Fault == paproxy.FaultConnection, r.Fault == paproxy.FaultDeadline && r.TimeToHeader == 0:
 		return patarget.Silent
 	default:
 		return patarget.Unknown
--- a/paproxy/bench_test.go
+++ b/paproxy/bench_test.go
@@ -46,25 +46,25 @@
 func benchFronts(b *testing.B, target netip.AddrPort) (origin, owner string) {
 	clock := clockwork.NewRealClock()
 	dial := (&net.Dialer{}).DialContext
-	local := &Front{
+	local := &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return Local{Address: target} }),
-		Services: anyService{}, Clock: clock, NewID: counter("l"), Targets: &Targets{Clock: clock, Dial: dial},
-		Register: &Register{Incarnation: 1, Clock: clock},
+		Services: anyService{}, Clock: clock, NewID: counter("l"), Targets: &TargetClient{Clock: clock, Dial: dial},
+		Calls: &CallRegistry{Incarnation: 1, Clock: clock},
 	}
 	peer := serveForwarding(b, local)
 	calls := counter("c")
-	remote := &Front{
+	remote := &Proxy{
 		Placer: placeFunc(func(context.Context, Request) Placement {
 			return Forward{Entry: "e2", Address: peer, Incarnation: 1}
 		}),
 		Services: anyService{}, Clock: clock, NewID: counter("r"),
-		Peers: &Peers{Self: "e1", Dial: dial, Clock: clock, NewCall: func() string { return string(calls()) }},
+		Peers: &PeerClient{Self: "e1", Dial: dial, Clock: clock, NewCallID: func() string { return string(calls()) }},
 	}
 	b.Cleanup(func() {
 		_ = remote.Peers.Close()
 		local.Targets.Close()
 	})
-	return "http://" + serve(b, Limits{}.Server(remote), Watch).String(), "http://" + serve(b, Limits{}.Server(local), Watch).String()
+	return "http://" + serve(b, Limits{}.Server(remote), NewFramingListener).String(), "http://" + serve(b, Limits{}.Server(local), NewFramingListener).String()
 }
 
 // benchWay sends b.N requests by the callers and reports the distribution.
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -16,7 +16,7 @@
 
 // call is one request forwarded on one connection, at its origin.
 type call struct {
-	peers *Peers
+	peers *PeerClient
 	to    Forward
 	x     *exchange
 	conn  *peerConn
@@ -66,7 +66,7 @@
 func (k *call) open(ctx context.Context) (*pawire.ForwardHead, error) {
 	left := k.x.request.Deadline.Sub(k.peers.Clock.Now())
 	left -= min(left/4, maxDeadlineMargin)
-	silence := k.peers.Clock.AfterFunc(orDefault(k.peers.AcceptTime, DefaultAcceptTime), func() { k.cancel(errSilent) })
+	silence := k.peers.Clock.AfterFunc(orDefault(k.peers.AcceptTimeout, DefaultAcceptTimeout), func() { k.cancel(errSilent) })
 	defer silence.Stop()
 	open := openOf(k.x, k.to, k.id, k.peers.Self, left)
 	open.Stamp = k.peers.Stamps.Text()
@@ -192,8 +192,8 @@
 	e := k.end
 	r := Result{
 		Outcome: Unknown, Reason: Reason(e.GetReason()), Fault: Fault(e.GetFault()),
-		Draining: e.GetDraining(),
-		ComeBack: time.Duration(max(e.GetComeBackMicroseconds(), 0)) * time.Microsecond,
+		Draining:   e.GetDraining(),
+		RetryAfter: time.Duration(max(e.GetComeBackMicroseconds(), 0)) * time.Microsecond,
 	}
 	if Outcome(e.GetOutcome()) == NotRun {
 		r.Outcome = NotRun
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -24,7 +24,7 @@
 }
 
 // receiveBody lets the exchange read its body from the call's frames.
-func (f *Front) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
+func (f *Proxy) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
 	b := &callBody{
 		out:    out,
 		frames: make(chan *pawire.ForwardFrame),
@@ -34,7 +34,7 @@
 	limits := f.Limits.filled()
 	x.body = &requestBody{
 		source: &frameReader{pieces: pieces{declared: x.request.Size}, next: b.next, last: b.last},
-		clock:  f.Clock, idle: limits.BodyIdle, max: limits.MaxBody, interrupt: b.stop,
+		clock:  f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody, interrupt: b.stop,
 		pace: f.pacing(ctx, flowTo(x, x.request.Origin, false)),
 	}
 	x.trailer = func() http.Header { return b.trailer }
--- a/paproxy/fence_test.go
+++ b/paproxy/fence_test.go
@@ -64,7 +64,7 @@
 func refuseAgain(p func() Placement) Placer {
 	return placeFunc(func(_ context.Context, r Request) Placement {
 		if r.Attempt > 1 {
-			return Refuse{Reason: r.Previous.Reason, ComeBack: time.Second}
+			return Refuse{Reason: r.Previous.Reason, RetryAfter: time.Second}
 		}
 		return p()
 	})
@@ -124,12 +124,12 @@
 func TestThawedPeerDoesNotStartPastTheDeadline(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
-	p.front.Peers.FenceTime = 50 * time.Millisecond
+	p.front.Peers.FenceTimeout = 50 * time.Millisecond
 	p.front.Placer = refuseAgain(func() Placement { return p.local() })
 	g.Expect(p.ask("GET", "/Services/reservations/", "warm", "").status).To(Equal(http.StatusOK))
 	p.front.Placer = refuseAgain(func() Placement { return p.forward() })
 	clock := clockwork.NewFakeClockAt(time.Unix(1000, 0))
-	p.owner.Clock, p.owner.Register.Clock = clock, clock
+	p.owner.Clock, p.owner.Calls.Clock = clock, clock
 	left := make(chan Result, 1)
 	p.owner.Placer = placeFunc(func(context.Context, Request) Placement {
 		// The pause: the clock has gone on, while no timer of the process has fired yet.
@@ -171,9 +171,9 @@
 	done := make(chan reply)
 	go func() { done <- p.ask("POST", "/Services/billing/?Class=brief", "charged", "") }()
 	g.Eventually(p.target.InFlight).Should(Equal(1))
-	p.owner.Register.mutex.Lock()
-	p.owner.Register.calls, p.owner.Register.Incarnation = nil, ownerIncarnation+1
-	p.owner.Register.mutex.Unlock()
+	p.owner.Calls.mutex.Lock()
+	p.owner.Calls.calls, p.owner.Calls.Incarnation = nil, ownerIncarnation+1
+	p.owner.Calls.mutex.Unlock()
 	armed.Store(true)
 	g.Expect((<-done).outcome()).To(Equal("Unknown"))
 
@@ -187,7 +187,7 @@
 func TestSilentPeerConnectionIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
-	p.front.Peers.AcceptTime = 100 * time.Millisecond
+	p.front.Peers.AcceptTimeout = 100 * time.Millisecond
 	var armed atomic.Bool
 	p.wrapper = onFirst(func(c net.Conn) net.Conn {
 		return &cutConn{Conn: c, armed: &armed, limit: 1 << 40, swallow: true}
@@ -205,21 +205,21 @@
 func TestRegister(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
-	r := &Register{Incarnation: 3, Clock: clock, Memory: 30 * time.Second, MaxCalls: 3}
+	r := &CallRegistry{Incarnation: 3, Clock: clock, Retention: 30 * time.Second, MaxCalls: 3}
 	g.Expect(r.Fence("early", 3, 0)).To(Equal(FenceNever))
-	g.Expect(r.Arrive("early")).To(BeFalse())
+	g.Expect(r.Accept("early")).To(BeFalse())
 	g.Expect(r.Start("early")).To(BeFalse())
-	g.Expect(r.Arrive("a")).To(BeTrue())
-	g.Expect(r.Arrive("a")).To(BeFalse())
+	g.Expect(r.Accept("a")).To(BeTrue())
+	g.Expect(r.Accept("a")).To(BeFalse())
 	g.Expect(r.Start("a")).To(BeTrue())
 	g.Expect(r.Fence("a", 3, time.Second)).To(Equal(FenceStarted))
 	g.Expect(r.Fence("a", 2, time.Second)).To(Equal(FenceUnknown))
-	g.Expect(r.Arrive("b")).To(BeTrue())
+	g.Expect(r.Accept("b")).To(BeTrue())
 	g.Expect(r.Fence("b", 3, time.Second)).To(Equal(FenceNever))
 	g.Expect(r.Start("b")).To(BeFalse())
-	g.Expect(r.Arrive("c")).To(BeFalse(), "the register is full")
+	g.Expect(r.Accept("c")).To(BeFalse(), "the register is full")
 	r.End("a")
 	clock.Advance(31 * time.Second)
-	g.Expect(r.Arrive("c")).To(BeTrue())
+	g.Expect(r.Accept("c")).To(BeTrue())
 	g.Expect(r.Fence("a", 3, 31*time.Second)).To(Equal(FenceUnknown), "it ran and is forgotten")
 }
--- a/paproxy/forward_test.go
+++ b/paproxy/forward_test.go
@@ -23,7 +23,7 @@
 // pair is an origin (the bench's front) that forwards all to an owner with the target.
 type pair struct {
 	*bench
-	owner   *Front
+	owner   *Proxy
 	peer    netip.AddrPort
 	dials   atomic.Int64
 	wrapper func(net.Conn) net.Conn
@@ -37,15 +37,15 @@
 func newPair(t testing.TB) *pair {
 	p := &pair{bench: newBench(t)}
 	clock := clockwork.NewRealClock()
-	p.owner = &Front{
+	p.owner = &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return Local{Target: "t1", Address: p.address} }),
 		Services: anyService{}, Clock: clock, NewID: counter("owner"), Targets: p.front.Targets,
-		Register: &Register{Incarnation: ownerIncarnation, Clock: clock},
+		Calls: &CallRegistry{Incarnation: ownerIncarnation, Clock: clock},
 	}
 	p.peer = serveForwarding(t, p.owner)
 	calls := counter("call")
-	p.front.Peers = &Peers{
-		Self: "e1", Clock: clock, NewCall: func() string { return string(calls()) },
+	p.front.Peers = &PeerClient{
+		Self: "e1", Clock: clock, NewCallID: func() string { return string(calls()) },
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			p.dials.Add(1)
 			c, err := (&net.Dialer{}).DialContext(ctx, network, address)
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -48,7 +48,7 @@
 		Request: string(x.request.ID), Service: string(x.request.Service), Key: x.request.Key,
 		Attempt: int32(x.request.Attempt), Credit: to.Credit, Target: string(to.Target),
 		LeftMicroseconds: left.Microseconds(), Method: x.request.Method, Uri: x.uri, Host: x.host,
-		Header: fieldsOf(x.header), Expect: x.expect, PatienceMicroseconds: to.Patience.Microseconds(),
+		Header: fieldsOf(x.header), Expect: x.expect, PatienceMicroseconds: to.MaxQueueWait.Microseconds(),
 	}
 	if x.body != nil {
 		o.Length = x.request.Size
@@ -92,7 +92,7 @@
 			Deadline: now.Add(time.Duration(left) * time.Microsecond),
 			Size:     o.GetLength(), Caller: caller, Origin: pabundle.EntryName(o.GetOrigin()),
 			Credit: o.GetCredit(), Target: pabundle.TargetName(o.GetTarget()),
-			Patience: time.Duration(o.GetPatienceMicroseconds()) * time.Microsecond,
+			MaxQueueWait: time.Duration(o.GetPatienceMicroseconds()) * time.Microsecond,
 		},
 		header: headerOf(o.GetHeader()), uri: o.GetUri(), host: o.GetHost(),
 		trailerNames: o.GetTrailer(), expect: o.GetExpect(),
--- a/paproxy/framing.go
+++ b/paproxy/framing.go
@@ -12,12 +12,12 @@
 // may have. 8 KiB is twice net/http's read buffer and costs 8 MB for 1,000 connections.
 const watchSize = 8 << 10
 
-// Watch returns a listener whose connections remember the last bytes read.
+// NewFramingListener returns a listener whose connections remember the last bytes read.
 //
 // The failure it guards against is request smuggling: a request with both Transfer-Encoding and
 // Content-Length, of which another reader takes the second. net/http takes the first and deletes the
 // second without a trace, so that a Handler can't refuse; the bytes as they came can tell.
-func Watch(l net.Listener) net.Listener { return &watchedListener{l} }
+func NewFramingListener(l net.Listener) net.Listener { return &watchedListener{l} }
 
 type watchedListener struct{ net.Listener }
 
--- a/paproxy/front.go
+++ b/paproxy/front.go
@@ -16,15 +16,15 @@
 	"papayahead/paevent"
 )
 
-// Front takes requests from callers and from other entry VMs and sees each to its end. The fields
+// Proxy takes requests from callers and from other entry VMs and sees each to its end. The fields
 // Placer, Services, Targets, Clock and NewID must be set before the first request; Peers and
 // Register only where requests are forwarded; Pacer and Observer as wanted.
-type Front struct {
+type Proxy struct {
 	Placer   Placer
 	Services Services
-	Targets  *Targets
-	Peers    *Peers
-	Register *Register
+	Targets  *TargetClient
+	Peers    *PeerClient
+	Calls    *CallRegistry
 	Pacer    Pacer
 	Observer Observer
 	Events   Events
@@ -44,11 +44,11 @@
 // where the first can't have run or the request is idempotent, and nothing of the body is gone; that
 // prevents a second run. The number is bounded here and by the Placer's budget, so that failures at
 // saturation don't multiply the load.
-func (f *Front) handle(ctx context.Context, x *exchange, out responder) Result {
+func (f *Proxy) handle(ctx context.Context, x *exchange, out responder) Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	worst := NotRun
-	x.request.Exchange = f.exchanges.Add(1)
+	x.request.LocalID = f.exchanges.Add(1)
 	for attempt := 1; ; attempt++ {
 		x.request.Attempt = attempt
 		a, result, done := f.attempt(ctx, x)
@@ -65,7 +65,7 @@
 			if !result.concluded {
 				result.Outcome = worst
 			}
-			out.refuse(refusal{outcome: result.Outcome, reason: result.Reason, comeBack: result.ComeBack, result: result})
+			out.refuse(refusal{outcome: result.Outcome, reason: result.Reason, comeBack: result.RetryAfter, result: result})
 			return result
 		}
 		x.request.Previous = result
@@ -73,15 +73,15 @@
 }
 
 // again says whether another attempt may be made after the result.
-func (f *Front) again(ctx context.Context, x *exchange, last Result) bool {
-	if ctx.Err() != nil || last.Reason == ReasonFenced || x.touched() || x.request.Attempt >= f.Limits.filled().Attempts {
+func (f *Proxy) again(ctx context.Context, x *exchange, last Result) bool {
+	if ctx.Err() != nil || last.Reason == ReasonFenced || x.touched() || x.request.Attempt >= f.Limits.filled().MaxAttempts {
 		return false
 	}
 	return last.Outcome == NotRun || x.request.Idempotent
 }
 
 // attempt places and sends the request once; with no answer the result says why.
-func (f *Front) attempt(ctx context.Context, x *exchange) (*answer, Result, func(Result)) {
+func (f *Proxy) attempt(ctx context.Context, x *exchange) (*answer, Result, func(Result)) {
 	switch p := f.Placer.Place(ctx, x.request).(type) {
 	case Local:
 		a, r := f.Targets.send(ctx, x, p)
@@ -95,10 +95,10 @@
 		a, r := f.Peers.send(ctx, x, p)
 		return a, r, once(p.Done)
 	case Refuse:
-		return nil, Result{Outcome: NotRun, Reason: p.Reason, Fault: FaultRefused, ComeBack: p.ComeBack}, once(nil)
+		return nil, Result{Outcome: NotRun, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter}, once(nil)
 	case Conclude:
 		return nil, Result{
-			Outcome: p.Outcome, Reason: p.Reason, Fault: FaultRefused, ComeBack: p.ComeBack, Status: p.Status, concluded: true,
+			Outcome: p.Outcome, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter, Status: p.Status, concluded: true,
 		}, once(nil)
 	default:
 		panic("paproxy: a Placer returned no placement")
@@ -114,13 +114,13 @@
 }
 
 // relay streams the answer to the side that asked.
-func (f *Front) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *answer, out responder) Result {
+func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *answer, out responder) Result {
 	result := a.result
 	leave := sync.OnceFunc(a.close)
 	defer leave()
 	err := out.begin(a.head)
 	if err == nil {
-		result.AnswerBytes, err = f.copy(ctx, cancel, a, out)
+		result.ResponseBytes, err = f.copy(ctx, cancel, a, out)
 	}
 	if err == nil {
 		trailer := a.trailer()
@@ -132,7 +132,7 @@
 		}
 	}
 	result.RequestBytes = x.requestBytes()
-	result.Total = f.Clock.Since(x.request.Arrived)
+	result.Duration = f.Clock.Since(x.request.Arrived)
 	if err == nil {
 		result.Outcome = Answered
 		return result
@@ -164,8 +164,8 @@
 
 // copy passes the body on, piece by piece. Each read and each write has the idle time; waiting for
 // the pacer does not count against either side.
-func (f *Front) copy(ctx context.Context, cancel context.CancelCauseFunc, a *answer, out responder) (int64, error) {
-	idle := f.Limits.filled().BodyIdle
+func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *answer, out responder) (int64, error) {
+	idle := f.Limits.filled().BodyIdleTimeout
 	timer := f.Clock.AfterFunc(idle, func() {
 		cancel(errIdle)
 		out.interrupt()
@@ -201,7 +201,7 @@
 }
 
 // pacing returns the function that is asked before bytes of the flow are passed on.
-func (f *Front) pacing(ctx context.Context, flow Flow) func(int) error {
+func (f *Proxy) pacing(ctx context.Context, flow Flow) func(int) error {
 	if f.Pacer == nil {
 		return func(int) error { return nil }
 	}
@@ -209,7 +209,7 @@
 }
 
 // ServeHTTP takes a request from a caller.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &httpResponder{writer: w, control: http.NewResponseController(w)}
 	body := f.takeBody(r, out)
 	x, bad := f.parse(r)
@@ -237,16 +237,16 @@
 }
 
 // finished reports the end of a request.
-func (f *Front) finished(r Request, last Result) {
+func (f *Proxy) finished(r Request, last Result) {
 	if f.Observer != nil {
 		f.Observer.Finished(r, last)
 	}
 	switch {
 	case last.Outcome != Unknown || last.Fault == FaultCaller:
-	case last.AnswerBytes > 0:
+	case last.ResponseBytes > 0:
 		record(f.Events, paevent.AnswerCut{
 			Subject: about(r), Reason: string(last.Reason), Fault: string(last.Fault),
-			Bytes: last.AnswerBytes, Origin: string(r.Origin),
+			Bytes: last.ResponseBytes, Origin: string(r.Origin),
 		})
 	default:
 		record(f.Events, paevent.RequestUnknown{
@@ -258,12 +258,12 @@
 
 // inTime says that the request may still start. It asks the clock, because after a pause of the
 // process the context's own timer may fire late.
-func (f *Front) inTime(ctx context.Context, x *exchange) bool {
+func (f *Proxy) inTime(ctx context.Context, x *exchange) bool {
 	return ctx.Err() == nil && f.Clock.Now().Before(x.request.Deadline)
 }
 
 // takeBody makes the caller's body ready to be streamed while the answer comes back; nil is none.
-func (f *Front) takeBody(r *http.Request, out *httpResponder) *requestBody {
+func (f *Proxy) takeBody(r *http.Request, out *httpResponder) *requestBody {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -273,7 +273,7 @@
 	out.expect = r.Header.Get("Expect") != ""
 	limits := f.Limits.filled()
 	return &requestBody{
-		source: r.Body, clock: f.Clock, idle: limits.BodyIdle, max: limits.MaxBody,
+		source: r.Body, clock: f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody,
 		interrupt: func() { _ = out.control.SetReadDeadline(past) },
 	}
 }
--- a/paproxy/front_test.go
+++ b/paproxy/front_test.go
@@ -31,8 +31,8 @@
 // anyService knows every service but "none".
 type anyService struct{}
 
-func (anyService) Terms(n pabundle.ServiceName) (Terms, bool) {
-	return Terms{Timeout: 10 * time.Second, MaxTimeout: 30 * time.Second}, n != "none"
+func (anyService) Timeouts(n pabundle.ServiceName) (Timeouts, bool) {
+	return Timeouts{Default: 10 * time.Second, Max: 30 * time.Second}, n != "none"
 }
 
 // results collects the ends of attempts.
@@ -58,7 +58,7 @@
 
 // bench is a caller, one entry VM and one stand-in target on loopback sockets.
 type bench struct {
-	front   *Front
+	front   *Proxy
 	url     string
 	target  *pastand.Target
 	address netip.AddrPort
@@ -81,12 +81,12 @@
 		RunTimes: map[string]pastand.RunTime{"": {}, "slow": {Mean: time.Minute}, "brief": {Mean: 50 * time.Millisecond}},
 	}
 	b.address = serve(t, b.target.Server(), b.target.Limit)
-	b.front = &Front{
+	b.front = &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return b.local() }),
 		Services: anyService{}, Clock: clock, NewID: counter("made"),
-		Targets: &Targets{Clock: clock, Dial: b.dial},
+		Targets: &TargetClient{Clock: clock, Dial: b.dial},
 	}
-	b.url = "http://" + serve(t, Limits{}.Server(b.front), Watch).String()
+	b.url = "http://" + serve(t, Limits{}.Server(b.front), NewFramingListener).String()
 	b.client = &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(func() {
 		b.client.CloseIdleConnections()
@@ -124,7 +124,7 @@
 }
 
 // open returns the number of connections to the target.
-func (t *Targets) open(address netip.AddrPort) int {
+func (t *TargetClient) open(address netip.AddrPort) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.pools[address].open
--- a/paproxy/fuzz_test.go
+++ b/paproxy/fuzz_test.go
@@ -100,7 +100,7 @@
 	} {
 		f.Add([]byte(s))
 	}
-	front := &Front{Services: anyService{}, Clock: clockwork.NewFakeClock(), NewID: counter("x")}
+	front := &Proxy{Services: anyService{}, Clock: clockwork.NewFakeClock(), NewID: counter("x")}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 		if err != nil {
--- a/paproxy/guard_test.go
+++ b/paproxy/guard_test.go
@@ -161,7 +161,7 @@
 	address := broken.address
 	b.front.Placer = placeFunc(func(_ context.Context, r Request) Placement {
 		if r.Attempt > 1 {
-			return Refuse{Reason: "Budget", ComeBack: 1500 * time.Millisecond}
+			return Refuse{Reason: "Budget", RetryAfter: 1500 * time.Millisecond}
 		}
 		return Local{Address: address, Done: b.results.add}
 	})
@@ -191,8 +191,8 @@
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
-	b.front.Targets.ProofOfLife = 20 * time.Millisecond
-	b.front.Targets.Silence = 100 * time.Millisecond
+	b.front.Targets.MaxReuseAge = 20 * time.Millisecond
+	b.front.Targets.SilenceTimeout = 100 * time.Millisecond
 	forgetful := &rawTarget{answer: func(w io.Writer, r *http.Request, c, n int) bool {
 		if n == 1 {
 			plain(w, r.Header.Get(RequestIDHeader), "ok")
--- a/paproxy/limit.go
+++ b/paproxy/limit.go
@@ -9,40 +9,40 @@
 const (
 	// DefaultMaxHeader fits cookies and tokens; 360 connections with full headers stay under 24 MB.
 	DefaultMaxHeader = 64 << 10
-	// DefaultHeaderTime gives a phone on a poor link time for a header, and bounds a caller that
+	// DefaultHeaderTimeout gives a phone on a poor link time for a header, and bounds a caller that
 	// sends its header byte by byte to hold connections.
-	DefaultHeaderTime = 5 * time.Second
-	// DefaultIdleTime is how long an idle caller's connection is kept.
-	DefaultIdleTime = 60 * time.Second
-	// DefaultBodyIdle is how long a body may stand still in either direction; a stalled body holds a
+	DefaultHeaderTimeout = 5 * time.Second
+	// DefaultIdleTimeout is how long an idle caller's connection is kept.
+	DefaultIdleTimeout = 60 * time.Second
+	// DefaultBodyIdleTimeout is how long a body may stand still in either direction; a stalled body holds a
 	// slot at a target that has three.
-	DefaultBodyIdle = 10 * time.Second
-	// DefaultAttempts bounds the attempts at a request: first, another target, another entry VM. The
+	DefaultBodyIdleTimeout = 10 * time.Second
+	// DefaultMaxAttempts bounds the attempts at a request: first, another target, another entry VM. The
 	// Placer's budget is the tighter bound under load.
-	DefaultAttempts = 3
+	DefaultMaxAttempts = 3
 )
 
 // Limits bound what a caller can hold on to; zero fields take the defaults.
 type Limits struct {
 	// MaxHeader bounds a request's header in bytes.
 	MaxHeader int
-	// HeaderTime bounds the time a header takes; IdleTime the time between requests.
-	HeaderTime, IdleTime time.Duration
-	// BodyIdle bounds the time in which a body makes no progress.
-	BodyIdle time.Duration
+	// HeaderTimeout bounds the time a header takes; IdleTimeout the time between requests.
+	HeaderTimeout, IdleTimeout time.Duration
+	// BodyIdleTimeout bounds the time in which a body makes no progress.
+	BodyIdleTimeout time.Duration
 	// MaxBody bounds a request's body in bytes; 0 leaves it to the deadline.
 	MaxBody int64
-	// Attempts bounds the attempts at one request.
-	Attempts int
+	// MaxAttempts bounds the attempts at one request.
+	MaxAttempts int
 }
 
 // filled returns the limits with the defaults in place of zeros.
 func (l Limits) filled() Limits {
 	l.MaxHeader = orDefault(l.MaxHeader, DefaultMaxHeader)
-	l.HeaderTime = orDefault(l.HeaderTime, DefaultHeaderTime)
-	l.IdleTime = orDefault(l.IdleTime, DefaultIdleTime)
-	l.BodyIdle = orDefault(l.BodyIdle, DefaultBodyIdle)
-	l.Attempts = orDefault(l.Attempts, DefaultAttempts)
+	l.HeaderTimeout = orDefault(l.HeaderTimeout, DefaultHeaderTimeout)
+	l.IdleTimeout = orDefault(l.IdleTimeout, DefaultIdleTimeout)
+	l.BodyIdleTimeout = orDefault(l.BodyIdleTimeout, DefaultBodyIdleTimeout)
+	l.MaxAttempts = orDefault(l.MaxAttempts, DefaultMaxAttempts)
 	return l
 }
 
@@ -59,8 +59,8 @@
 	l = l.filled()
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: l.HeaderTime,
-		IdleTimeout:       l.IdleTime,
+		ReadHeaderTimeout: l.HeaderTimeout,
+		IdleTimeout:       l.IdleTimeout,
 		MaxHeaderBytes:    l.MaxHeader,
 		ConnContext:       watchContext,
 	}
--- a/paproxy/outcome.go
+++ b/paproxy/outcome.go
@@ -92,16 +92,16 @@
 	Fault   Fault
 	// Status is the answer's HTTP status; 0 is none.
 	Status int
-	// RequestBytes and AnswerBytes count the bodies' bytes that were passed on.
-	RequestBytes, AnswerBytes int64
-	// ToHead is the time from the send to the answer's head; Total ends with the answer.
-	ToHead, Total time.Duration
+	// RequestBytes and ResponseBytes count the bodies' bytes that were passed on.
+	RequestBytes, ResponseBytes int64
+	// TimeToHeader is the time from the send to the answer's head; Duration ends with the answer.
+	TimeToHeader, Duration time.Duration
 	// NewConnection says that a connection was opened for the attempt.
 	NewConnection bool
 	// Draining says that the target announced that it leaves.
 	Draining bool
-	// ComeBack is when a refusing target or peer has room again.
-	ComeBack time.Duration
+	// RetryAfter is when a refusing target or peer has room again.
+	RetryAfter time.Duration
 
 	// concluded says that a Conclude named the outcome, whatever the attempts before were.
 	concluded bool
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -17,7 +17,7 @@
 	"papayahead/pawire"
 )
 
-var _ pawire.DRPCForwardingServer = (*Front)(nil)
+var _ pawire.DRPCForwardingServer = (*Proxy)(nil)
 
 // PeerServer serves drpc to other entry VMs, with messages of bounded size.
 type PeerServer struct {
@@ -50,10 +50,10 @@
 }
 
 // Fence answers a peer that lost a call.
-func (f *Front) Fence(_ context.Context, q *pawire.FenceRequest) (*pawire.FenceReply, error) {
+func (f *Proxy) Fence(_ context.Context, q *pawire.FenceRequest) (*pawire.FenceReply, error) {
 	age := time.Duration(q.GetAgeMicroseconds()) * time.Microsecond
 	reply := &pawire.FenceReply{}
-	state := f.Register.Fence(q.GetCall(), q.GetIncarnation(), age)
+	state := f.Calls.Fence(q.GetCall(), q.GetIncarnation(), age)
 	record(f.Events, paevent.CallFenced{Call: q.GetCall(), State: state.String()})
 	switch state {
 	case FenceNever:
@@ -67,7 +67,7 @@
 }
 
 // Forward takes a request from another entry VM.
-func (f *Front) Forward(stream pawire.DRPCForwarding_ForwardStream) error {
+func (f *Proxy) Forward(stream pawire.DRPCForwarding_ForwardStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return trace.Wrap(err)
@@ -79,21 +79,21 @@
 		return trace.Wrap(err)
 	}
 	out := &peerResponder{stream: stream, stamps: f.Stamps}
-	if open.GetIncarnation() != 0 && open.GetIncarnation() != f.Register.Incarnation {
+	if open.GetIncarnation() != 0 && open.GetIncarnation() != f.Calls.Incarnation {
 		out.refuse(refusal{outcome: NotRun, reason: ReasonIncarnation, result: Result{Fault: FaultPeer}})
 		return nil
 	}
-	if !f.Register.Arrive(open.GetCall()) {
+	if !f.Calls.Accept(open.GetCall()) {
 		// Fenced or known already: this copy is not run, but an earlier one may have been.
 		out.refuse(refusal{outcome: Unknown, reason: ReasonFenced, result: Result{Fault: FaultPeer}})
 		return nil
 	}
-	defer f.Register.End(open.GetCall())
+	defer f.Calls.End(open.GetCall())
 	return f.serveCall(stream, open.GetCall(), x, out)
 }
 
 // serveCall sees a forwarded request to its end.
-func (f *Front) serveCall(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
+func (f *Proxy) serveCall(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
 	accepted := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Accepted{Accepted: &pawire.ForwardAccepted{}}}
 	if err := stream.Send(accepted); err != nil {
 		return trace.Wrap(err)
@@ -101,7 +101,7 @@
 	ctx, cancel := paclock.WithTimeout(stream.Context(), f.Clock, x.request.Deadline.Sub(f.Clock.Now()))
 	defer cancel()
 	x.inform = out.inform
-	x.start = func() bool { return f.inTime(ctx, x) && f.Register.Start(id) }
+	x.start = func() bool { return f.inTime(ctx, x) && f.Calls.Start(id) }
 	if x.request.Size != 0 {
 		b := f.receiveBody(ctx, out, x)
 		defer x.body.finish()
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -24,13 +24,13 @@
 )
 
 // parse reads a caller's request, or says why it is refused.
-func (f *Front) parse(r *http.Request) (*exchange, *refusal) {
+func (f *Proxy) parse(r *http.Request) (*exchange, *refusal) {
 	now := f.Clock.Now()
 	service, uri, ok := splitPath(r)
 	if !ok {
 		return nil, bad(ReasonNoService)
 	}
-	terms, ok := f.Services.Terms(service)
+	terms, ok := f.Services.Timeouts(service)
 	if !ok {
 		return nil, bad(ReasonNoService)
 	}
@@ -135,12 +135,12 @@
 }
 
 // readDeadline sets the deadline: the caller's, within the service's terms.
-func readDeadline(h http.Header, t Terms, r *Request) bool {
+func readDeadline(h http.Header, t Timeouts, r *Request) bool {
 	text, ok := single(h, DeadlineHeader)
 	if !ok {
 		return false
 	}
-	left := t.Timeout
+	left := t.Default
 	if text != "" {
 		ms, err := strconv.ParseUint(text, 10, 63)
 		if err != nil || ms == 0 {
@@ -151,8 +151,8 @@
 			left = time.Duration(ms) * time.Millisecond
 		}
 	}
-	if t.MaxTimeout > 0 {
-		left = min(left, t.MaxTimeout)
+	if t.Max > 0 {
+		left = min(left, t.Max)
 	}
 	r.Deadline = r.Arrived.Add(left)
 	return true
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -22,14 +22,14 @@
 
 // The limits of connections to other entry VMs where Peers leaves them zero.
 const (
-	// DefaultAcceptTime bounds the wait for a peer's word that it has a call. A round trip between
+	// DefaultAcceptTimeout bounds the wait for a peer's word that it has a call. A round trip between
 	// regions takes 35 ms; a peer or connection that is silent for a second is treated as lost.
-	DefaultAcceptTime = time.Second
-	// DefaultFenceTime bounds the question after a lost call. The caller waits for it, so it is short:
+	DefaultAcceptTimeout = time.Second
+	// DefaultFenceTimeout bounds the question after a lost call. The caller waits for it, so it is short:
 	// a dial and a question between regions take 70 ms.
-	DefaultFenceTime = 500 * time.Millisecond
-	// DefaultPeerIdle is how long an unused connection to a peer may wait for the next call.
-	DefaultPeerIdle = 20 * time.Second
+	DefaultFenceTimeout = 500 * time.Millisecond
+	// DefaultPeerIdleTimeout is how long an unused connection to a peer may wait for the next call.
+	DefaultPeerIdleTimeout = 20 * time.Second
 	// maxIdlePeerConns bounds the idle connections to one peer: 64 calls at once between two entry VMs
 	// are above what 12 servers of 3 slots answer from one origin.
 	maxIdlePeerConns = 64
@@ -38,9 +38,9 @@
 	maxDeadlineMargin = 50 * time.Millisecond
 )
 
-// Peers forwards requests to other entry VMs. A connection carries one call at a time, so that a
+// PeerClient forwards requests to other entry VMs. A connection carries one call at a time, so that a
 // slow body holds up no other call and no heartbeat. Set the fields before the first request.
-type Peers struct {
+type PeerClient struct {
 	// Self is this entry VM.
 	Self  pabundle.EntryName
 	Dial  DialFunc
@@ -49,11 +49,11 @@
 	Events Events
 	// Stamps is this process's hybrid logical clock; nil leaves calls without stamps.
 	Stamps *paevent.Stamper
-	// NewCall returns an identity that no other call has, also after a restart; it is called by many
+	// NewCallID returns an identity that no other call has, also after a restart; it is called by many
 	// goroutines.
-	NewCall func() string
-	// AcceptTime, FenceTime and Idle are as their defaults say; zero takes the default.
-	AcceptTime, FenceTime, Idle time.Duration
+	NewCallID func() string
+	// AcceptTimeout, FenceTimeout and IdleTimeout are as their defaults say; zero takes the default.
+	AcceptTimeout, FenceTimeout, IdleTimeout time.Duration
 
 	mutex sync.Mutex
 	pool  *drpcpool.Pool[netip.AddrPort, *peerConn]
@@ -76,7 +76,7 @@
 }
 
 // connections returns the pool.
-func (p *Peers) connections() *drpcpool.Pool[netip.AddrPort, *peerConn] {
+func (p *PeerClient) connections() *drpcpool.Pool[netip.AddrPort, *peerConn] {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.pool == nil {
@@ -86,19 +86,19 @@
 }
 
 // connect returns a connection, an idle one where that is good enough.
-func (p *Peers) connect(ctx context.Context, address netip.AddrPort, fresh bool) (*peerConn, error) {
+func (p *PeerClient) connect(ctx context.Context, address netip.AddrPort, fresh bool) (*peerConn, error) {
 	for !fresh {
 		c, ok := p.connections().Take(address)
 		if !ok {
 			break
 		}
-		if p.Clock.Since(c.usedAt) <= orDefault(p.Idle, DefaultPeerIdle) {
+		if p.Clock.Since(c.usedAt) <= orDefault(p.IdleTimeout, DefaultPeerIdleTimeout) {
 			c.reused = true
 			return c, nil
 		}
 		c.shut()
 	}
-	ctx, cancel := paclock.WithTimeout(ctx, p.Clock, DefaultDialTime)
+	ctx, cancel := paclock.WithTimeout(ctx, p.Clock, DefaultDialTimeout)
 	defer cancel()
 	raw, err := p.Dial(ctx, "tcp", address.String())
 	if err != nil {
@@ -109,22 +109,22 @@
 }
 
 // keep puts a connection back after a call that ended in good order.
-func (p *Peers) keep(c *peerConn) {
+func (p *PeerClient) keep(c *peerConn) {
 	c.usedAt = p.Clock.Now()
 	p.connections().Put(c.address, c)
 }
 
 // Close closes all idle connections; those in use close with their calls.
-func (p *Peers) Close() error { return trace.Wrap(p.connections().Close()) }
+func (p *PeerClient) Close() error { return trace.Wrap(p.connections().Close()) }
 
 // fence asks a peer what became of a lost call and keeps it from starting. It uses a new connection,
 // because the one that lost the call may be silent, and has a time of its own, because the caller's
 // may be over.
-func (p *Peers) fence(ctx context.Context, to Forward, call string, sent time.Time) Outcome {
+func (p *PeerClient) fence(ctx context.Context, to Forward, call string, sent time.Time) Outcome {
 	if to.Incarnation == 0 {
 		return Unknown
 	}
-	ctx, cancel := paclock.WithTimeout(context.WithoutCancel(ctx), p.Clock, orDefault(p.FenceTime, DefaultFenceTime))
+	ctx, cancel := paclock.WithTimeout(context.WithoutCancel(ctx), p.Clock, orDefault(p.FenceTimeout, DefaultFenceTimeout))
 	defer cancel()
 	c, err := p.connect(ctx, to.Address, true)
 	if err != nil {
@@ -142,7 +142,7 @@
 
 // send forwards the request. A call that was lost on a reused connection and is certain not to have
 // started goes out once more on a new one: that is the connection's fault, and not the peer's.
-func (p *Peers) send(ctx context.Context, x *exchange, to Forward) (*answer, Result) {
+func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*answer, Result) {
 	for fresh := false; ; fresh = true {
 		a, result, again := p.sendOnce(ctx, x, to, fresh)
 		if !again || fresh || x.touched() || ctx.Err() != nil {
@@ -152,7 +152,7 @@
 }
 
 // sendOnce makes one call; again says that a new connection may do better.
-func (p *Peers) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*answer, Result, bool) {
+func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*answer, Result, bool) {
 	begun := p.Clock.Now()
 	if !x.start() {
 		return nil, notStarted(ctx, begun, x), false
@@ -167,9 +167,9 @@
 	}
 	// Once the call has ended the connection may be another's.
 	reused := c.reused
-	k := &call{peers: p, to: to, x: x, conn: c, id: p.NewCall(), sent: begun}
+	k := &call{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: begun}
 	a, result := k.run(ctx)
-	result.ToHead, result.NewConnection = p.Clock.Since(begun), !reused
+	result.TimeToHeader, result.NewConnection = p.Clock.Since(begun), !reused
 	if a != nil {
 		a.result = result
 	}
--- a/paproxy/placer.go
+++ b/paproxy/placer.go
@@ -15,11 +15,11 @@
 // Request is what a Placer knows of a request; it is a copy, safe to keep.
 type Request struct {
 	ID RequestID
-	// Exchange identifies the request at this entry VM over its attempts; no two share one, even if
+	// LocalID identifies the request at this entry VM over its attempts; no two share one, even if
 	// a caller sends two requests under one ID.
-	Exchange uint64
-	Service  pabundle.ServiceName
-	Method   string
+	LocalID uint64
+	Service pabundle.ServiceName
+	Method  string
 	// Key is the caller's idempotency key; "" is none.
 	Key string
 	// Safe requests change nothing; Idempotent ones may run more than once.
@@ -43,8 +43,8 @@
 	Credit string
 	// Target is the target that the origin has in mind for a forwarded request; "" is any.
 	Target pabundle.TargetName
-	// Patience is the longest wait for a slot that is of use to the origin; 0 is no bound.
-	Patience time.Duration
+	// MaxQueueWait is the longest wait for a slot that is of use to the origin; 0 is no bound.
+	MaxQueueWait time.Duration
 }
 
 // Placer decides where a request goes. Place may wait for a slot, until the context ends; it is
@@ -76,16 +76,16 @@
 	Credit      string
 	// Target is the target in mind; "" leaves the choice to the peer.
 	Target pabundle.TargetName
-	// Patience goes with the request; 0 is no bound.
-	Patience time.Duration
+	// MaxQueueWait goes with the request; 0 is no bound.
+	MaxQueueWait time.Duration
 	// Done, if set, is called once with the end of the attempt.
 	Done func(Result)
 }
 
 // Refuse turns the request away; it has not run.
 type Refuse struct {
-	Reason   Reason
-	ComeBack time.Duration
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
 // Conclude ends the request without sending it, with an outcome that is known from elsewhere: what
@@ -94,8 +94,8 @@
 	Outcome Outcome
 	Reason  Reason
 	// Status is the HTTP status that the earlier copy was answered with; 0 is none.
-	Status   int
-	ComeBack time.Duration
+	Status     int
+	RetryAfter time.Duration
 }
 
 func (Conclude) placement() {}
@@ -103,15 +103,15 @@
 func (Forward) placement()  {}
 func (Refuse) placement()   {}
 
-// Terms are what a service allows its callers.
-type Terms struct {
-	// Timeout is the deadline of a request that names none; MaxTimeout bounds those named.
-	Timeout, MaxTimeout time.Duration
+// Timeouts are what a service allows its callers.
+type Timeouts struct {
+	// Default is the deadline of a request that names none; Max bounds those named.
+	Default, Max time.Duration
 }
 
 // Services knows the services of the bundle in force.
 type Services interface {
-	Terms(name pabundle.ServiceName) (Terms, bool)
+	Timeouts(name pabundle.ServiceName) (Timeouts, bool)
 }
 
 // Flow is one direction of a request's body bytes at this entry VM.
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -17,19 +17,19 @@
 
 // The limits of connections to targets where Targets leaves them zero.
 const (
-	// DefaultProofOfLife is how long after its last answer a connection may carry a request that is
+	// DefaultMaxReuseAge is how long after its last answer a connection may carry a request that is
 	// not idempotent. A middlebox that forgets a connection swallows the request without an error;
 	// such boxes forget after minutes of silence or on their own restart. A second of trust keeps
 	// reuse under load, where answers come every few ms, and a new connection costs about 1 ms.
-	DefaultProofOfLife = time.Second
-	// DefaultSilence is how long a reused connection without proof of life may hold an idempotent
+	DefaultMaxReuseAge = time.Second
+	// DefaultSilenceTimeout is how long a reused connection without proof of life may hold an idempotent
 	// request before it is closed and the request sent on a new one. It is above the run time of
 	// ordinary work, so that a slow target's work is rarely cut.
-	DefaultSilence = 2 * time.Second
-	// DefaultTargetIdle closes unused connections, so that a target's 330 are left to who needs them.
-	DefaultTargetIdle = 30 * time.Second
-	// DefaultDialTime bounds opening a connection, which takes about 1 ms.
-	DefaultDialTime = time.Second
+	DefaultSilenceTimeout = 2 * time.Second
+	// DefaultTargetIdleTimeout closes unused connections, so that a target's 330 are left to who needs them.
+	DefaultTargetIdleTimeout = 30 * time.Second
+	// DefaultDialTimeout bounds opening a connection, which takes about 1 ms.
+	DefaultDialTimeout = time.Second
 	// continueTime is how long a target may leave an expected 100-continue out.
 	continueTime = time.Second
 	// maxAnswerHeader bounds the header of a target's answer.
@@ -39,21 +39,21 @@
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Targets sends requests to targets, each at most once on a connection that this entry VM keeps for
+// TargetClient sends requests to targets, each at most once on a connection that this entry VM keeps for
 // the target. Set the fields before the first request.
-type Targets struct {
+type TargetClient struct {
 	Dial  DialFunc
 	Clock clockwork.Clock
 	// Events hears of silent connections and crossed answers; nil is nobody.
 	Events Events
 	// Stamps is this process's hybrid logical clock; nil leaves requests without stamps.
 	Stamps *paevent.Stamper
-	// ProofOfLife, Silence, Idle and DialTime are as their defaults say; zero takes the default.
-	ProofOfLife, Silence, Idle, DialTime time.Duration
-	// TrustOrder reuses connections of targets that do not repeat the request's identity in their
+	// MaxReuseAge, SilenceTimeout, IdleTimeout and DialTimeout are as their defaults say; zero takes the default.
+	MaxReuseAge, SilenceTimeout, IdleTimeout, DialTimeout time.Duration
+	// TrustResponseOrder reuses connections of targets that do not repeat the request's identity in their
 	// answers. Without it these get a new connection for each request, because a late or surplus
 	// answer on a reused one would pass for the answer to the next request.
-	TrustOrder bool
+	TrustResponseOrder bool
 
 	mutex sync.Mutex
 	pools map[netip.AddrPort]*pool
@@ -88,12 +88,12 @@
 var errSpent = trace.ConnectionProblem(nil, "the connection is gone")
 
 // connect returns a connection: an idle one with an answer less than maxAge ago, or a new one.
-func (t *Targets) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
+func (t *TargetClient) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
 	c, err := t.reserve(to, maxAge)
 	if c != nil || err != nil {
 		return c, err
 	}
-	ctx, cancel := paclock.WithTimeout(ctx, t.Clock, orDefault(t.DialTime, DefaultDialTime))
+	ctx, cancel := paclock.WithTimeout(ctx, t.Clock, orDefault(t.DialTimeout, DefaultDialTimeout))
 	defer cancel()
 	raw, err := t.Dial(ctx, "tcp", to.Address.String())
 	if err != nil {
@@ -125,7 +125,7 @@
 }
 
 // reserve takes an idle connection, or room for a new one.
-func (t *Targets) reserve(to Local, maxAge time.Duration) (*targetConn, error) {
+func (t *TargetClient) reserve(to Local, maxAge time.Duration) (*targetConn, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.pools == nil {
@@ -141,7 +141,7 @@
 	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].aliveAt) <= maxAge {
 		c := p.idle[last]
 		p.idle = p.idle[:last]
-		c.reused, c.proven = true, now.Sub(c.aliveAt) <= orDefault(t.ProofOfLife, DefaultProofOfLife)
+		c.reused, c.proven = true, now.Sub(c.aliveAt) <= orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 		return c, nil
 	}
 	if to.MaxConnections > 0 && p.open >= to.MaxConnections && len(p.idle) > 0 {
@@ -156,10 +156,10 @@
 }
 
 // reap closes idle connections that died or are too old; the caller holds the lock.
-func (t *Targets) reap(p *pool, now time.Time) {
+func (t *TargetClient) reap(p *pool, now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.wire.alive() && now.Sub(c.aliveAt) < orDefault(t.Idle, DefaultTargetIdle) {
+		if c.wire.alive() && now.Sub(c.aliveAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
 			kept = append(kept, c)
 			continue
 		}
@@ -170,21 +170,21 @@
 }
 
 // discard closes a connection of the pool; the caller holds the lock.
-func (t *Targets) discard(p *pool, c *targetConn) {
+func (t *TargetClient) discard(p *pool, c *targetConn) {
 	p.open--
 	c.wire.seal()
 	c.transport.CloseIdleConnections()
 }
 
 // release gives the room of a connection back that was not opened.
-func (t *Targets) release(address netip.AddrPort) {
+func (t *TargetClient) release(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pools[address].open--
 }
 
 // drop closes a connection in use and returns the number of writes that started on it.
-func (t *Targets) drop(c *targetConn) int {
+func (t *TargetClient) drop(c *targetConn) int {
 	n := c.wire.seal()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -193,7 +193,7 @@
 }
 
 // keep makes a connection idle after a whole answer.
-func (t *Targets) keep(c *targetConn) {
+func (t *TargetClient) keep(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	c.aliveAt = t.Clock.Now()
@@ -201,9 +201,9 @@
 	p.idle = append(p.idle, c)
 }
 
-// Forget closes the target's idle connections after one of them was silent: a middlebox that lost
+// CloseIdle closes the target's idle connections after one of them was silent: a middlebox that lost
 // track of one has lost track of others, and new ones cost about 1 ms each.
-func (t *Targets) Forget(address netip.AddrPort) {
+func (t *TargetClient) CloseIdle(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p := t.pools[address]
@@ -217,7 +217,7 @@
 }
 
 // Reap closes idle connections that are too old; call it now and then.
-func (t *Targets) Reap() {
+func (t *TargetClient) Reap() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.Clock.Now()
@@ -230,7 +230,7 @@
 }
 
 // Close closes all idle connections; those in use close with their requests.
-func (t *Targets) Close() {
+func (t *TargetClient) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, p := range t.pools {
--- a/paproxy/register.go
+++ b/paproxy/register.go
@@ -9,25 +9,25 @@
 
 // The bounds of a Register where its fields are zero.
 const (
-	// DefaultMemory is how long an ended call is remembered. An origin that lost a call asks within a
+	// DefaultRetention is how long an ended call is remembered. An origin that lost a call asks within a
 	// second of noticing; 30 s leave room for one that was paused, and hold 30,000 calls at 1,000 a second.
-	DefaultMemory = 30 * time.Second
+	DefaultRetention = 30 * time.Second
 	// DefaultMaxCalls bounds the register to about 20 MB; calls beyond it are refused, not forgotten.
 	DefaultMaxCalls = 1 << 17
 )
 
-// Register remembers which forwarded calls were started at this entry VM, so that the origin of a
+// CallRegistry remembers which forwarded calls were started at this entry VM, so that the origin of a
 // lost call can learn whether it ran, and keep it from running.
 //
 // The failure it guards against is a false "not run": a call whose reply was lost, or that waits in a
 // paused process, starts after its origin told the caller that it did not. It shows as an execution
 // at a target under the identity of a refused request. A fenced call is never started, because Start
 // and Fence decide under one lock.
-type Register struct {
+type CallRegistry struct {
 	// Incarnation is this process's; a call to an earlier one is not known here.
 	Incarnation uint64
 	Clock       clockwork.Clock
-	Memory      time.Duration
+	Retention   time.Duration
 	MaxCalls    int
 
 	mutex sync.Mutex
@@ -50,8 +50,8 @@
 	at   time.Time
 }
 
-// Arrive records a new call; false says that it is fenced, a duplicate, or one too many.
-func (r *Register) Arrive(call string) bool {
+// Accept records a new call; false says that it is fenced, a duplicate, or one too many.
+func (r *CallRegistry) Accept(call string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.forget()
@@ -63,7 +63,7 @@
 }
 
 // Start says whether the call may start now, and records that it does.
-func (r *Register) Start(call string) bool {
+func (r *CallRegistry) Start(call string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch r.calls[call] {
@@ -76,7 +76,7 @@
 }
 
 // End records that nothing more happens to an arrived call.
-func (r *Register) End(call string) {
+func (r *CallRegistry) End(call string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = append(r.ended, endedCall{call, r.Clock.Now()})
@@ -109,12 +109,12 @@
 
 // Fence says what became of a call that was sent to the incarnation some time ago, and keeps it from
 // starting if it has not.
-func (r *Register) Fence(call string, incarnation uint64, age time.Duration) FenceState {
+func (r *CallRegistry) Fence(call string, incarnation uint64, age time.Duration) FenceState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.forget()
 	// Half of the memory leaves the other half for the question's own way here.
-	if incarnation != r.Incarnation || incarnation == 0 || age < 0 || age > orDefault(r.Memory, DefaultMemory)/2 {
+	if incarnation != r.Incarnation || incarnation == 0 || age < 0 || age > orDefault(r.Retention, DefaultRetention)/2 {
 		return FenceUnknown
 	}
 	switch r.calls[call] {
@@ -131,7 +131,7 @@
 }
 
 // set records a state; the caller holds the lock.
-func (r *Register) set(call string, s callState) {
+func (r *CallRegistry) set(call string, s callState) {
 	if r.calls == nil {
 		r.calls = map[string]callState{}
 	}
@@ -139,8 +139,8 @@
 }
 
 // forget drops the calls that ended longer ago than the memory; the caller holds the lock.
-func (r *Register) forget() {
-	before := r.Clock.Now().Add(-orDefault(r.Memory, DefaultMemory))
+func (r *CallRegistry) forget() {
+	before := r.Clock.Now().Add(-orDefault(r.Retention, DefaultRetention))
 	n := 0
 	for n < len(r.ended) && r.ended[n].at.Before(before) {
 		delete(r.calls, r.ended[n].call)
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -103,7 +103,7 @@
 	}
 	status := statusOf(r)
 	if status == http.StatusServiceUnavailable {
-		wait := max(r.comeBack, MinComeBack)
+		wait := max(r.comeBack, MinRetryAfter)
 		h.Set("Retry-After", strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10))
 		body.ComeBack = wait.Milliseconds()
 		h.Set(ComeBackHeader, strconv.FormatInt(body.ComeBack, 10))
@@ -115,9 +115,9 @@
 	_ = json.NewEncoder(w.writer).Encode(body)
 }
 
-// MinComeBack is the least time to come back: a caller that knew of no wait would return at once
+// MinRetryAfter is the least time to come back: a caller that knew of no wait would return at once
 // and add its retries to the load that refused it.
-const MinComeBack = 50 * time.Millisecond
+const MinRetryAfter = 50 * time.Millisecond
 
 // statusOf returns the HTTP status of a refusal.
 func statusOf(r refusal) int {
--- a/paproxy/semantics_test.go
+++ b/paproxy/semantics_test.go
@@ -159,9 +159,9 @@
 // without end, or holds connections by sending nothing.
 func TestBadInputIsRefused(t *testing.T) {
 	b := newBench(t)
-	limits := Limits{MaxHeader: 8 << 10, HeaderTime: 100 * time.Millisecond, BodyIdle: 100 * time.Millisecond, MaxBody: 1000}
+	limits := Limits{MaxHeader: 8 << 10, HeaderTimeout: 100 * time.Millisecond, BodyIdleTimeout: 100 * time.Millisecond, MaxBody: 1000}
 	b.front.Limits = limits
-	address := serve(t, limits.Server(b.front), Watch).String()
+	address := serve(t, limits.Server(b.front), NewFramingListener).String()
 	const post = "POST /Services/s/ HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct{ sent, status string }{
 		"both framings":          {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -23,7 +23,7 @@
 
 // sending is one request on one connection.
 type sending struct {
-	targets *Targets
+	targets *TargetClient
 	conn    *targetConn
 	body    *attemptBody
 	cancel  context.CancelCauseFunc
@@ -43,10 +43,10 @@
 // A connection that turns out to be gone before a write started, or to be silent under an idempotent
 // request, is replaced by another to the same target; that is the connection's fault, and no new
 // attempt: the Placer does not hear of it.
-func (t *Targets) send(ctx context.Context, x *exchange, to Local) (*answer, Result) {
-	maxAge := orDefault(t.ProofOfLife, DefaultProofOfLife)
+func (t *TargetClient) send(ctx context.Context, x *exchange, to Local) (*answer, Result) {
+	maxAge := orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 	if x.request.Idempotent {
-		maxAge = orDefault(t.Idle, DefaultTargetIdle)
+		maxAge = orDefault(t.IdleTimeout, DefaultTargetIdleTimeout)
 	}
 	for {
 		c, err := t.connect(ctx, to, maxAge)
@@ -79,16 +79,16 @@
 
 // nextAge returns the age of connections to use after one failed. After a silent one, only a new one
 // will do.
-func (t *Targets) nextAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
+func (t *TargetClient) nextAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
 	if r.Outcome == Unknown {
-		t.Forget(c.address)
+		t.CloseIdle(c.address)
 		return -1
 	}
 	return maxAge
 }
 
 // giveBack returns a connection that was not used.
-func (t *Targets) giveBack(c *targetConn) {
+func (t *TargetClient) giveBack(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p := t.pools[c.address]
@@ -108,7 +108,7 @@
 }
 
 // sendOn sends the request on the connection; again says that another connection may be tried.
-func (t *Targets) sendOn(ctx context.Context, x *exchange, c *targetConn) (*answer, Result, bool) {
+func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*answer, Result, bool) {
 	begun := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
 	s := &sending{targets: t, conn: c, cancel: cancel, mark: c.wire.started()}
@@ -119,19 +119,19 @@
 	s.endInterim()
 	if err != nil {
 		result, again := s.failed(ctx, sendCtx, x, err)
-		result.ToHead = t.Clock.Since(begun)
+		result.TimeToHeader = t.Clock.Since(begun)
 		cancel(nil)
 		return nil, result, again
 	}
 	a := s.answer(x, response)
-	a.result.ToHead = t.Clock.Since(begun)
+	a.result.TimeToHeader = t.Clock.Since(begun)
 	if r, refused := s.check(x, response); refused {
 		if r.Outcome == NotRun {
 			// A short refusal is read to its end, so that its connection can be used again.
 			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
 		}
 		a.close()
-		r.ToHead = a.result.ToHead
+		r.TimeToHeader = a.result.TimeToHeader
 		return nil, r, false
 	}
 	return a, a.result, false
@@ -246,7 +246,7 @@
 	if s.conn.proven || !x.request.Idempotent || x.body != nil {
 		return func() {}
 	}
-	timer := t.Clock.AfterFunc(orDefault(t.Silence, DefaultSilence), func() {
+	timer := t.Clock.AfterFunc(orDefault(t.SilenceTimeout, DefaultSilenceTimeout), func() {
 		if !s.heard.Load() {
 			s.cancel(errSilent)
 		}
@@ -267,7 +267,7 @@
 	case ctx.Err() != nil:
 		r.Reason, r.Fault = reasonOf(ctx)
 		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.heard.Load() {
-			s.targets.Forget(s.conn.address)
+			s.targets.CloseIdle(s.conn.address)
 			if !s.conn.proven {
 				// The connection may have been silent all along: that is not held against the target.
 				r.Fault = FaultConnection
@@ -299,7 +299,7 @@
 	}
 	s.targets.Stamps.Heard(response.Header.Get(StampHeader))
 	said := response.Header.Get(RequestIDHeader)
-	strict := s.conn.reused && !s.targets.TrustOrder
+	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
 	case said != string(x.request.ID) && (said != "" || strict):
 		// An answer to another request: late, surplus or crossed. Matching by order would hand it out.
@@ -313,7 +313,7 @@
 		r.Reason = ReasonUnframedAnswer
 	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == NotRun.String():
 		r.Outcome, r.Reason, r.Fault = NotRun, ReasonShed, FaultShed
-		r.ComeBack = retryAfter(response.Header)
+		r.RetryAfter = retryAfter(response.Header)
 	default:
 		return Result{}, false
 	}
@@ -352,7 +352,7 @@
 	for name := range response.Trailer {
 		a.trailerNames = append(a.trailerNames, name)
 	}
-	identified := response.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustOrder
+	identified := response.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
 	end := &endReader{source: response.Body}
 	a.body = end
 	a.close = func() { s.finish(end.ended && identified && !response.Close, response) }
--- a/paproxy/torture_test.go
+++ b/paproxy/torture_test.go
@@ -26,8 +26,8 @@
 	g := NewWithT(t)
 	const callers, each = 8, 50
 	p := newPair(t)
-	p.front.Peers.FenceTime, p.front.Peers.AcceptTime = 300*time.Millisecond, 100*time.Millisecond
-	p.front.Targets.ProofOfLife = 5 * time.Millisecond
+	p.front.Peers.FenceTimeout, p.front.Peers.AcceptTimeout = 300*time.Millisecond, 100*time.Millisecond
+	p.front.Targets.MaxReuseAge = 5 * time.Millisecond
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(*pathSeed, 0))
 	draw := func(n int) int {
@@ -124,7 +124,7 @@
 func TestRegisterAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		r := &Register{Incarnation: 1, Clock: clock, Memory: 10 * time.Second, MaxCalls: 4}
+		r := &CallRegistry{Incarnation: 1, Clock: clock, Retention: 10 * time.Second, MaxCalls: 4}
 		started, never, sent := map[string]bool{}, map[string]bool{}, map[string]time.Time{}
 		call := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"})
 		touch := func(c string) {
@@ -137,7 +137,7 @@
 				c := call.Draw(t, "call")
 				// A call is sent once; its frame arrives within the time that a connection lives.
 				if touch(c); clock.Since(sent[c]) < 5*time.Second {
-					r.Arrive(c)
+					r.Accept(c)
 				}
 			},
 			"start": func(t *rapid.T) {
