--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -31,15 +31,15 @@
 	mutex   sync.Mutex
 	readers sync.WaitGroup
 	reading bool
-	touched bool
+	started bool
 	ended   bool
 	atEnd   bool
 	count   int64
 	failure error
 }
 
-// attempt returns a reader for one attempt, which ends when it is closed.
-func (b *requestBody) attempt() *attemptBody { return &attemptBody{body: b} }
+// newReader returns a reader for one newReader, which ends when it is closed.
+func (b *requestBody) newReader() *bodyReader { return &bodyReader{body: b} }
 
 // finish ends all reading and returns when no read is in progress, so that the source can be given
 // back to the server it belongs to.
@@ -56,15 +56,15 @@
 
 // drain reads on for no one, up to the limit and the time.
 func (b *requestBody) drain(limit int64, d time.Duration) {
-	a := b.attempt()
+	a := b.newReader()
 	timer := b.clock.AfterFunc(d, b.interrupt)
 	defer timer.Stop()
 	_, _ = io.CopyN(io.Discard, a, limit)
 	a.stop()
 }
 
-// whole says that the body was read to its end.
-func (b *requestBody) whole() bool {
+// complete says that the body was read to its end.
+func (b *requestBody) complete() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.atEnd
@@ -74,17 +74,17 @@
 func (b *requestBody) state() (touched bool, count int64, failure error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.touched, b.count, b.failure
+	return b.started, b.count, b.failure
 }
 
 // read reads for an attempt.
-func (b *requestBody) read(a *attemptBody, p []byte) (int, error) {
+func (b *requestBody) read(a *bodyReader, p []byte) (int, error) {
 	b.mutex.Lock()
 	if b.ended || a.closed {
 		b.mutex.Unlock()
 		return 0, errBodyClosed
 	}
-	b.touched, b.reading = true, true
+	b.started, b.reading = true, true
 	b.readers.Add(1)
 	b.mutex.Unlock()
 	n, err := b.readSource(p)
@@ -115,23 +115,23 @@
 	return b.source.Read(p)
 }
 
-// attemptBody is the body as one attempt reads it.
-type attemptBody struct {
+// bodyReader is the body as one attempt reads it.
+type bodyReader struct {
 	body   *requestBody
 	closed bool
 }
 
 // Read reads from the body unless the attempt has ended.
-func (a *attemptBody) Read(p []byte) (int, error) { return a.body.read(a, p) }
+func (a *bodyReader) Read(p []byte) (int, error) { return a.body.read(a, p) }
 
 // Close keeps this attempt from reading on; the body stays as it is.
-func (a *attemptBody) Close() error {
+func (a *bodyReader) Close() error {
 	a.stop()
 	return nil
 }
 
 // stop is Close; a nil attempt has nothing to stop.
-func (a *attemptBody) stop() {
+func (a *bodyReader) stop() {
 	if a == nil {
 		return
 	}
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -14,8 +14,8 @@
 	"papayahead/pawire"
 )
 
-// call is one request forwarded on one connection, at its origin.
-type call struct {
+// peerCall is one request forwarded on one connection, at its origin.
+type peerCall struct {
 	peers *PeerClient
 	to    Forward
 	x     *exchange
@@ -23,11 +23,11 @@
 	id    string
 	sent  time.Time
 
-	stream pawire.DRPCForwarding_ForwardClient
-	cancel context.CancelCauseFunc
-	body   *attemptBody
-	pump   sync.Once
-	end    *pawire.ForwardEnd
+	stream   pawire.DRPCForwarding_ForwardClient
+	cancel   context.CancelCauseFunc
+	body     *bodyReader
+	bodyOnce sync.Once
+	end      *pawire.ForwardEnd
 }
 
 // peerError is an end of a forwarded answer before its whole body.
@@ -37,33 +37,35 @@
 	fault  Fault
 }
 
-func peerLost(err error) peerError { return peerError{noEOF(err), ReasonPeerLost, FaultPeer} }
+func peerLostError(err error) peerError {
+	return peerError{unexpectedEOF(err), ReasonPeerLost, FaultPeer}
+}
 
-func peerFault(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
+func peerProtocolError(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
 
 // run makes the call up to the answer's head.
-func (k *call) run(ctx context.Context) (*answer, Result) {
+func (k *peerCall) run(ctx context.Context) (*answer, Result) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	k.cancel = cancel
 	stream, err := pawire.NewDRPCForwardingClient(k.conn).Forward(callCtx)
 	if err != nil {
 		// The call's first frame is not sent yet, and without it a peer starts nothing.
-		k.drop()
+		k.abort()
 		return nil, Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer}
 	}
 	k.stream = stream
 	h, err := k.open(ctx)
 	if err != nil {
-		return nil, k.lost(ctx, err)
+		return nil, k.resolveLost(ctx, err)
 	}
 	if h == nil {
-		return nil, k.ended(ctx)
+		return nil, k.endResult(ctx)
 	}
 	return k.answer(h), Result{Status: int(h.GetStatus())}
 }
 
 // open sends the first frame and receives up to the answer's head; nil is an end without one.
-func (k *call) open(ctx context.Context) (*pawire.ForwardHead, error) {
+func (k *peerCall) open(ctx context.Context) (*pawire.ForwardHead, error) {
 	left := k.x.request.Deadline.Sub(k.peers.Clock.Now())
 	left -= min(left/4, maxDeadlineMargin)
 	silence := k.peers.Clock.AfterFunc(orDefault(k.peers.AcceptTimeout, DefaultAcceptTimeout), func() { k.cancel(errSilent) })
@@ -71,12 +73,12 @@
 	open := openOf(k.x, k.to, k.id, k.peers.Self, left)
 	open.Stamp = k.peers.Stamps.Text()
 	if err := k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
-		return nil, peerLost(err)
+		return nil, peerLostError(err)
 	}
 	for {
 		f, err := k.stream.Recv()
 		if err != nil {
-			return nil, peerLost(err)
+			return nil, peerLostError(err)
 		}
 		switch s := f.GetStep().(type) {
 		case *pawire.ForwardFrame_Accepted:
@@ -87,25 +89,25 @@
 			if s.Head.GetStatus() >= http.StatusOK {
 				return s.Head, nil
 			}
-			k.x.inform(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
+			k.x.writeInterim(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
 		case *pawire.ForwardFrame_End:
 			k.peers.Stamps.Heard(s.End.GetStamp())
 			k.end = s.End
 			return nil, nil
 		default:
-			return nil, peerFault(trace.BadParameter("unexpected frame before the answer"))
+			return nil, peerProtocolError(trace.BadParameter("unexpected frame before the answer"))
 		}
 	}
 }
 
 // startBody begins to send the request's body beside the receiving of the answer.
-func (k *call) startBody(ctx context.Context) {
+func (k *peerCall) startBody(ctx context.Context) {
 	if k.x.body == nil {
 		return
 	}
-	k.pump.Do(func() {
-		k.body = k.x.body.attempt()
-		pace := k.x.pacing(ctx, flowTo(k.x, k.to.Entry, true))
+	k.bodyOnce.Do(func() {
+		k.body = k.x.body.newReader()
+		pace := k.x.newPacer(ctx, flowTo(k.x, k.to.Entry, true))
 		go func() {
 			if err := k.sendBody(pace); err != nil {
 				// The peer must not take what it got for a whole body.
@@ -116,7 +118,7 @@
 }
 
 // sendBody sends the body to its end.
-func (k *call) sendBody(pace func(int) error) error {
+func (k *peerCall) sendBody(pace func(int) error) error {
 	chunk := chunks.Get().(*[chunkSize]byte)
 	defer chunks.Put(chunk)
 	var offset int64
@@ -161,33 +163,33 @@
 	return err
 }
 
-// lost ends a call without an answer, and asks the peer whether it ran.
-func (k *call) lost(ctx context.Context, err error) Result {
-	k.drop()
+// resolveLost ends a call without an answer, and asks the peer whether it ran.
+func (k *peerCall) resolveLost(ctx context.Context, err error) Result {
+	k.abort()
 	r := Result{Outcome: Unknown, Reason: ReasonPeerLost, Fault: FaultPeer}
 	var peer peerError
 	if errors.As(err, &peer) {
 		r.Reason, r.Fault = peer.reason, peer.fault
 	}
 	switch {
-	case k.x.callerFailed() != nil:
+	case k.x.bodyError() != nil:
 		r.Reason, r.Fault = ReasonCallerGone, FaultCaller
 		return r
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 		if r.Fault == FaultCaller {
 			return r
 		}
 	}
 	r.Outcome = k.peers.fence(ctx, k.to, k.id, k.sent)
 	record(k.peers.Events, paevent.CallLost{
-		Subject: about(k.x.request), Call: k.id, Peer: string(k.to.Entry), Outcome: r.Outcome.String(),
+		Subject: eventSubject(k.x.request), Call: k.id, Peer: string(k.to.Entry), Outcome: r.Outcome.String(),
 	})
 	return r
 }
 
-// ended returns the peer's own word on a call without an answer.
-func (k *call) ended(ctx context.Context) Result {
+// endResult returns the peer's own word on a call without an answer.
+func (k *peerCall) endResult(ctx context.Context) Result {
 	k.finish(true)
 	e := k.end
 	r := Result{
@@ -203,20 +205,20 @@
 		r.Fault = FaultShed
 	}
 	if ctx.Err() != nil {
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 	}
 	return r
 }
 
 // answer returns the answer whose body the peer sends.
-func (k *call) answer(h *pawire.ForwardHead) *answer {
+func (k *peerCall) answer(h *pawire.ForwardHead) *answer {
 	declared := h.GetLength()
 	if bodiless(k.x.request.Method, int(h.GetStatus())) {
 		declared = 0
 	}
-	body := &frameReader{pieces: pieces{declared: declared}, next: k.next, last: k.last}
+	body := &frameReader{pieces: chunkChecker{declared: declared}, next: k.next, checkEnd: k.checkEnd}
 	return &answer{
-		head: head{
+		responseHead: responseHead{
 			status: int(h.GetStatus()), header: headerOf(h.GetHeader()),
 			length: h.GetLength(), trailerNames: h.GetTrailer(),
 		},
@@ -228,56 +230,56 @@
 }
 
 // next returns the next frame of the answer.
-func (k *call) next() (*pawire.ForwardFrame, error) {
+func (k *peerCall) next() (*pawire.ForwardFrame, error) {
 	f, err := k.stream.Recv()
 	if err != nil {
-		return nil, peerLost(err)
+		return nil, peerLostError(err)
 	}
 	k.peers.Stamps.Heard(f.GetEnd().GetStamp())
 	return f, nil
 }
 
-// last checks the frame after the body.
-func (k *call) last(f *pawire.ForwardFrame, p *pieces) error {
+// checkEnd checks the frame after the body.
+func (k *peerCall) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	e := f.GetEnd()
 	if e == nil {
-		return peerFault(trace.BadParameter("unexpected frame in the answer's body"))
+		return peerProtocolError(trace.BadParameter("unexpected frame in the answer's body"))
 	}
 	k.end = e
 	if Outcome(e.GetOutcome()) != Answered {
 		return peerError{trace.ConnectionProblem(nil, "the peer's answer was cut"), Reason(e.GetReason()), Fault(e.GetFault())}
 	}
 	if err := p.end(e.GetLength()); err != nil {
-		return peerFault(err)
+		return peerProtocolError(err)
 	}
 	return io.EOF
 }
 
 // finish gives the connection back after a call that ended in good order, or closes it.
-func (k *call) finish(whole bool) {
+func (k *peerCall) finish(whole bool) {
 	k.body.stop()
 	untaken := k.body != nil && !k.end.GetBodyTaken()
 	if !whole || untaken || k.stream.CloseSend() != nil {
-		k.drop()
+		k.abort()
 		return
 	}
 	if _, err := k.stream.Recv(); !errors.Is(err, io.EOF) {
-		k.drop()
+		k.abort()
 		return
 	}
 	if k.stream.Close() != nil {
-		k.drop()
+		k.abort()
 		return
 	}
 	k.cancel(nil)
-	k.peers.keep(k.conn)
+	k.peers.put(k.conn)
 }
 
-// drop closes the connection: nothing of this call can be read by another.
-func (k *call) drop() {
+// abort closes the connection: nothing of this call can be read by another.
+func (k *peerCall) abort() {
 	k.body.stop()
 	k.cancel(nil)
-	k.conn.shut()
+	k.conn.discard()
 }
 
 // bodiless says that an answer has no body, whatever length it declares.
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -14,13 +14,13 @@
 // callBody is a forwarded request's body at the owner. A goroutine of its own receives the frames,
 // one ahead, so that giving the body up does not wait for a peer that sends nothing.
 type callBody struct {
-	out     *peerResponder
-	frames  chan *pawire.ForwardFrame
-	failed  chan error
-	done    chan struct{}
-	begin   sync.Once
-	stopped sync.Once
-	trailer http.Header
+	out         *peerResponder
+	frames      chan *pawire.ForwardFrame
+	failed      chan error
+	done        chan struct{}
+	receiveOnce sync.Once
+	stopOnce    sync.Once
+	trailer     http.Header
 }
 
 // receiveBody lets the exchange read its body from the call's frames.
@@ -31,9 +31,9 @@
 		failed: make(chan error, 1),
 		done:   make(chan struct{}),
 	}
-	limits := f.Limits.filled()
+	limits := f.Limits.withDefaults()
 	x.body = &requestBody{
-		source: &frameReader{pieces: pieces{declared: x.request.Size}, next: b.next, last: b.last},
+		source: &frameReader{pieces: chunkChecker{declared: x.request.Size}, next: b.next, checkEnd: b.checkEnd},
 		clock:  f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody, interrupt: b.stop,
 		pace: f.pacing(ctx, flowTo(x, x.request.Origin, false)),
 	}
@@ -42,11 +42,11 @@
 }
 
 // stop ends the receiving.
-func (b *callBody) stop() { b.stopped.Do(func() { close(b.done) }) }
+func (b *callBody) stop() { b.stopOnce.Do(func() { close(b.done) }) }
 
 // next returns the next frame; the first call asks the origin for the body.
 func (b *callBody) next() (*pawire.ForwardFrame, error) {
-	b.begin.Do(func() {
+	b.receiveOnce.Do(func() {
 		ready := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Continue{Continue: &pawire.ForwardContinue{}}}
 		_ = b.out.stream.Send(ready)
 		go b.receive()
@@ -80,8 +80,8 @@
 	}
 }
 
-// last checks the frame after the body.
-func (b *callBody) last(f *pawire.ForwardFrame, p *pieces) error {
+// checkEnd checks the frame after the body.
+func (b *callBody) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	end := f.GetBodyEnd()
 	if end == nil {
 		return trace.BadParameter("unexpected frame in a request's body")
@@ -90,6 +90,6 @@
 		return err
 	}
 	b.trailer = headerOf(end.GetTrailer())
-	b.out.taken.Store(true)
+	b.out.bodyReceived.Store(true)
 	return io.EOF
 }
--- a/paproxy/exchange.go
+++ b/paproxy/exchange.go
@@ -27,16 +27,16 @@
 	trailerNames []string
 	// expect says that the body waits for 100-continue.
 	expect bool
-	// start asks, right before the first byte is sent, whether the request may still start.
-	start func() bool
-	// inform passes an interim answer (1xx) on.
-	inform func(status int, h http.Header)
-	// pacing returns the function that is asked before bytes of a flow are passed on.
-	pacing func(context.Context, Flow) func(int) error
+	// tryStart asks, right before the first byte is sent, whether the request may still tryStart.
+	tryStart func() bool
+	// writeInterim passes an interim answer (1xx) on.
+	writeInterim func(status int, h http.Header)
+	// newPacer returns the function that is asked before bytes of a flow are passed on.
+	newPacer func(context.Context, Flow) func(int) error
 }
 
-// head is the start of an answer.
-type head struct {
+// responseHead is the start of an answer.
+type responseHead struct {
 	status int
 	header http.Header
 	// length is the declared length; -1 is none.
@@ -46,7 +46,7 @@
 
 // answer is a target's answer on its way to the caller.
 type answer struct {
-	head
+	responseHead
 	// body ends with io.EOF only when it is whole.
 	body io.Reader
 	// trailer returns the trailer after the body ended.
@@ -70,10 +70,10 @@
 
 // responder is the side that the request came from.
 type responder interface {
-	inform(status int, h http.Header)
-	begin(h head) error
+	writeInterim(status int, h http.Header)
+	writeHead(h responseHead) error
 	write(p []byte) error
-	end(trailer http.Header) error
+	finish(trailer http.Header) error
 	// abort ends a begun answer so that it can't pass for a whole one.
 	abort(r Result)
 	// refuse ends a request that has no begun answer.
@@ -85,8 +85,8 @@
 // errIdle is the cause of a context that ended because a body stood still.
 var errIdle = trace.LimitExceeded("the body made no progress")
 
-// reasonOf returns why the context ended.
-func reasonOf(ctx context.Context) (Reason, Fault) {
+// contextEndReason returns why the context ended.
+func contextEndReason(ctx context.Context) (Reason, Fault) {
 	switch {
 	case errors.Is(context.Cause(ctx), errIdle):
 		return ReasonIdle, FaultTarget
@@ -97,8 +97,8 @@
 	}
 }
 
-// touched says that an attempt has read from the body, so that no other can.
-func (x *exchange) touched() bool {
+// bodyRead says that an attempt has read from the body, so that no other can.
+func (x *exchange) bodyRead() bool {
 	if x.body == nil {
 		return false
 	}
@@ -115,8 +115,8 @@
 	return n
 }
 
-// callerFailed says that the body's source failed: the caller's fault, and not the receiver's.
-func (x *exchange) callerFailed() error {
+// bodyError says that the body's source failed: the caller's fault, and not the receiver's.
+func (x *exchange) bodyError() error {
 	if x.body == nil {
 		return nil
 	}
--- a/paproxy/fence_test.go
+++ b/paproxy/fence_test.go
@@ -25,7 +25,7 @@
 
 func (c *cutConn) Close() error {
 	if c.halfOpen {
-		return c.SetDeadline(past)
+		return c.SetDeadline(pastDeadline)
 	}
 	return c.Conn.Close()
 }
@@ -110,7 +110,7 @@
 	done := make(chan reply)
 	go func() { done <- p.ask("POST", "/Services/reservations/", "booked", "") }()
 	<-queued
-	p.eachConn(func(c net.Conn) { _ = c.SetReadDeadline(past) })
+	p.eachConn(func(c net.Conn) { _ = c.SetReadDeadline(pastDeadline) })
 	r := <-done
 	g.Expect(r.outcome()).To(Equal("NotRun"))
 	g.Expect(r.status).To(Equal(http.StatusServiceUnavailable))
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -102,15 +102,15 @@
 	return x, nil
 }
 
-// pieces checks that the pieces of a body leave no gap and keep to its declared length.
-type pieces struct {
+// chunkChecker checks that the chunkChecker of a body leave no gap and keep to its declared length.
+type chunkChecker struct {
 	// declared is the length that was announced; -1 is none.
 	declared int64
 	count    int64
 }
 
 // add takes the next piece.
-func (p *pieces) add(b *pawire.ForwardBody) error {
+func (p *chunkChecker) add(b *pawire.ForwardBody) error {
 	n := int64(len(b.GetData()))
 	if b.GetOffset() != p.count {
 		return trace.BadParameter("piece at %d where %d follows", b.GetOffset(), p.count)
@@ -126,7 +126,7 @@
 }
 
 // end checks the length at the end.
-func (p *pieces) end(length int64) error {
+func (p *chunkChecker) end(length int64) error {
 	if p.count != length || p.declared >= 0 && p.count != p.declared {
 		return trace.BadParameter("%d bytes where %d were sent and %d declared", p.count, length, p.declared)
 	}
@@ -136,12 +136,12 @@
 // frameReader reads a body from frames. next returns the following frame; bodies end at the frame
 // for which last says so.
 type frameReader struct {
-	pieces pieces
+	pieces chunkChecker
 	next   func() (*pawire.ForwardFrame, error)
-	// last checks the frame that follows the body and returns io.EOF for a whole one.
-	last func(f *pawire.ForwardFrame, p *pieces) error
-	rest []byte
-	err  error
+	// checkEnd checks the frame that follows the body and returns io.EOF for a whole one.
+	checkEnd func(f *pawire.ForwardFrame, p *chunkChecker) error
+	rest     []byte
+	err      error
 }
 
 // Read reads from the frames.
@@ -161,12 +161,12 @@
 func (r *frameReader) fill() {
 	f, err := r.next()
 	if err != nil {
-		r.err = noEOF(err)
+		r.err = unexpectedEOF(err)
 		return
 	}
 	b := f.GetBody()
 	if b == nil {
-		r.err = r.last(f, &r.pieces)
+		r.err = r.checkEnd(f, &r.pieces)
 		return
 	}
 	if r.err = r.pieces.add(b); r.err == nil {
@@ -174,8 +174,8 @@
 	}
 }
 
-// noEOF keeps the end of a stream from passing for the end of a body.
-func noEOF(err error) error {
+// unexpectedEOF keeps the end of a stream from passing for the end of a body.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/paproxy/framing.go
+++ b/paproxy/framing.go
@@ -8,73 +8,73 @@
 	"sync"
 )
 
-// watchSize bounds the bytes that are kept of a connection, and so the header that a chunked request
+// maxRecordedBytes bounds the bytes that are kept of a connection, and so the header that a chunked request
 // may have. 8 KiB is twice net/http's read buffer and costs 8 MB for 1,000 connections.
-const watchSize = 8 << 10
+const maxRecordedBytes = 8 << 10
 
 // NewFramingListener returns a listener whose connections remember the last bytes read.
 //
 // The failure it guards against is request smuggling: a request with both Transfer-Encoding and
 // Content-Length, of which another reader takes the second. net/http takes the first and deletes the
 // second without a trace, so that a Handler can't refuse; the bytes as they came can tell.
-func NewFramingListener(l net.Listener) net.Listener { return &watchedListener{l} }
+func NewFramingListener(l net.Listener) net.Listener { return &framingListener{l} }
 
-type watchedListener struct{ net.Listener }
+type framingListener struct{ net.Listener }
 
 // Accept returns the next connection.
-func (l *watchedListener) Accept() (net.Conn, error) {
+func (l *framingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{Conn: c}, nil
+	return &recordingConn{Conn: c}, nil
 }
 
-// watchedConn keeps the last bytes read.
-type watchedConn struct {
+// recordingConn keeps the last bytes read.
+type recordingConn struct {
 	net.Conn
-	mutex sync.Mutex
-	tail  []byte
+	mutex    sync.Mutex
+	recorded []byte
 }
 
 // Read reads and remembers.
-func (c *watchedConn) Read(p []byte) (int, error) {
+func (c *recordingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.tail = append(c.tail, p[:n]...)
-	if over := len(c.tail) - watchSize; over > watchSize {
-		c.tail = append(c.tail[:0], c.tail[over:]...)
+	c.recorded = append(c.recorded, p[:n]...)
+	if over := len(c.recorded) - maxRecordedBytes; over > maxRecordedBytes {
+		c.recorded = append(c.recorded[:0], c.recorded[over:]...)
 	}
 	return n, err
 }
 
 // take returns the bytes remembered and forgets them.
-func (c *watchedConn) take() []byte {
+func (c *recordingConn) take() []byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	tail := c.tail
-	c.tail = nil
+	tail := c.recorded
+	c.recorded = nil
 	return tail
 }
 
-type watchKey struct{}
+type recordingConnKey struct{}
 
-// watchContext lets a Handler find the connection of its request.
-func watchContext(ctx context.Context, c net.Conn) context.Context {
-	w, ok := c.(*watchedConn)
+// recordingContext lets a Handler find the connection of its request.
+func recordingContext(ctx context.Context, c net.Conn) context.Context {
+	w, ok := c.(*recordingConn)
 	if !ok {
 		return ctx
 	}
-	return context.WithValue(ctx, watchKey{}, w)
+	return context.WithValue(ctx, recordingConnKey{}, w)
 }
 
-// ambiguous says that two readers of the request could disagree on where it ends. Of the bytes
+// hasAmbiguousFraming says that two readers of the request could disagree on where it ends. Of the bytes
 // remembered every block that begins with this request's line counts: bytes of a body that look like
 // it can only bring a caller's own request down. A chunked request whose header is not among the
 // bytes is refused too, because nothing is known of it.
-func ambiguous(r *http.Request) bool {
-	c, ok := r.Context().Value(watchKey{}).(*watchedConn)
+func hasAmbiguousFraming(r *http.Request) bool {
+	c, ok := r.Context().Value(recordingConnKey{}).(*recordingConn)
 	if !ok {
 		return false
 	}
--- a/paproxy/front.go
+++ b/paproxy/front.go
@@ -35,7 +35,7 @@
 	NewID  func() RequestID
 	Limits Limits
 
-	exchanges atomic.Uint64
+	lastLocalID atomic.Uint64
 }
 
 // handle sees one request to its end and returns the result of its last attempt.
@@ -48,12 +48,12 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	worst := NotRun
-	x.request.LocalID = f.exchanges.Add(1)
+	x.request.LocalID = f.lastLocalID.Add(1)
 	for attempt := 1; ; attempt++ {
 		x.request.Attempt = attempt
 		a, result, done := f.attempt(ctx, x)
 		if a != nil {
-			a.pace = f.pacing(ctx, answerFlow(x, a))
+			a.pace = f.pacing(ctx, responseFlow(x, a))
 			result = f.relay(ctx, cancel, x, a, out)
 			done(result)
 			return result
@@ -61,7 +61,7 @@
 		result.RequestBytes = x.requestBytes()
 		done(result)
 		worst = max(worst, result.Outcome)
-		if result.Fault == FaultRefused || !f.again(ctx, x, result) {
+		if result.Fault == FaultRefused || !f.mayRetry(ctx, x, result) {
 			if !result.concluded {
 				result.Outcome = worst
 			}
@@ -72,9 +72,9 @@
 	}
 }
 
-// again says whether another attempt may be made after the result.
-func (f *Proxy) again(ctx context.Context, x *exchange, last Result) bool {
-	if ctx.Err() != nil || last.Reason == ReasonFenced || x.touched() || x.request.Attempt >= f.Limits.filled().MaxAttempts {
+// mayRetry says whether another attempt may be made after the result.
+func (f *Proxy) mayRetry(ctx context.Context, x *exchange, last Result) bool {
+	if ctx.Err() != nil || last.Reason == ReasonFenced || x.bodyRead() || x.request.Attempt >= f.Limits.withDefaults().MaxAttempts {
 		return false
 	}
 	return last.Outcome == NotRun || x.request.Idempotent
@@ -85,28 +85,28 @@
 	switch p := f.Placer.Place(ctx, x.request).(type) {
 	case Local:
 		a, r := f.Targets.send(ctx, x, p)
-		return a, r, once(p.Done)
+		return a, r, doneOrNoop(p.Done)
 	case Forward:
 		if x.request.Origin != "" || f.Peers == nil {
 			// A request forwarded twice could circle between entry VMs that disagree on the owner.
-			return nil, Result{Outcome: NotRun, Reason: ReasonForwardedTwice, Fault: FaultPeer}, once(p.Done)
+			return nil, Result{Outcome: NotRun, Reason: ReasonForwardedTwice, Fault: FaultPeer}, doneOrNoop(p.Done)
 		}
-		x.pacing = f.pacing
+		x.newPacer = f.pacing
 		a, r := f.Peers.send(ctx, x, p)
-		return a, r, once(p.Done)
+		return a, r, doneOrNoop(p.Done)
 	case Refuse:
-		return nil, Result{Outcome: NotRun, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter}, once(nil)
+		return nil, Result{Outcome: NotRun, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter}, doneOrNoop(nil)
 	case Conclude:
 		return nil, Result{
 			Outcome: p.Outcome, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter, Status: p.Status, concluded: true,
-		}, once(nil)
+		}, doneOrNoop(nil)
 	default:
 		panic("paproxy: a Placer returned no placement")
 	}
 }
 
-// once returns a function that is safe to call in place of a nil one.
-func once(done func(Result)) func(Result) {
+// doneOrNoop returns a function that is safe to call in place of a nil one.
+func doneOrNoop(done func(Result)) func(Result) {
 	if done == nil {
 		return func(Result) {}
 	}
@@ -116,17 +116,17 @@
 // relay streams the answer to the side that asked.
 func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *answer, out responder) Result {
 	result := a.result
-	leave := sync.OnceFunc(a.close)
-	defer leave()
-	err := out.begin(a.head)
+	closeOnce := sync.OnceFunc(a.close)
+	defer closeOnce()
+	err := out.writeHead(a.responseHead)
 	if err == nil {
 		result.ResponseBytes, err = f.copy(ctx, cancel, a, out)
 	}
 	if err == nil {
 		trailer := a.trailer()
 		// The connection is free for the next request before the caller can send it.
-		leave()
-		err = out.end(trailer)
+		closeOnce()
+		err = out.finish(trailer)
 		if err != nil {
 			err = callerError{err}
 		}
@@ -138,7 +138,7 @@
 		return result
 	}
 	result.Outcome = Unknown
-	result.Reason, result.Fault = cutBy(ctx, err, x.callerFailed())
+	result.Reason, result.Fault = cutCause(ctx, err, x.bodyError())
 	out.abort(result)
 	return result
 }
@@ -146,13 +146,13 @@
 // callerError is a failure to write to the side that asked.
 type callerError struct{ error }
 
-// cutBy returns why an answer ended in its middle.
-func cutBy(ctx context.Context, err, source error) (Reason, Fault) {
+// cutCause returns why an answer ended in its middle.
+func cutCause(ctx context.Context, err, source error) (Reason, Fault) {
 	var caller callerError
 	var peer peerError
 	switch {
 	case ctx.Err() != nil:
-		return reasonOf(ctx)
+		return contextEndReason(ctx)
 	case errors.As(err, &caller), source != nil:
 		return ReasonCallerGone, FaultCaller
 	case errors.As(err, &peer):
@@ -165,7 +165,7 @@
 // copy passes the body on, piece by piece. Each read and each write has the idle time; waiting for
 // the pacer does not count against either side.
 func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *answer, out responder) (int64, error) {
-	idle := f.Limits.filled().BodyIdleTimeout
+	idle := f.Limits.withDefaults().BodyIdleTimeout
 	timer := f.Clock.AfterFunc(idle, func() {
 		cancel(errIdle)
 		out.interrupt()
@@ -211,33 +211,33 @@
 // ServeHTTP takes a request from a caller.
 func (f *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &httpResponder{writer: w, control: http.NewResponseController(w)}
-	body := f.takeBody(r, out)
+	body := f.newRequestBody(r, out)
 	x, bad := f.parse(r)
 	if bad != nil {
 		out.refuse(*bad)
-		out.leaveBody(body)
+		out.finishBody(body)
 		return
 	}
 	out.id = x.request.ID
 	ctx, cancel := paclock.WithTimeout(r.Context(), f.Clock, x.request.Deadline.Sub(f.Clock.Now()))
 	defer cancel()
-	x.inform = out.inform
-	x.start = func() bool { return f.inTime(ctx, x) }
+	x.writeInterim = out.writeInterim
+	x.tryStart = func() bool { return f.beforeDeadline(ctx, x) }
 	if body != nil {
 		body.pace = f.pacing(ctx, flowTo(x, "", false))
 		x.body, x.trailer = body, func() http.Header { return endToEnd(r.Trailer) }
 	}
 	result := f.handle(ctx, x, out)
-	out.leaveBody(body)
-	f.finished(x.request, result)
+	out.finishBody(body)
+	f.reportEnd(x.request, result)
 	if out.aborted {
 		// net/http's way to break off an answer: the caller's connection closes without an end of the body.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// finished reports the end of a request.
-func (f *Proxy) finished(r Request, last Result) {
+// reportEnd reports the end of a request.
+func (f *Proxy) reportEnd(r Request, last Result) {
 	if f.Observer != nil {
 		f.Observer.Finished(r, last)
 	}
@@ -245,25 +245,25 @@
 	case last.Outcome != Unknown || last.Fault == FaultCaller:
 	case last.ResponseBytes > 0:
 		record(f.Events, paevent.AnswerCut{
-			Subject: about(r), Reason: string(last.Reason), Fault: string(last.Fault),
+			Subject: eventSubject(r), Reason: string(last.Reason), Fault: string(last.Fault),
 			Bytes: last.ResponseBytes, Origin: string(r.Origin),
 		})
 	default:
 		record(f.Events, paevent.RequestUnknown{
-			Subject: about(r), Reason: string(last.Reason), Fault: string(last.Fault),
+			Subject: eventSubject(r), Reason: string(last.Reason), Fault: string(last.Fault),
 			Attempts: r.Attempt, Origin: string(r.Origin),
 		})
 	}
 }
 
-// inTime says that the request may still start. It asks the clock, because after a pause of the
+// beforeDeadline says that the request may still start. It asks the clock, because after a pause of the
 // process the context's own timer may fire late.
-func (f *Proxy) inTime(ctx context.Context, x *exchange) bool {
+func (f *Proxy) beforeDeadline(ctx context.Context, x *exchange) bool {
 	return ctx.Err() == nil && f.Clock.Now().Before(x.request.Deadline)
 }
 
-// takeBody makes the caller's body ready to be streamed while the answer comes back; nil is none.
-func (f *Proxy) takeBody(r *http.Request, out *httpResponder) *requestBody {
+// newRequestBody makes the caller's body ready to be streamed while the answer comes back; nil is none.
+func (f *Proxy) newRequestBody(r *http.Request, out *httpResponder) *requestBody {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -271,23 +271,23 @@
 	// so that a caller that sends slowly would get its refusal late.
 	_ = out.control.EnableFullDuplex()
 	out.expect = r.Header.Get("Expect") != ""
-	limits := f.Limits.filled()
+	limits := f.Limits.withDefaults()
 	return &requestBody{
 		source: r.Body, clock: f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody,
-		interrupt: func() { _ = out.control.SetReadDeadline(past) },
+		interrupt: func() { _ = out.control.SetReadDeadline(pastDeadline) },
 	}
 }
 
-// past is a deadline that has passed by any clock.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed by any clock.
+var pastDeadline = time.Unix(1, 0)
 
 // flowTo returns the flow of bytes to or from an entry VM.
 func flowTo(x *exchange, peer pabundle.EntryName, sending bool) Flow {
 	return Flow{Request: x.request.ID, Service: x.request.Service, Peer: peer, Sending: sending}
 }
 
-// answerFlow returns the flow of an answer: on to the origin, in from a peer, or local.
-func answerFlow(x *exchange, a *answer) Flow {
+// responseFlow returns the flow of an answer: on to the origin, in from a peer, or local.
+func responseFlow(x *exchange, a *answer) Flow {
 	if x.request.Origin != "" {
 		return flowTo(x, x.request.Origin, true)
 	}
--- a/paproxy/fuzz_test.go
+++ b/paproxy/fuzz_test.go
@@ -47,7 +47,7 @@
 		if left <= 0 || left > maxDeadline || x.request.Size < -1 || x.uri[0] != '/' || x.request.ID == "" {
 			t.Fatalf("accepted %+v", x.request)
 		}
-		for _, name := range append(paheader.HopByHop, own...) {
+		for _, name := range append(paheader.HopByHop, reservedHeaders...) {
 			if x.header.Get(name) != "" {
 				t.Fatalf("kept %s", name)
 			}
@@ -77,7 +77,7 @@
 			frames = frames[1:]
 			return frame, nil
 		}
-		r := &frameReader{pieces: pieces{declared: declared}, next: next, last: (&call{}).last}
+		r := &frameReader{pieces: chunkChecker{declared: declared}, next: next, checkEnd: (&peerCall{}).checkEnd}
 		got, err := io.ReadAll(r)
 		all := int64(len(first) + len(second))
 		good := offset == int64(len(first)) && length == all && (declared < 0 || declared == all) &&
--- a/paproxy/guard_test.go
+++ b/paproxy/guard_test.go
@@ -244,7 +244,7 @@
 	b.front.Targets.mutex.Lock()
 	c := b.front.Targets.pools[b.address].idle[0]
 	c.transport.CloseIdleConnections()
-	c.wire = &wireConn{Conn: c.wire.Conn}
+	c.tracked = &trackedConn{Conn: c.tracked.Conn}
 	b.front.Targets.mutex.Unlock()
 	g.Expect(b.ask("POST", "/Services/s/", "paid", "").status).To(Equal(http.StatusOK))
 	g.Expect(executions(b.target, "paid")).To(Equal(1))
@@ -270,7 +270,7 @@
 	defer far.Close()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
 	hook := &closeHook{Conn: near}
-	w := &wireConn{Conn: hook}
+	w := &trackedConn{Conn: hook}
 	_, err := w.Write([]byte("first"))
 	g.Expect(err).NotTo(HaveOccurred())
 	var late error
--- a/paproxy/header.go
+++ b/paproxy/header.go
@@ -31,13 +31,13 @@
 	AttemptHeader = "Papaya-Attempt"
 )
 
-// own are the fields that only this system sets, so that no caller or target speaks in its name.
-var own = []string{OutcomeHeader, ComeBackHeader, DrainingHeader, AttemptHeader, DeadlineHeader, RequestIDHeader, StampHeader}
+// reservedHeaders are the fields that only this system sets, so that no caller or target speaks in its name.
+var reservedHeaders = []string{OutcomeHeader, ComeBackHeader, DrainingHeader, AttemptHeader, DeadlineHeader, RequestIDHeader, StampHeader}
 
 // endToEnd returns a copy of the header without the fields of the connection and of this system.
 func endToEnd(h http.Header) http.Header {
 	c := paheader.EndToEnd(h)
-	for _, name := range own {
+	for _, name := range reservedHeaders {
 		c.Del(name)
 	}
 	return c
--- a/paproxy/limit.go
+++ b/paproxy/limit.go
@@ -36,8 +36,8 @@
 	MaxAttempts int
 }
 
-// filled returns the limits with the defaults in place of zeros.
-func (l Limits) filled() Limits {
+// withDefaults returns the limits with the defaults in place of zeros.
+func (l Limits) withDefaults() Limits {
 	l.MaxHeader = orDefault(l.MaxHeader, DefaultMaxHeader)
 	l.HeaderTimeout = orDefault(l.HeaderTimeout, DefaultHeaderTimeout)
 	l.IdleTimeout = orDefault(l.IdleTimeout, DefaultIdleTimeout)
@@ -56,12 +56,12 @@
 // Server returns an HTTP server for callers that holds to the limits; serve it on Watch's listener,
 // so that requests with ambiguous framing can be told.
 func (l Limits) Server(h http.Handler) *http.Server {
-	l = l.filled()
+	l = l.withDefaults()
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: l.HeaderTimeout,
 		IdleTimeout:       l.IdleTimeout,
 		MaxHeaderBytes:    l.MaxHeader,
-		ConnContext:       watchContext,
+		ConnContext:       recordingContext,
 	}
 }
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -43,7 +43,7 @@
 		}
 		conns.Go(func() {
 			// A peer that goes away is an ordinary end of its connection.
-			_ = server.ServeOne(context.WithValue(ctx, contextKey{}, c), c)
+			_ = server.ServeOne(context.WithValue(ctx, peerConnKey{}, c), c)
 			c.Close()
 		})
 	}
@@ -89,25 +89,25 @@
 		return nil
 	}
 	defer f.Calls.End(open.GetCall())
-	return f.serveCall(stream, open.GetCall(), x, out)
+	return f.serveForwarded(stream, open.GetCall(), x, out)
 }
 
-// serveCall sees a forwarded request to its end.
-func (f *Proxy) serveCall(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
+// serveForwarded sees a forwarded request to its end.
+func (f *Proxy) serveForwarded(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
 	accepted := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Accepted{Accepted: &pawire.ForwardAccepted{}}}
 	if err := stream.Send(accepted); err != nil {
 		return trace.Wrap(err)
 	}
 	ctx, cancel := paclock.WithTimeout(stream.Context(), f.Clock, x.request.Deadline.Sub(f.Clock.Now()))
 	defer cancel()
-	x.inform = out.inform
-	x.start = func() bool { return f.inTime(ctx, x) && f.Calls.Start(id) }
+	x.writeInterim = out.writeInterim
+	x.tryStart = func() bool { return f.beforeDeadline(ctx, x) && f.Calls.Start(id) }
 	if x.request.Size != 0 {
 		b := f.receiveBody(ctx, out, x)
 		defer x.body.finish()
 		defer b.stop()
 	}
-	f.finished(x.request, f.handle(ctx, x, out))
+	f.reportEnd(x.request, f.handle(ctx, x, out))
 	return out.failure
 }
 
@@ -117,8 +117,8 @@
 	stamps  *paevent.Stamper
 	sent    int64
 	failure error
-	// taken is set with the end of the request's body.
-	taken atomic.Bool
+	// bodyReceived is set with the end of the request's body.
+	bodyReceived atomic.Bool
 }
 
 func (w *peerResponder) send(f *pawire.ForwardFrame) error {
@@ -129,13 +129,13 @@
 	return err
 }
 
-func (w *peerResponder) inform(status int, h http.Header) {
+func (w *peerResponder) writeInterim(status int, h http.Header) {
 	_ = w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Head{Head: &pawire.ForwardHead{
 		Status: int32(status), Header: fieldsOf(h),
 	}}})
 }
 
-func (w *peerResponder) begin(h head) error {
+func (w *peerResponder) writeHead(h responseHead) error {
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Head{Head: &pawire.ForwardHead{
 		Status: int32(h.status), Header: fieldsOf(h.header), Length: h.length, Trailer: h.trailerNames,
 	}}})
@@ -147,7 +147,7 @@
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: piece}})
 }
 
-func (w *peerResponder) end(trailer http.Header) error {
+func (w *peerResponder) finish(trailer http.Header) error {
 	return w.sendEnd(&pawire.ForwardEnd{Outcome: int32(Answered), Length: w.sent, Trailer: fieldsOf(trailer)})
 }
 
@@ -165,7 +165,7 @@
 }
 
 func (w *peerResponder) sendEnd(e *pawire.ForwardEnd) error {
-	e.BodyTaken = w.taken.Load()
+	e.BodyTaken = w.bodyReceived.Load()
 	e.Stamp = w.stamps.Text()
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_End{End: e}})
 }
@@ -173,7 +173,7 @@
 // interrupt closes the connection: a peer that reads nothing more would otherwise hold the target's
 // slot until the kernel gives the connection up, which takes a quarter of an hour.
 func (w *peerResponder) interrupt() {
-	if c := connOf(w.stream.Context()); c != nil {
+	if c := peerConnFrom(w.stream.Context()); c != nil {
 		c.Close()
 	}
 }
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -28,28 +28,28 @@
 	now := f.Clock.Now()
 	service, uri, ok := splitPath(r)
 	if !ok {
-		return nil, bad(ReasonNoService)
+		return nil, reject(ReasonNoService)
 	}
 	terms, ok := f.Services.Timeouts(service)
 	if !ok {
-		return nil, bad(ReasonNoService)
+		return nil, reject(ReasonNoService)
 	}
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
-		return nil, bad(ReasonMethod)
+		return nil, reject(ReasonMethod)
 	}
 	if !r.ProtoAtLeast(1, 1) {
 		// An HTTP/1.0 caller can't tell a truncated answer of unknown length from a whole one.
-		return nil, bad(ReasonBadRequest)
+		return nil, reject(ReasonBadRequest)
 	}
-	if ambiguous(r) {
-		return nil, bad(ReasonFraming)
+	if hasAmbiguousFraming(r) {
+		return nil, reject(ReasonFraming)
 	}
 	if limit := f.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
-		return nil, bad(ReasonTooLarge)
+		return nil, reject(ReasonTooLarge)
 	}
 	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: addressOf(r)}
-	if !readNames(r.Header, &request) || !readDeadline(r.Header, terms, &request) {
-		return nil, bad(ReasonBadRequest)
+	if !parseIdentity(r.Header, &request) || !parseDeadline(r.Header, terms, &request) {
+		return nil, reject(ReasonBadRequest)
 	}
 	if request.ID == "" {
 		request.ID = f.NewID()
@@ -75,7 +75,7 @@
 	return x
 }
 
-func bad(reason Reason) *refusal { return &refusal{outcome: NotRun, reason: reason} }
+func reject(reason Reason) *refusal { return &refusal{outcome: NotRun, reason: reason} }
 
 // splitPath reads the service's name from the path and returns path and query for the target.
 func splitPath(r *http.Request) (pabundle.ServiceName, string, bool) {
@@ -95,23 +95,23 @@
 	return pabundle.ServiceName(name), uri, true
 }
 
-// readNames reads the request's identity and key; false says that one is malformed or given twice.
-func readNames(h http.Header, r *Request) bool {
-	id, ok := single(h, RequestIDHeader)
+// parseIdentity reads the request's identity and key; false says that one is malformed or given twice.
+func parseIdentity(h http.Header, r *Request) bool {
+	id, ok := singleValue(h, RequestIDHeader)
 	if !ok || len(id) > maxIDLength || !isToken(id) {
 		return false
 	}
-	key, ok := single(h, KeyHeader)
+	key, ok := singleValue(h, KeyHeader)
 	if !ok || len(key) > maxKeyLength || !isVisible(key) {
 		return false
 	}
 	r.ID, r.Key = RequestID(id), key
-	return readCopies(h, r)
+	return parseCopyHeaders(h, r)
 }
 
-// readCopies reads what the caller says of earlier copies of a keyed request.
-func readCopies(h http.Header, r *Request) bool {
-	sent, ok := single(h, FirstSentHeader)
+// parseCopyHeaders reads what the caller says of earlier copies of a keyed request.
+func parseCopyHeaders(h http.Header, r *Request) bool {
+	sent, ok := singleValue(h, FirstSentHeader)
 	if !ok {
 		return false
 	}
@@ -122,7 +122,7 @@
 		}
 		r.FirstSent = time.UnixMilli(ms)
 	}
-	repeat, ok := single(h, RepeatHeader)
+	repeat, ok := singleValue(h, RepeatHeader)
 	r.Repeat = repeat == "true"
 	return ok && (repeat == "" || r.Repeat)
 }
@@ -134,9 +134,9 @@
 	return d.Sum64()
 }
 
-// readDeadline sets the deadline: the caller's, within the service's terms.
-func readDeadline(h http.Header, t Timeouts, r *Request) bool {
-	text, ok := single(h, DeadlineHeader)
+// parseDeadline sets the deadline: the caller's, within the service's terms.
+func parseDeadline(h http.Header, t Timeouts, r *Request) bool {
+	text, ok := singleValue(h, DeadlineHeader)
 	if !ok {
 		return false
 	}
@@ -158,8 +158,8 @@
 	return true
 }
 
-// single returns the field's only value; false says that there are more.
-func single(h http.Header, name string) (string, bool) {
+// singleValue returns the field's only value; false says that there are more.
+func singleValue(h http.Header, name string) (string, bool) {
 	values := h.Values(name)
 	switch len(values) {
 	case 0:
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -67,8 +67,8 @@
 	reused  bool
 }
 
-// shut closes the connection; its fate is of no interest after that.
-func (c *peerConn) shut() { _ = c.Close() }
+// discard closes the connection; its fate is of no interest after that.
+func (c *peerConn) discard() { _ = c.Close() }
 
 // managerOptions bounds messages on both sides of a connection.
 func managerOptions() drpcmanager.Options {
@@ -96,7 +96,7 @@
 			c.reused = true
 			return c, nil
 		}
-		c.shut()
+		c.discard()
 	}
 	ctx, cancel := paclock.WithTimeout(ctx, p.Clock, DefaultDialTimeout)
 	defer cancel()
@@ -108,8 +108,8 @@
 	return &peerConn{Conn: c, address: address, usedAt: p.Clock.Now()}, nil
 }
 
-// keep puts a connection back after a call that ended in good order.
-func (p *PeerClient) keep(c *peerConn) {
+// put puts a connection back after a call that ended in good order.
+func (p *PeerClient) put(c *peerConn) {
 	c.usedAt = p.Clock.Now()
 	p.connections().Put(c.address, c)
 }
@@ -130,7 +130,7 @@
 	if err != nil {
 		return Unknown
 	}
-	defer c.shut()
+	defer c.discard()
 	reply, err := pawire.NewDRPCForwardingClient(c).Fence(ctx, &pawire.FenceRequest{
 		Call: call, Incarnation: to.Incarnation, AgeMicroseconds: p.Clock.Since(sent).Microseconds(),
 	})
@@ -145,7 +145,7 @@
 func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*answer, Result) {
 	for fresh := false; ; fresh = true {
 		a, result, again := p.sendOnce(ctx, x, to, fresh)
-		if !again || fresh || x.touched() || ctx.Err() != nil {
+		if !again || fresh || x.bodyRead() || ctx.Err() != nil {
 			return a, result
 		}
 	}
@@ -154,20 +154,20 @@
 // sendOnce makes one call; again says that a new connection may do better.
 func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*answer, Result, bool) {
 	begun := p.Clock.Now()
-	if !x.start() {
+	if !x.tryStart() {
 		return nil, notStarted(ctx, begun, x), false
 	}
 	c, err := p.connect(ctx, to.Address, fresh)
 	if err != nil {
 		r := Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer, NewConnection: true}
 		if ctx.Err() != nil {
-			r.Reason, r.Fault = reasonOf(ctx)
+			r.Reason, r.Fault = contextEndReason(ctx)
 		}
 		return nil, r, false
 	}
 	// Once the call has ended the connection may be another's.
 	reused := c.reused
-	k := &call{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: begun}
+	k := &peerCall{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: begun}
 	a, result := k.run(ctx)
 	result.TimeToHeader, result.NewConnection = p.Clock.Since(begun), !reused
 	if a != nil {
@@ -176,11 +176,11 @@
 	return a, result, reused && result.Outcome == NotRun && result.Reason == ReasonPeerLost
 }
 
-// contextKey keys the connection in the context of the calls that came in on it.
-type contextKey struct{}
+// peerConnKey keys the connection in the context of the calls that came in on it.
+type peerConnKey struct{}
 
-// connOf returns the connection that the call came in on, or nil.
-func connOf(ctx context.Context) net.Conn {
-	c, _ := ctx.Value(contextKey{}).(net.Conn)
+// peerConnFrom returns the connection that the call came in on, or nil.
+func peerConnFrom(ctx context.Context) net.Conn {
+	c, _ := ctx.Value(peerConnKey{}).(net.Conn)
 	return c
 }
--- a/paproxy/placer.go
+++ b/paproxy/placer.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// about returns the subject of the request's events.
-func about(r Request) paevent.Subject {
+// eventSubject returns the subject of the request's events.
+func eventSubject(r Request) paevent.Subject {
 	return paevent.Subject{Request: string(r.ID), Service: string(r.Service)}
 }
 
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -30,10 +30,10 @@
 	DefaultTargetIdleTimeout = 30 * time.Second
 	// DefaultDialTimeout bounds opening a connection, which takes about 1 ms.
 	DefaultDialTimeout = time.Second
-	// continueTime is how long a target may leave an expected 100-continue out.
-	continueTime = time.Second
-	// maxAnswerHeader bounds the header of a target's answer.
-	maxAnswerHeader = 64 << 10
+	// continueTimeout is how long a target may leave an expected 100-continue out.
+	continueTimeout = time.Second
+	// maxResponseHeader bounds the header of a target's answer.
+	maxResponseHeader = 64 << 10
 )
 
 // DialFunc opens a connection.
@@ -73,23 +73,23 @@
 // to send on.
 type targetConn struct {
 	transport *http.Transport
-	wire      *wireConn
+	tracked   *trackedConn
 	address   netip.AddrPort
-	// aliveAt is the time of the last whole answer, or of the dial.
-	aliveAt time.Time
-	// reused and proven describe the connection as it was taken.
-	reused, proven bool
+	// respondedAt is the time of the last whole answer, or of the dial.
+	respondedAt time.Time
+	// reused and recent describe the connection as it was taken.
+	reused, recent bool
 }
 
-// errBudget says that all of this entry VM's connections to the target are in use.
-var errBudget = trace.LimitExceeded("all connections to the target are in use")
+// errConnectionBudget says that all of this entry VM's connections to the target are in use.
+var errConnectionBudget = trace.LimitExceeded("all connections to the target are in use")
 
-// errSpent says that a connection's transport wanted a second connection.
-var errSpent = trace.ConnectionProblem(nil, "the connection is gone")
+// errSecondDial says that a connection's transport wanted a second connection.
+var errSecondDial = trace.ConnectionProblem(nil, "the connection is gone")
 
 // connect returns a connection: an idle one with an answer less than maxAge ago, or a new one.
 func (t *TargetClient) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
-	c, err := t.reserve(to, maxAge)
+	c, err := t.acquire(to, maxAge)
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -97,14 +97,14 @@
 	defer cancel()
 	raw, err := t.Dial(ctx, "tcp", to.Address.String())
 	if err != nil {
-		t.release(to.Address)
+		t.releaseSlot(to.Address)
 		return nil, trace.Wrap(err)
 	}
 	return newTargetConn(raw, to.Address, t.Clock.Now()), nil
 }
 
 func newTargetConn(raw net.Conn, address netip.AddrPort, now time.Time) *targetConn {
-	wire := &wireConn{Conn: raw}
+	wire := &trackedConn{Conn: raw}
 	unused := make(chan net.Conn, 1)
 	unused <- wire
 	transport := &http.Transport{
@@ -113,19 +113,19 @@
 			case c := <-unused:
 				return c, nil
 			default:
-				return nil, errSpent
+				return nil, errSecondDial
 			}
 		},
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    1,
-		ExpectContinueTimeout:  continueTime,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		ExpectContinueTimeout:  continueTimeout,
+		MaxResponseHeaderBytes: maxResponseHeader,
 	}
-	return &targetConn{transport: transport, wire: wire, address: address, aliveAt: now, proven: true}
+	return &targetConn{transport: transport, tracked: wire, address: address, respondedAt: now, recent: true}
 }
 
-// reserve takes an idle connection, or room for a new one.
-func (t *TargetClient) reserve(to Local, maxAge time.Duration) (*targetConn, error) {
+// acquire takes an idle connection, or room for a new one.
+func (t *TargetClient) acquire(to Local, maxAge time.Duration) (*targetConn, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.pools == nil {
@@ -138,10 +138,10 @@
 	}
 	now := t.Clock.Now()
 	t.reap(p, now)
-	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].aliveAt) <= maxAge {
+	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].respondedAt) <= maxAge {
 		c := p.idle[last]
 		p.idle = p.idle[:last]
-		c.reused, c.proven = true, now.Sub(c.aliveAt) <= orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
+		c.reused, c.recent = true, now.Sub(c.respondedAt) <= orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 		return c, nil
 	}
 	if to.MaxConnections > 0 && p.open >= to.MaxConnections && len(p.idle) > 0 {
@@ -149,7 +149,7 @@
 		p.idle = p.idle[1:]
 	}
 	if to.MaxConnections > 0 && p.open >= to.MaxConnections {
-		return nil, errBudget
+		return nil, errConnectionBudget
 	}
 	p.open++
 	return nil, nil
@@ -159,7 +159,7 @@
 func (t *TargetClient) reap(p *pool, now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.wire.alive() && now.Sub(c.aliveAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
+		if c.tracked.alive() && now.Sub(c.respondedAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
 			kept = append(kept, c)
 			continue
 		}
@@ -172,31 +172,31 @@
 // discard closes a connection of the pool; the caller holds the lock.
 func (t *TargetClient) discard(p *pool, c *targetConn) {
 	p.open--
-	c.wire.seal()
+	c.tracked.seal()
 	c.transport.CloseIdleConnections()
 }
 
-// release gives the room of a connection back that was not opened.
-func (t *TargetClient) release(address netip.AddrPort) {
+// releaseSlot gives the room of a connection back that was not opened.
+func (t *TargetClient) releaseSlot(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pools[address].open--
 }
 
-// drop closes a connection in use and returns the number of writes that started on it.
-func (t *TargetClient) drop(c *targetConn) int {
-	n := c.wire.seal()
+// closeUsed closes a connection in use and returns the number of writes that started on it.
+func (t *TargetClient) closeUsed(c *targetConn) int {
+	n := c.tracked.seal()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.discard(t.pools[c.address], c)
 	return n
 }
 
-// keep makes a connection idle after a whole answer.
-func (t *TargetClient) keep(c *targetConn) {
+// put makes a connection idle after a whole answer.
+func (t *TargetClient) put(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	c.aliveAt = t.Clock.Now()
+	c.respondedAt = t.Clock.Now()
 	p := t.pools[c.address]
 	p.idle = append(p.idle, c)
 }
--- a/paproxy/register.go
+++ b/paproxy/register.go
@@ -54,7 +54,7 @@
 func (r *CallRegistry) Accept(call string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.forget()
+	r.expire()
 	if _, known := r.calls[call]; known || len(r.calls) >= orDefault(r.MaxCalls, DefaultMaxCalls) {
 		return false
 	}
@@ -112,7 +112,7 @@
 func (r *CallRegistry) Fence(call string, incarnation uint64, age time.Duration) FenceState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.forget()
+	r.expire()
 	// Half of the memory leaves the other half for the question's own way here.
 	if incarnation != r.Incarnation || incarnation == 0 || age < 0 || age > orDefault(r.Retention, DefaultRetention)/2 {
 		return FenceUnknown
@@ -138,8 +138,8 @@
 	r.calls[call] = s
 }
 
-// forget drops the calls that ended longer ago than the memory; the caller holds the lock.
-func (r *CallRegistry) forget() {
+// expire drops the calls that ended longer ago than the memory; the caller holds the lock.
+func (r *CallRegistry) expire() {
 	before := r.Clock.Now().Add(-orDefault(r.Retention, DefaultRetention))
 	n := 0
 	for n < len(r.ended) && r.ended[n].at.Before(before) {
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -23,15 +23,15 @@
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	id      RequestID
-	// flush sends each piece at once, because the length is not known.
-	flush   bool
-	begun   bool
-	aborted bool
+	// flushEach sends each piece at once, because the length is not known.
+	flushEach   bool
+	headWritten bool
+	aborted     bool
 	// expect says that reading the body would ask the caller for it.
 	expect bool
 }
 
-func (w *httpResponder) inform(status int, h http.Header) {
+func (w *httpResponder) writeInterim(status int, h http.Header) {
 	addAll(w.writer.Header(), h)
 	w.writer.WriteHeader(status)
 	for name := range h {
@@ -39,8 +39,8 @@
 	}
 }
 
-func (w *httpResponder) begin(a head) error {
-	w.begun = true
+func (w *httpResponder) writeHead(a responseHead) error {
+	w.headWritten = true
 	h := w.writer.Header()
 	addAll(h, a.header)
 	h.Set(OutcomeHeader, Answered.String())
@@ -53,8 +53,8 @@
 		h.Add("Trailer", name)
 	}
 	w.writer.WriteHeader(a.status)
-	w.flush = a.length < 0
-	if w.flush {
+	w.flushEach = a.length < 0
+	if w.flushEach {
 		return w.control.Flush()
 	}
 	return nil
@@ -64,19 +64,19 @@
 	if _, err := w.writer.Write(p); err != nil {
 		return err
 	}
-	if w.flush {
+	if w.flushEach {
 		return w.control.Flush()
 	}
 	return nil
 }
 
-func (w *httpResponder) end(trailer http.Header) error {
+func (w *httpResponder) finish(trailer http.Header) error {
 	for name, values := range trailer {
 		for _, v := range values {
 			w.writer.Header().Add(http.TrailerPrefix+name, v)
 		}
 	}
-	if w.flush {
+	if w.flushEach {
 		// The last chunk and the trailer are net/http's to send, after the handler returned.
 		return nil
 	}
@@ -86,7 +86,7 @@
 
 func (w *httpResponder) abort(Result) { w.aborted = true }
 
-func (w *httpResponder) interrupt() { _ = w.control.SetWriteDeadline(past) }
+func (w *httpResponder) interrupt() { _ = w.control.SetWriteDeadline(pastDeadline) }
 
 func (w *httpResponder) refuse(r refusal) {
 	h := w.writer.Header()
@@ -147,25 +147,25 @@
 // connection that closes on a caller who still sends may take the answer with it (a TCP reset); a
 // caller who sends on and on, or nothing, must not hold the connection.
 const (
-	maxDrain  = 1 << 20
-	drainTime = 500 * time.Millisecond
+	maxDrainBytes = 1 << 20
+	drainTimeout  = 500 * time.Millisecond
 )
 
-// leaveBody ends the reading of the caller's body. One that waits for 100-continue is not read, since
+// finishBody ends the reading of the caller's body. One that waits for 100-continue is not read, since
 // reading would ask for it.
-func (w *httpResponder) leaveBody(b *requestBody) {
+func (w *httpResponder) finishBody(b *requestBody) {
 	if b == nil {
 		return
 	}
 	defer b.finish()
-	if w.aborted || b.whole() {
+	if w.aborted || b.complete() {
 		return
 	}
 	_ = w.control.Flush()
 	if touched, _, _ := b.state(); touched || !w.expect {
-		b.drain(maxDrain, drainTime)
+		b.drain(maxDrainBytes, drainTimeout)
 	}
-	if !b.whole() {
+	if !b.complete() {
 		// net/http would read on without a bound of time.
 		b.interrupt()
 	}
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -21,20 +21,20 @@
 // errSilent is the cause of a send that was given up because its connection is silent.
 var errSilent = trace.ConnectionProblem(nil, "the connection is silent")
 
-// sending is one request on one connection.
-type sending struct {
-	targets *TargetClient
-	conn    *targetConn
-	body    *attemptBody
-	cancel  context.CancelCauseFunc
-	mark    int
-	// heard is set with the answer's first byte.
-	heard atomic.Bool
-	// informing guards over, which ends interim answers: net/http may still deliver one after
+// targetSend is one request on one connection.
+type targetSend struct {
+	targets      *TargetClient
+	conn         *targetConn
+	body         *bodyReader
+	cancel       context.CancelCauseFunc
+	writesBefore int
+	// responseStarted is set with the answer's first byte.
+	responseStarted atomic.Bool
+	// interimMutex guards over, which ends interim answers: net/http may still deliver one after
 	// RoundTrip returned, when the caller's ResponseWriter belongs to its handler again.
-	informing sync.Mutex
-	over      bool
-	interims  int
+	interimMutex sync.Mutex
+	interimEnded bool
+	interims     int
 }
 
 // send sends the request to the target, once. With no answer the result says why; it is NotRun only
@@ -51,17 +51,17 @@
 	for {
 		c, err := t.connect(ctx, to, maxAge)
 		if err != nil {
-			return nil, dialResult(ctx, err)
+			return nil, connectFailed(ctx, err)
 		}
-		if !x.start() {
-			t.giveBack(c)
+		if !x.tryStart() {
+			t.putUnused(c)
 			return nil, notStarted(ctx, t.Clock.Now(), x)
 		}
 		a, result, again := t.sendOn(ctx, x, c)
 		if !again {
 			return a, result
 		}
-		maxAge = t.nextAge(c, maxAge, result)
+		maxAge = t.nextMaxAge(c, maxAge, result)
 	}
 }
 
@@ -70,16 +70,16 @@
 	r := Result{Outcome: NotRun, Reason: ReasonFenced, Fault: FaultPeer}
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 	case !now.Before(x.request.Deadline):
 		r.Reason, r.Fault = ReasonDeadline, FaultDeadline
 	}
 	return r
 }
 
-// nextAge returns the age of connections to use after one failed. After a silent one, only a new one
+// nextMaxAge returns the age of connections to use after one failed. After a silent one, only a new one
 // will do.
-func (t *TargetClient) nextAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
+func (t *TargetClient) nextMaxAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
 	if r.Outcome == Unknown {
 		t.CloseIdle(c.address)
 		return -1
@@ -87,21 +87,21 @@
 	return maxAge
 }
 
-// giveBack returns a connection that was not used.
-func (t *TargetClient) giveBack(c *targetConn) {
+// putUnused returns a connection that was not used.
+func (t *TargetClient) putUnused(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p := t.pools[c.address]
 	p.idle = append(p.idle, c)
 }
 
-// dialResult is the end of an attempt that found no connection.
-func dialResult(ctx context.Context, err error) Result {
+// connectFailed is the end of an attempt that found no connection.
+func connectFailed(ctx context.Context, err error) Result {
 	r := Result{Outcome: NotRun, Reason: ReasonNoConnection, Fault: FaultTarget}
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
-	case errors.Is(err, errBudget):
+		r.Reason, r.Fault = contextEndReason(ctx)
+	case errors.Is(err, errConnectionBudget):
 		r.Reason, r.Fault = ReasonConnectionBudget, FaultConnection
 	}
 	return r
@@ -111,9 +111,9 @@
 func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*answer, Result, bool) {
 	begun := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
-	s := &sending{targets: t, conn: c, cancel: cancel, mark: c.wire.started()}
+	s := &targetSend{targets: t, conn: c, cancel: cancel, writesBefore: c.tracked.writesStarted()}
 	r := s.request(sendCtx, x)
-	stop := s.watch(x)
+	stop := s.watchSilence(x)
 	response, err := c.transport.RoundTrip(r) //nolint:bodyclose // the answer closes it
 	stop()
 	s.endInterim()
@@ -125,7 +125,7 @@
 	}
 	a := s.answer(x, response)
 	a.result.TimeToHeader = t.Clock.Since(begun)
-	if r, refused := s.check(x, response); refused {
+	if r, refused := s.rejectResponse(x, response); refused {
 		if r.Outcome == NotRun {
 			// A short refusal is read to its end, so that its connection can be used again.
 			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
@@ -138,7 +138,7 @@
 }
 
 // request returns the request as the target gets it.
-func (s *sending) request(ctx context.Context, x *exchange) *http.Request {
+func (s *targetSend) request(ctx context.Context, x *exchange) *http.Request {
 	u, err := url.ParseRequestURI(x.uri)
 	if err != nil {
 		u = &url.URL{Path: "/"}
@@ -157,9 +157,9 @@
 		h["User-Agent"] = []string{""}
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotFirstResponseByte: func() { s.heard.Store(true) },
+		GotFirstResponseByte: func() { s.responseStarted.Store(true) },
 		Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-			return s.interim(x, code, http.Header(h))
+			return s.forwardInterim(x, code, http.Header(h))
 		},
 	})
 	r := &http.Request{
@@ -167,7 +167,7 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if x.body != nil {
-		s.attach(x, r)
+		s.attachBody(x, r)
 	}
 	return r.WithContext(ctx)
 }
@@ -179,30 +179,30 @@
 // errInterim ends a request whose target sends interim answers without end.
 var errInterim = trace.LimitExceeded("more than %d interim answers", maxInterim)
 
-// interim passes an interim answer on while the request waits for its final one.
-func (s *sending) interim(x *exchange, code int, h http.Header) error {
-	s.informing.Lock()
-	defer s.informing.Unlock()
+// forwardInterim passes an forwardInterim answer on while the request waits for its final one.
+func (s *targetSend) forwardInterim(x *exchange, code int, h http.Header) error {
+	s.interimMutex.Lock()
+	defer s.interimMutex.Unlock()
 	s.interims++
 	if s.interims > maxInterim {
 		return errInterim
 	}
-	if !s.over && code != http.StatusContinue {
-		x.inform(code, endToEnd(h))
+	if !s.interimEnded && code != http.StatusContinue {
+		x.writeInterim(code, endToEnd(h))
 	}
 	return nil
 }
 
 // endInterim ends interim answers.
-func (s *sending) endInterim() {
-	s.informing.Lock()
-	defer s.informing.Unlock()
-	s.over = true
+func (s *targetSend) endInterim() {
+	s.interimMutex.Lock()
+	defer s.interimMutex.Unlock()
+	s.interimEnded = true
 }
 
-// attach gives the request its body.
-func (s *sending) attach(x *exchange, r *http.Request) {
-	s.body = x.body.attempt()
+// attachBody gives the request its body.
+func (s *targetSend) attachBody(x *exchange, r *http.Request) {
+	s.body = x.body.newReader()
 	r.ContentLength = x.request.Size
 	r.Body = s.body
 	if x.expect {
@@ -215,19 +215,19 @@
 	for _, name := range x.trailerNames {
 		r.Trailer[name] = nil
 	}
-	r.Body = &trailedBody{attemptBody: s.body, to: r.Trailer, from: x.trailer}
+	r.Body = &trailerBody{bodyReader: s.body, to: r.Trailer, from: x.trailer}
 }
 
-// trailedBody fills the trailer in when the body has ended.
-type trailedBody struct {
-	*attemptBody
+// trailerBody fills the trailer in when the body has ended.
+type trailerBody struct {
+	*bodyReader
 	to   http.Header
 	from func() http.Header
 }
 
 // Read reads from the body.
-func (b *trailedBody) Read(p []byte) (int, error) {
-	n, err := b.attemptBody.Read(p)
+func (b *trailerBody) Read(p []byte) (int, error) {
+	n, err := b.bodyReader.Read(p)
 	if err == io.EOF {
 		for name, values := range b.from() {
 			b.to[name] = values
@@ -236,18 +236,18 @@
 	return n, err
 }
 
-// watch gives the send up when a connection without proof of life stays silent.
+// watchSilence gives the send up when a connection without proof of life stays silent.
 //
 // The failure it guards against is a middlebox that lost track of an open connection: the request is
 // swallowed and no error comes. It shows as a request that runs into its deadline while the target
 // answers others. Only an idempotent request whose body is not on its way may be sent again.
-func (s *sending) watch(x *exchange) (stop func()) {
+func (s *targetSend) watchSilence(x *exchange) (stop func()) {
 	t := s.targets
-	if s.conn.proven || !x.request.Idempotent || x.body != nil {
+	if s.conn.recent || !x.request.Idempotent || x.body != nil {
 		return func() {}
 	}
 	timer := t.Clock.AfterFunc(orDefault(t.SilenceTimeout, DefaultSilenceTimeout), func() {
-		if !s.heard.Load() {
+		if !s.responseStarted.Load() {
 			s.cancel(errSilent)
 		}
 	})
@@ -255,20 +255,20 @@
 }
 
 // failed closes the connection and returns what became of the request.
-func (s *sending) failed(ctx, sendCtx context.Context, x *exchange, err error) (Result, bool) {
+func (s *targetSend) failed(ctx, sendCtx context.Context, x *exchange, err error) (Result, bool) {
 	s.body.stop()
-	wrote := s.targets.drop(s.conn) > s.mark
+	wrote := s.targets.closeUsed(s.conn) > s.writesBefore
 	r := Result{Outcome: NotRun, Reason: ReasonNoConnection, Fault: FaultConnection, NewConnection: !s.conn.reused}
 	if wrote {
 		r.Outcome, r.Reason, r.Fault = Unknown, ReasonTargetLost, FaultTarget
 	}
-	replaceable := s.conn.reused && ctx.Err() == nil && !x.touched()
+	replaceable := s.conn.reused && ctx.Err() == nil && !x.bodyRead()
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
-		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.heard.Load() {
+		r.Reason, r.Fault = contextEndReason(ctx)
+		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.responseStarted.Load() {
 			s.targets.CloseIdle(s.conn.address)
-			if !s.conn.proven {
+			if !s.conn.recent {
 				// The connection may have been silent all along: that is not held against the target.
 				r.Fault = FaultConnection
 			}
@@ -276,11 +276,11 @@
 		return r, false
 	case errors.Is(context.Cause(sendCtx), errSilent):
 		r.Fault = FaultConnection
-		record(s.targets.Events, paevent.ConnectionSilent{Subject: about(x.request), Target: s.conn.address.String()})
+		record(s.targets.Events, paevent.ConnectionSilent{Subject: eventSubject(x.request), Target: s.conn.address.String()})
 		return r, replaceable
-	case x.callerFailed() != nil:
+	case x.bodyError() != nil:
 		r.Reason, r.Fault = ReasonCallerGone, FaultCaller
-		if errors.Is(x.callerFailed(), errBodyTooLarge) {
+		if errors.Is(x.bodyError(), errBodyTooLarge) {
 			r.Reason = ReasonTooLarge
 		}
 		return r, false
@@ -291,8 +291,8 @@
 	return r, replaceable && !wrote
 }
 
-// check returns the end of an attempt whose response is not an answer to this request.
-func (s *sending) check(x *exchange, response *http.Response) (Result, bool) {
+// rejectResponse returns the end of an attempt whose response is not an answer to this request.
+func (s *targetSend) rejectResponse(x *exchange, response *http.Response) (Result, bool) {
 	r := Result{
 		Outcome: Unknown, Fault: FaultTarget, Status: response.StatusCode,
 		NewConnection: !s.conn.reused, Draining: response.Header.Get(DrainingHeader) == "true",
@@ -305,11 +305,11 @@
 		// An answer to another request: late, surplus or crossed. Matching by order would hand it out.
 		r.Reason = ReasonWrongIdentity
 		record(s.targets.Events, paevent.IdentityMismatch{
-			Subject: about(x.request), Target: s.conn.address.String(), Said: said,
+			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: said,
 		})
 	case response.StatusCode == http.StatusSwitchingProtocols:
 		r.Reason = ReasonUnframedAnswer
-	case unframed(x.request.Method, response):
+	case closeDelimited(x.request.Method, response):
 		r.Reason = ReasonUnframedAnswer
 	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == NotRun.String():
 		r.Outcome, r.Reason, r.Fault = NotRun, ReasonShed, FaultShed
@@ -320,8 +320,8 @@
 	return r, true
 }
 
-// unframed says that the answer ends with its connection, so that a truncated one looks whole.
-func unframed(method string, r *http.Response) bool {
+// closeDelimited says that the answer ends with its connection, so that a truncated one looks whole.
+func closeDelimited(method string, r *http.Response) bool {
 	none := bodiless(method, r.StatusCode)
 	return !none && r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
@@ -339,10 +339,10 @@
 }
 
 // answer returns the response as an answer on its way.
-func (s *sending) answer(x *exchange, response *http.Response) *answer {
+func (s *targetSend) answer(x *exchange, response *http.Response) *answer {
 	a := &answer{
-		head: head{status: response.StatusCode, header: endToEnd(response.Header), length: response.ContentLength},
-		body: response.Body,
+		responseHead: responseHead{status: response.StatusCode, header: endToEnd(response.Header), length: response.ContentLength},
+		body:         response.Body,
 		result: Result{
 			Status: response.StatusCode, NewConnection: !s.conn.reused,
 			Draining: response.Header.Get(DrainingHeader) == "true",
@@ -353,36 +353,36 @@
 		a.trailerNames = append(a.trailerNames, name)
 	}
 	identified := response.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
-	end := &endReader{source: response.Body}
+	end := &eofReader{source: response.Body}
 	a.body = end
-	a.close = func() { s.finish(end.ended && identified && !response.Close, response) }
+	a.close = func() { s.finish(end.atEOF && identified && !response.Close, response) }
 	return a
 }
 
 // finish gives the connection back after a whole answer, or closes it. A connection whose answer was
 // given up is never used again, so that the late rest can't be read by another request.
-func (s *sending) finish(whole bool, response *http.Response) {
+func (s *targetSend) finish(whole bool, response *http.Response) {
 	defer s.cancel(nil)
 	s.body.stop()
 	response.Body.Close()
-	if whole && s.conn.wire.alive() {
-		s.targets.keep(s.conn)
+	if whole && s.conn.tracked.alive() {
+		s.targets.put(s.conn)
 		return
 	}
-	s.targets.drop(s.conn)
+	s.targets.closeUsed(s.conn)
 }
 
-// endReader notes the end of a body.
-type endReader struct {
+// eofReader notes the end of a body.
+type eofReader struct {
 	source io.Reader
-	ended  bool
+	atEOF  bool
 }
 
 // Read reads from the source.
-func (r *endReader) Read(p []byte) (int, error) {
+func (r *eofReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	if err == io.EOF {
-		r.ended = true
+		r.atEOF = true
 	}
 	return n, err
 }
