--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -44,7 +44,7 @@
 func peerProtocolError(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
 
 // run makes the call up to the answer's head.
-func (k *peerCall) run(ctx context.Context) (*answer, Result) {
+func (k *peerCall) run(ctx context.Context) (*response, Result) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	k.cancel = cancel
 	stream, err := pawire.NewDRPCForwardingClient(k.conn).Forward(callCtx)
@@ -61,7 +61,7 @@
 	if h == nil {
 		return nil, k.endResult(ctx)
 	}
-	return k.answer(h), Result{Status: int(h.GetStatus())}
+	return k.newResponse(h), Result{Status: int(h.GetStatus())}
 }
 
 // open sends the first frame and receives up to the answer's head; nil is an end without one.
@@ -210,14 +210,14 @@
 	return r
 }
 
-// answer returns the answer whose body the peer sends.
-func (k *peerCall) answer(h *pawire.ForwardHead) *answer {
+// newResponse returns the newResponse whose body the peer sends.
+func (k *peerCall) newResponse(h *pawire.ForwardHead) *response {
 	declared := h.GetLength()
 	if bodiless(k.x.request.Method, int(h.GetStatus())) {
 		declared = 0
 	}
 	body := &frameReader{pieces: chunkChecker{declared: declared}, next: k.next, checkEnd: k.checkEnd}
-	return &answer{
+	return &response{
 		responseHead: responseHead{
 			status: int(h.GetStatus()), header: headerOf(h.GetHeader()),
 			length: h.GetLength(), trailerNames: h.GetTrailer(),
--- a/paproxy/exchange.go
+++ b/paproxy/exchange.go
@@ -44,8 +44,8 @@
 	trailerNames []string
 }
 
-// answer is a target's answer on its way to the caller.
-type answer struct {
+// response is a target's response on its way to the caller.
+type response struct {
 	responseHead
 	// body ends with io.EOF only when it is whole.
 	body io.Reader
--- a/paproxy/front.go
+++ b/paproxy/front.go
@@ -81,7 +81,7 @@
 }
 
 // attempt places and sends the request once; with no answer the result says why.
-func (f *Proxy) attempt(ctx context.Context, x *exchange) (*answer, Result, func(Result)) {
+func (f *Proxy) attempt(ctx context.Context, x *exchange) (*response, Result, func(Result)) {
 	switch p := f.Placer.Place(ctx, x.request).(type) {
 	case Local:
 		a, r := f.Targets.send(ctx, x, p)
@@ -114,7 +114,7 @@
 }
 
 // relay streams the answer to the side that asked.
-func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *answer, out responder) Result {
+func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *response, out responder) Result {
 	result := a.result
 	closeOnce := sync.OnceFunc(a.close)
 	defer closeOnce()
@@ -164,7 +164,7 @@
 
 // copy passes the body on, piece by piece. Each read and each write has the idle time; waiting for
 // the pacer does not count against either side.
-func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *answer, out responder) (int64, error) {
+func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *response, out responder) (int64, error) {
 	idle := f.Limits.withDefaults().BodyIdleTimeout
 	timer := f.Clock.AfterFunc(idle, func() {
 		cancel(errIdle)
@@ -287,7 +287,7 @@
 }
 
 // responseFlow returns the flow of an answer: on to the origin, in from a peer, or local.
-func responseFlow(x *exchange, a *answer) Flow {
+func responseFlow(x *exchange, a *response) Flow {
 	if x.request.Origin != "" {
 		return flowTo(x, x.request.Origin, true)
 	}
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -142,7 +142,7 @@
 
 // send forwards the request. A call that was lost on a reused connection and is certain not to have
 // started goes out once more on a new one: that is the connection's fault, and not the peer's.
-func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*answer, Result) {
+func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*response, Result) {
 	for fresh := false; ; fresh = true {
 		a, result, again := p.sendOnce(ctx, x, to, fresh)
 		if !again || fresh || x.bodyRead() || ctx.Err() != nil {
@@ -152,7 +152,7 @@
 }
 
 // sendOnce makes one call; again says that a new connection may do better.
-func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*answer, Result, bool) {
+func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*response, Result, bool) {
 	begun := p.Clock.Now()
 	if !x.tryStart() {
 		return nil, notStarted(ctx, begun, x), false
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -43,7 +43,7 @@
 // A connection that turns out to be gone before a write started, or to be silent under an idempotent
 // request, is replaced by another to the same target; that is the connection's fault, and no new
 // attempt: the Placer does not hear of it.
-func (t *TargetClient) send(ctx context.Context, x *exchange, to Local) (*answer, Result) {
+func (t *TargetClient) send(ctx context.Context, x *exchange, to Local) (*response, Result) {
 	maxAge := orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 	if x.request.Idempotent {
 		maxAge = orDefault(t.IdleTimeout, DefaultTargetIdleTimeout)
@@ -108,13 +108,13 @@
 }
 
 // sendOn sends the request on the connection; again says that another connection may be tried.
-func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*answer, Result, bool) {
+func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*response, Result, bool) {
 	begun := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
 	s := &targetSend{targets: t, conn: c, cancel: cancel, writesBefore: c.tracked.writesStarted()}
 	r := s.request(sendCtx, x)
 	stop := s.watchSilence(x)
-	response, err := c.transport.RoundTrip(r) //nolint:bodyclose // the answer closes it
+	resp, err := c.transport.RoundTrip(r) //nolint:bodyclose // the answer closes it
 	stop()
 	s.endInterim()
 	if err != nil {
@@ -123,9 +123,9 @@
 		cancel(nil)
 		return nil, result, again
 	}
-	a := s.answer(x, response)
+	a := s.newResponse(x, resp)
 	a.result.TimeToHeader = t.Clock.Since(begun)
-	if r, refused := s.rejectResponse(x, response); refused {
+	if r, refused := s.rejectResponse(x, resp); refused {
 		if r.Outcome == NotRun {
 			// A short refusal is read to its end, so that its connection can be used again.
 			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
@@ -292,13 +292,13 @@
 }
 
 // rejectResponse returns the end of an attempt whose response is not an answer to this request.
-func (s *targetSend) rejectResponse(x *exchange, response *http.Response) (Result, bool) {
+func (s *targetSend) rejectResponse(x *exchange, resp *http.Response) (Result, bool) {
 	r := Result{
-		Outcome: Unknown, Fault: FaultTarget, Status: response.StatusCode,
-		NewConnection: !s.conn.reused, Draining: response.Header.Get(DrainingHeader) == "true",
+		Outcome: Unknown, Fault: FaultTarget, Status: resp.StatusCode,
+		NewConnection: !s.conn.reused, Draining: resp.Header.Get(DrainingHeader) == "true",
 	}
-	s.targets.Stamps.Heard(response.Header.Get(StampHeader))
-	said := response.Header.Get(RequestIDHeader)
+	s.targets.Stamps.Heard(resp.Header.Get(StampHeader))
+	said := resp.Header.Get(RequestIDHeader)
 	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
 	case said != string(x.request.ID) && (said != "" || strict):
@@ -307,13 +307,13 @@
 		record(s.targets.Events, paevent.IdentityMismatch{
 			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: said,
 		})
-	case response.StatusCode == http.StatusSwitchingProtocols:
+	case resp.StatusCode == http.StatusSwitchingProtocols:
 		r.Reason = ReasonUnframedAnswer
-	case closeDelimited(x.request.Method, response):
+	case closeDelimited(x.request.Method, resp):
 		r.Reason = ReasonUnframedAnswer
-	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == NotRun.String():
+	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(OutcomeHeader) == NotRun.String():
 		r.Outcome, r.Reason, r.Fault = NotRun, ReasonShed, FaultShed
-		r.RetryAfter = retryAfter(response.Header)
+		r.RetryAfter = retryAfter(resp.Header)
 	default:
 		return Result{}, false
 	}
@@ -338,33 +338,33 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// answer returns the response as an answer on its way.
-func (s *targetSend) answer(x *exchange, response *http.Response) *answer {
-	a := &answer{
-		responseHead: responseHead{status: response.StatusCode, header: endToEnd(response.Header), length: response.ContentLength},
-		body:         response.Body,
+// newResponse returns the response as an newResponse on its way.
+func (s *targetSend) newResponse(x *exchange, resp *http.Response) *response {
+	a := &response{
+		responseHead: responseHead{status: resp.StatusCode, header: endToEnd(resp.Header), length: resp.ContentLength},
+		body:         resp.Body,
 		result: Result{
-			Status: response.StatusCode, NewConnection: !s.conn.reused,
-			Draining: response.Header.Get(DrainingHeader) == "true",
+			Status: resp.StatusCode, NewConnection: !s.conn.reused,
+			Draining: resp.Header.Get(DrainingHeader) == "true",
 		},
-		trailer: func() http.Header { return endToEnd(response.Trailer) },
+		trailer: func() http.Header { return endToEnd(resp.Trailer) },
 	}
-	for name := range response.Trailer {
+	for name := range resp.Trailer {
 		a.trailerNames = append(a.trailerNames, name)
 	}
-	identified := response.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
-	end := &eofReader{source: response.Body}
+	identified := resp.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
+	end := &eofReader{source: resp.Body}
 	a.body = end
-	a.close = func() { s.finish(end.atEOF && identified && !response.Close, response) }
+	a.close = func() { s.finish(end.atEOF && identified && !resp.Close, resp) }
 	return a
 }
 
 // finish gives the connection back after a whole answer, or closes it. A connection whose answer was
 // given up is never used again, so that the late rest can't be read by another request.
-func (s *targetSend) finish(whole bool, response *http.Response) {
+func (s *targetSend) finish(whole bool, resp *http.Response) {
 	defer s.cancel(nil)
 	s.body.stop()
-	response.Body.Close()
+	resp.Body.Close()
 	if whole && s.conn.tracked.alive() {
 		s.targets.put(s.conn)
 		return
