--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -9,23 +9,23 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// errBodyClosed ends reads of an attempt that has been given up.
+// errBodyClosed is returned by reads of an attempt that has ended.
 var errBodyClosed = trace.Errorf("the attempt that read this body has ended")
 
-// errBodyTooLarge ends a request whose body passes Limits.MaxBody.
+// errBodyTooLarge is returned when a request's body exceeds Limits.MaxBody.
 var errBodyTooLarge = trace.LimitExceeded("the request's body is too large")
 
-// requestBody is a request's body on its way to its one send. It is read by at most one attempt:
-// once touched, no other attempt is made.
+// requestBody streams a request's body to a target or peer. At most one attempt reads it: no
+// further attempt is made once reading has started.
 type requestBody struct {
 	source io.Reader
 	clock  clockwork.Clock
-	// idle bounds one read; max bounds all of them, 0 does not.
+	// idle limits each read; max limits the total in bytes, 0 means no limit.
 	idle time.Duration
 	max  int64
-	// interrupt makes a read in progress return; it ends the source for good.
+	// interrupt unblocks a read in progress; the source can't be read afterwards.
 	interrupt func()
-	// pace is asked before bytes are passed on.
+	// pace is called with the size of each chunk before it is passed on; it may block.
 	pace func(bytes int) error
 
 	mutex   sync.Mutex
@@ -38,11 +38,11 @@
 	failure error
 }
 
-// newReader returns a reader for one newReader, which ends when it is closed.
+// newReader returns a reader for one attempt. It ends when it is closed.
 func (b *requestBody) newReader() *bodyReader { return &bodyReader{body: b} }
 
-// finish ends all reading and returns when no read is in progress, so that the source can be given
-// back to the server it belongs to.
+// finish ends all reading and waits for a read in progress, so that the source can be returned to
+// the server that owns it.
 func (b *requestBody) finish() {
 	b.mutex.Lock()
 	b.ended = true
@@ -54,7 +54,7 @@
 	b.readers.Wait()
 }
 
-// drain reads on for no one, up to the limit and the time.
+// drain reads and discards up to limit bytes, for at most d.
 func (b *requestBody) drain(limit int64, d time.Duration) {
 	a := b.newReader()
 	timer := b.clock.AfterFunc(d, b.interrupt)
@@ -63,21 +63,22 @@
 	a.stop()
 }
 
-// complete says that the body was read to its end.
+// complete reports whether the body was read to its end.
 func (b *requestBody) complete() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.atEnd
 }
 
-// state returns whether any attempt has read, the bytes read, and the failure of the source.
+// state reports whether an attempt has started to read, the number of bytes read, and the read
+// error of the source.
 func (b *requestBody) state() (touched bool, count int64, failure error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.started, b.count, b.failure
 }
 
-// read reads for an attempt.
+// read reads from the source on behalf of an attempt.
 func (b *requestBody) read(a *bodyReader, p []byte) (int, error) {
 	b.mutex.Lock()
 	if b.ended || a.closed {
@@ -108,29 +109,29 @@
 	return n, err
 }
 
-// readSource reads once, within the idle time.
+// readSource reads once from the source, within the idle timeout.
 func (b *requestBody) readSource(p []byte) (int, error) {
 	timer := b.clock.AfterFunc(b.idle, b.interrupt)
 	defer timer.Stop()
 	return b.source.Read(p)
 }
 
-// bodyReader is the body as one attempt reads it.
+// bodyReader reads a request's body for one attempt.
 type bodyReader struct {
 	body   *requestBody
 	closed bool
 }
 
-// Read reads from the body unless the attempt has ended.
+// Read returns errBodyClosed after the attempt has ended.
 func (a *bodyReader) Read(p []byte) (int, error) { return a.body.read(a, p) }
 
-// Close keeps this attempt from reading on; the body stays as it is.
+// Close ends reading by this attempt. It doesn't close the body's source.
 func (a *bodyReader) Close() error {
 	a.stop()
 	return nil
 }
 
-// stop is Close; a nil attempt has nothing to stop.
+// stop is Close without an error. It accepts a nil reader.
 func (a *bodyReader) stop() {
 	if a == nil {
 		return
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -14,7 +14,8 @@
 	"papayahead/pawire"
 )
 
-// peerCall is one request forwarded on one connection, at its origin.
+// peerCall is a request forwarded to a peer, at the entry VM that forwards it. It occupies one
+// connection.
 type peerCall struct {
 	peers *PeerClient
 	to    Forward
@@ -30,7 +31,7 @@
 	end      *pawire.ForwardEnd
 }
 
-// peerError is an end of a forwarded answer before its whole body.
+// peerError is the failure of a forwarded request before its response was complete.
 type peerError struct {
 	error
 	reason Reason
@@ -43,13 +44,13 @@
 
 func peerProtocolError(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
 
-// run makes the call up to the answer's head.
+// run makes the call and returns once the response's header has arrived.
 func (k *peerCall) run(ctx context.Context) (*response, Result) {
 	callCtx, cancel := context.WithCancelCause(ctx)
 	k.cancel = cancel
 	stream, err := pawire.NewDRPCForwardingClient(k.conn).Forward(callCtx)
 	if err != nil {
-		// The call's first frame is not sent yet, and without it a peer starts nothing.
+		// The call's first frame has not been sent, and the peer starts nothing without it.
 		k.abort()
 		return nil, Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer}
 	}
@@ -64,7 +65,8 @@
 	return k.newResponse(h), Result{Status: int(h.GetStatus())}
 }
 
-// open sends the first frame and receives up to the answer's head; nil is an end without one.
+// open sends the first frame and receives frames up to the response's header. It returns nil
+// without an error if the peer ended the call without a response.
 func (k *peerCall) open(ctx context.Context) (*pawire.ForwardHead, error) {
 	left := k.x.request.Deadline.Sub(k.peers.Clock.Now())
 	left -= min(left/4, maxDeadlineMargin)
@@ -100,7 +102,7 @@
 	}
 }
 
-// startBody begins to send the request's body beside the receiving of the answer.
+// startBody starts to send the request's body, concurrently with receiving the response.
 func (k *peerCall) startBody(ctx context.Context) {
 	if k.x.body == nil {
 		return
@@ -110,14 +112,14 @@
 		pace := k.x.newPacer(ctx, flowTo(k.x, k.to.Entry, true))
 		go func() {
 			if err := k.sendBody(pace); err != nil {
-				// The peer must not take what it got for a whole body.
+				// The peer must not mistake the part it received for the whole body.
 				k.cancel(err)
 			}
 		}()
 	})
 }
 
-// sendBody sends the body to its end.
+// sendBody sends the request's body and its trailer.
 func (k *peerCall) sendBody(pace func(int) error) error {
 	chunk := chunks.Get().(*[chunkSize]byte)
 	defer chunks.Put(chunk)
@@ -147,7 +149,7 @@
 	}
 }
 
-// ignoreEnd drops the error of a send that the peer's end of the call overtook.
+// ignoreEnd drops the error of a send after the peer has already ended the call.
 func ignoreEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -163,7 +165,8 @@
 	return err
 }
 
-// resolveLost ends a call without an answer, and asks the peer whether it ran.
+// resolveLost returns the result of a call that failed without a response. It asks the peer whether
+// the call started, and keeps it from starting if it did not.
 func (k *peerCall) resolveLost(ctx context.Context, err error) Result {
 	k.abort()
 	r := Result{Outcome: Unknown, Reason: ReasonPeerLost, Fault: FaultPeer}
@@ -188,7 +191,7 @@
 	return r
 }
 
-// endResult returns the peer's own word on a call without an answer.
+// endResult returns the result that the peer reported for a call without a response.
 func (k *peerCall) endResult(ctx context.Context) Result {
 	k.finish(true)
 	e := k.end
@@ -201,7 +204,7 @@
 		r.Outcome = NotRun
 	}
 	if r.Fault == FaultRefused {
-		// The refusal is the peer's decision; the own Placer may know another place.
+		// The refusal is the peer's decision; the Placer here may find another target or entry VM.
 		r.Fault = FaultShed
 	}
 	if ctx.Err() != nil {
@@ -210,7 +213,7 @@
 	return r
 }
 
-// newResponse returns the newResponse whose body the peer sends.
+// newResponse returns the response whose body is received from the peer.
 func (k *peerCall) newResponse(h *pawire.ForwardHead) *response {
 	declared := h.GetLength()
 	if bodiless(k.x.request.Method, int(h.GetStatus())) {
@@ -229,7 +232,7 @@
 	}
 }
 
-// next returns the next frame of the answer.
+// next returns the next frame of the response.
 func (k *peerCall) next() (*pawire.ForwardFrame, error) {
 	f, err := k.stream.Recv()
 	if err != nil {
@@ -239,7 +242,7 @@
 	return f, nil
 }
 
-// checkEnd checks the frame after the body.
+// checkEnd checks the frame that follows the response's body.
 func (k *peerCall) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	e := f.GetEnd()
 	if e == nil {
@@ -255,7 +258,8 @@
 	return io.EOF
 }
 
-// finish gives the connection back after a call that ended in good order, or closes it.
+// finish returns the connection to the pool if the call is complete on both sides, and closes it
+// otherwise.
 func (k *peerCall) finish(whole bool) {
 	k.body.stop()
 	untaken := k.body != nil && !k.end.GetBodyTaken()
@@ -275,14 +279,14 @@
 	k.peers.put(k.conn)
 }
 
-// abort closes the connection: nothing of this call can be read by another.
+// abort closes the connection, so that no later call reads the rest of this one.
 func (k *peerCall) abort() {
 	k.body.stop()
 	k.cancel(nil)
 	k.conn.discard()
 }
 
-// bodiless says that an answer has no body, whatever length it declares.
+// bodiless reports whether a response has no body, whatever Content-Length it declares.
 func bodiless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -11,8 +11,8 @@
 	"papayahead/pawire"
 )
 
-// callBody is a forwarded request's body at the owner. A goroutine of its own receives the frames,
-// one ahead, so that giving the body up does not wait for a peer that sends nothing.
+// callBody is the body of a forwarded request at the owner. A separate goroutine receives the
+// frames, one ahead, so that abandoning the body doesn't wait for a peer that sends nothing.
 type callBody struct {
 	out         *peerResponder
 	frames      chan *pawire.ForwardFrame
@@ -23,7 +23,7 @@
 	trailer     http.Header
 }
 
-// receiveBody lets the exchange read its body from the call's frames.
+// receiveBody sets the exchange's body to be read from the call's frames.
 func (f *Proxy) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
 	b := &callBody{
 		out:    out,
@@ -41,10 +41,10 @@
 	return b
 }
 
-// stop ends the receiving.
+// stop makes reads fail and lets the receiving goroutine exit.
 func (b *callBody) stop() { b.stopOnce.Do(func() { close(b.done) }) }
 
-// next returns the next frame; the first call asks the origin for the body.
+// next returns the next frame. The first call asks the origin to send the body.
 func (b *callBody) next() (*pawire.ForwardFrame, error) {
 	b.receiveOnce.Do(func() {
 		ready := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Continue{Continue: &pawire.ForwardContinue{}}}
@@ -61,7 +61,7 @@
 	}
 }
 
-// receive hands the frames over up to the body's end; it ends with the call at the latest.
+// receive passes frames to next until the body's end. It returns when the call ends at the latest.
 func (b *callBody) receive() {
 	for {
 		f, err := b.out.stream.Recv()
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkEnd checks the frame after the body.
+// checkEnd checks the frame that follows the body.
 func (b *callBody) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	end := f.GetBodyEnd()
 	if end == nil {
--- a/paproxy/exchange.go
+++ b/paproxy/exchange.go
@@ -13,54 +13,54 @@
 	"papayahead/pabundle"
 )
 
-// exchange is one request under way at this entry VM, from a caller or from another entry VM.
+// exchange is one request in progress at this entry VM, from a caller or from another entry VM.
 type exchange struct {
 	request Request
-	// header holds the end-to-end fields; uri is path and query at the target.
+	// header holds the end-to-end fields; uri is the path and query for the target.
 	header    http.Header
 	uri, host string
-	// body is nil for a request without one.
+	// body is nil for a request without a body.
 	body *requestBody
-	// trailer returns the request's trailer after its body ended.
+	// trailer returns the request's trailer; call it after the body's end.
 	trailer func() http.Header
-	// trailerNames are announced before the body.
+	// trailerNames are the names announced in the Trailer field.
 	trailerNames []string
-	// expect says that the body waits for 100-continue.
+	// expect reports that the caller sent Expect and waits for 100 Continue.
 	expect bool
-	// tryStart asks, right before the first byte is sent, whether the request may still tryStart.
+	// tryStart reports, right before the first byte is sent, whether the request may still start.
 	tryStart func() bool
-	// writeInterim passes an interim answer (1xx) on.
+	// writeInterim passes an interim (1xx) response on.
 	writeInterim func(status int, h http.Header)
-	// newPacer returns the function that is asked before bytes of a flow are passed on.
+	// newPacer returns a function that is called before each chunk of a flow is passed on.
 	newPacer func(context.Context, Flow) func(int) error
 }
 
-// responseHead is the start of an answer.
+// responseHead is a response's status and header.
 type responseHead struct {
 	status int
 	header http.Header
-	// length is the declared length; -1 is none.
+	// length is the declared length of the body; -1 means none.
 	length       int64
 	trailerNames []string
 }
 
-// response is a target's response on its way to the caller.
+// response is a response from a target or peer.
 type response struct {
 	responseHead
-	// body ends with io.EOF only when it is whole.
+	// body returns io.EOF only if the body is complete.
 	body io.Reader
-	// trailer returns the trailer after the body ended.
+	// trailer returns the trailer; call it after the body's end.
 	trailer func() http.Header
-	// close gives the answer up, or its connection back after the end.
+	// close abandons the response, or returns its connection to the pool if the response is complete.
 	close func()
-	// peer is the entry VM that the answer came through; "" is none.
+	// peer is the entry VM that forwarded the response; "" means none.
 	peer pabundle.EntryName
-	// pace is asked before bytes are passed on.
+	// pace is called with the size of each chunk before it is passed on; it may block.
 	pace   func(bytes int) error
 	result Result
 }
 
-// refusal is the end of a request without an answer.
+// refusal is the end of a request without a response from a target.
 type refusal struct {
 	outcome  Outcome
 	reason   Reason
@@ -68,24 +68,24 @@
 	result   Result
 }
 
-// responder is the side that the request came from.
+// responder writes to the caller or to the peer that the request came from.
 type responder interface {
 	writeInterim(status int, h http.Header)
 	writeHead(h responseHead) error
 	write(p []byte) error
 	finish(trailer http.Header) error
-	// abort ends a begun answer so that it can't pass for a whole one.
+	// abort ends a partially written response so that it can't be mistaken for a complete one.
 	abort(r Result)
-	// refuse ends a request that has no begun answer.
+	// refuse ends a request for which no response header was written.
 	refuse(r refusal)
-	// interrupt makes a blocked write return.
+	// interrupt unblocks a write in progress.
 	interrupt()
 }
 
-// errIdle is the cause of a context that ended because a body stood still.
+// errIdle is the cause of a context that was cancelled because a body made no progress.
 var errIdle = trace.LimitExceeded("the body made no progress")
 
-// contextEndReason returns why the context ended.
+// contextEndReason returns the reason why the context ended, and whose fault it is.
 func contextEndReason(ctx context.Context) (Reason, Fault) {
 	switch {
 	case errors.Is(context.Cause(ctx), errIdle):
@@ -97,7 +97,7 @@
 	}
 }
 
-// bodyRead says that an attempt has read from the body, so that no other can.
+// bodyRead reports whether an attempt has read from the body, which rules out another attempt.
 func (x *exchange) bodyRead() bool {
 	if x.body == nil {
 		return false
@@ -106,7 +106,7 @@
 	return t
 }
 
-// requestBytes returns the number of the body's bytes passed on.
+// requestBytes returns the number of the request body's bytes passed on.
 func (x *exchange) requestBytes() int64 {
 	if x.body == nil {
 		return 0
@@ -115,7 +115,8 @@
 	return n
 }
 
-// bodyError says that the body's source failed: the caller's fault, and not the receiver's.
+// bodyError returns the read error of the request's body. It is the caller's fault, not the
+// receiver's.
 func (x *exchange) bodyError() error {
 	if x.body == nil {
 		return nil
@@ -124,8 +125,8 @@
 	return err
 }
 
-// chunkSize is the size of the pieces that bodies are passed on in. 32 KiB keeps 1,000 bodies in
-// flight at 32 MB and a piece on a 280 Mbit/s link under 1 ms.
+// chunkSize is the size of the chunks in which bodies are passed on. 32 KiB limits 1,000 bodies in
+// flight to 32 MB, and a chunk takes less than 1 ms on a 280 Mbit/s link.
 const chunkSize = 32 << 10
 
 var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -13,15 +13,15 @@
 	"papayahead/pawire"
 )
 
-// Bounds of what a peer may send; a message beyond them ends the call.
+// Limits on what a peer may send; a message beyond them ends the call.
 const (
-	// maxFrame bounds a message between entry VMs: a header and its overhead.
+	// maxFrame limits a message between entry VMs, in bytes: a header and its overhead.
 	maxFrame = 256 << 10
-	// maxFields bounds the values of a forwarded header.
+	// maxFields limits the number of values in a forwarded header.
 	maxFields = 1000
 )
 
-// fieldsOf returns the header as the wire carries it.
+// fieldsOf converts a header to wire fields.
 func fieldsOf(h http.Header) []*pawire.ForwardField {
 	var fields []*pawire.ForwardField
 	for name, values := range h {
@@ -32,7 +32,7 @@
 	return fields
 }
 
-// headerOf returns the fields as a header of end-to-end fields.
+// headerOf converts wire fields to a header with only end-to-end fields.
 func headerOf(fields []*pawire.ForwardField) http.Header {
 	h := http.Header{}
 	for _, f := range fields[:min(len(fields), maxFields)] {
@@ -60,7 +60,8 @@
 	return o
 }
 
-// exchangeOf reads a call's first frame, or says what is wrong with it.
+// exchangeOf validates a call's first frame and returns its exchange. The error names the invalid
+// field.
 func exchangeOf(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
 	left := o.GetLeftMicroseconds()
 	switch {
@@ -102,14 +103,14 @@
 	return x, nil
 }
 
-// chunkChecker checks that the chunkChecker of a body leave no gap and keep to its declared length.
+// chunkChecker checks that a body's chunks are contiguous and match its declared length.
 type chunkChecker struct {
-	// declared is the length that was announced; -1 is none.
+	// declared is the length announced in the header; -1 means none.
 	declared int64
 	count    int64
 }
 
-// add takes the next piece.
+// add checks the next chunk.
 func (p *chunkChecker) add(b *pawire.ForwardBody) error {
 	n := int64(len(b.GetData()))
 	if b.GetOffset() != p.count {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// end checks the length at the end.
+// end checks the length reported at the end.
 func (p *chunkChecker) end(length int64) error {
 	if p.count != length || p.declared >= 0 && p.count != p.declared {
 		return trace.BadParameter("%d bytes where %d were sent and %d declared", p.count, length, p.declared)
@@ -133,18 +134,18 @@
 	return nil
 }
 
-// frameReader reads a body from frames. next returns the following frame; bodies end at the frame
-// for which last says so.
+// frameReader reads a body from frames. next returns the next frame; checkEnd is called with the
+// first frame that is not part of the body.
 type frameReader struct {
 	pieces chunkChecker
 	next   func() (*pawire.ForwardFrame, error)
-	// checkEnd checks the frame that follows the body and returns io.EOF for a whole one.
+	// checkEnd checks the frame that follows the body. It returns io.EOF if the body is complete.
 	checkEnd func(f *pawire.ForwardFrame, p *chunkChecker) error
 	rest     []byte
 	err      error
 }
 
-// Read reads from the frames.
+// Read returns io.EOF only if the body is complete.
 func (r *frameReader) Read(p []byte) (int, error) {
 	for len(r.rest) == 0 {
 		if r.err != nil {
@@ -157,7 +158,7 @@
 	return n, nil
 }
 
-// fill takes the next frame.
+// fill receives the next frame.
 func (r *frameReader) fill() {
 	f, err := r.next()
 	if err != nil {
@@ -174,7 +175,7 @@
 	}
 }
 
-// unexpectedEOF keeps the end of a stream from passing for the end of a body.
+// unexpectedEOF keeps the end of a stream from being mistaken for the end of a body.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/paproxy/framing.go
+++ b/paproxy/framing.go
@@ -8,20 +8,21 @@
 	"sync"
 )
 
-// maxRecordedBytes bounds the bytes that are kept of a connection, and so the header that a chunked request
-// may have. 8 KiB is twice net/http's read buffer and costs 8 MB for 1,000 connections.
+// maxRecordedBytes limits the bytes recorded per connection, and therefore the header size of a
+// chunked request. 8 KiB is twice net/http's read buffer and takes 8 MB for 1,000 connections.
 const maxRecordedBytes = 8 << 10
 
-// NewFramingListener returns a listener whose connections remember the last bytes read.
+// NewFramingListener returns a listener whose connections record the last bytes read, so that
+// requests with ambiguous framing can be detected.
 //
-// The failure it guards against is request smuggling: a request with both Transfer-Encoding and
-// Content-Length, of which another reader takes the second. net/http takes the first and deletes the
-// second without a trace, so that a Handler can't refuse; the bytes as they came can tell.
+// This guards against request smuggling: a request has both Transfer-Encoding and Content-Length,
+// and another HTTP implementation uses the latter. net/http uses the former and removes the latter
+// from the header, so that a Handler can't detect the conflict; the bytes as received show it.
 func NewFramingListener(l net.Listener) net.Listener { return &framingListener{l} }
 
 type framingListener struct{ net.Listener }
 
-// Accept returns the next connection.
+// Accept returns the next connection, which records what it reads.
 func (l *framingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -30,14 +31,14 @@
 	return &recordingConn{Conn: c}, nil
 }
 
-// recordingConn keeps the last bytes read.
+// recordingConn records the last bytes read from a connection.
 type recordingConn struct {
 	net.Conn
 	mutex    sync.Mutex
 	recorded []byte
 }
 
-// Read reads and remembers.
+// Read reads from the connection and records the bytes.
 func (c *recordingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mutex.Lock()
@@ -49,7 +50,7 @@
 	return n, err
 }
 
-// take returns the bytes remembered and forgets them.
+// take returns the recorded bytes and clears the record.
 func (c *recordingConn) take() []byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -60,7 +61,8 @@
 
 type recordingConnKey struct{}
 
-// recordingContext lets a Handler find the connection of its request.
+// recordingContext stores the connection in the context of its requests, for use as
+// http.Server.ConnContext.
 func recordingContext(ctx context.Context, c net.Conn) context.Context {
 	w, ok := c.(*recordingConn)
 	if !ok {
@@ -69,10 +71,10 @@
 	return context.WithValue(ctx, recordingConnKey{}, w)
 }
 
-// hasAmbiguousFraming says that two readers of the request could disagree on where it ends. Of the bytes
-// remembered every block that begins with this request's line counts: bytes of a body that look like
-// it can only bring a caller's own request down. A chunked request whose header is not among the
-// bytes is refused too, because nothing is known of it.
+// hasAmbiguousFraming reports whether two HTTP implementations could disagree on where the request
+// ends. It checks every recorded header block that starts with this request's line: body bytes that
+// look like a header can only get the caller's own request refused. A chunked request whose header
+// is not among the recorded bytes is refused too, because its framing can't be checked.
 func hasAmbiguousFraming(r *http.Request) bool {
 	c, ok := r.Context().Value(recordingConnKey{}).(*recordingConn)
 	if !ok {
@@ -97,7 +99,7 @@
 	}
 }
 
-// declaresLength says that the header block at the start of the bytes has a Content-Length.
+// declaresLength reports whether the header block at the start of the bytes has a Content-Length.
 func declaresLength(b []byte) bool {
 	block, _, _ := bytes.Cut(b, []byte("\r\n\r\n"))
 	block, _, _ = bytes.Cut(block, []byte("\n\n"))
--- a/paproxy/front.go
+++ b/paproxy/front.go
@@ -16,9 +16,9 @@
 	"papayahead/paevent"
 )
 
-// Proxy takes requests from callers and from other entry VMs and sees each to its end. The fields
-// Placer, Services, Targets, Clock and NewID must be set before the first request; Peers and
-// Register only where requests are forwarded; Pacer and Observer as wanted.
+// Proxy accepts requests from callers and from other entry VMs and handles each to its end. The
+// fields Placer, Services, Targets, Clock and NewID must be set before the first request; Peers and
+// Calls are needed only where requests are forwarded; Pacer and Observer are optional.
 type Proxy struct {
 	Placer   Placer
 	Services Services
@@ -28,22 +28,23 @@
 	Pacer    Pacer
 	Observer Observer
 	Events   Events
-	// Stamps is this process's hybrid logical clock; nil leaves messages without stamps.
+	// Stamps is this process's hybrid logical clock; messages carry no timestamps if it is nil.
 	Stamps *paevent.Stamper
 	Clock  clockwork.Clock
-	// NewID returns a new identity; it is called by many goroutines.
+	// NewID returns a new request ID. It must be safe for concurrent use.
 	NewID  func() RequestID
 	Limits Limits
 
 	lastLocalID atomic.Uint64
 }
 
-// handle sees one request to its end and returns the result of its last attempt.
+// handle makes attempts at a request until one gets a response or no more are allowed, and returns
+// the result of the last one.
 //
-// The load it is for is a fleet in which a part of the attempts fails. Another attempt is made only
-// where the first can't have run or the request is idempotent, and nothing of the body is gone; that
-// prevents a second run. The number is bounded here and by the Placer's budget, so that failures at
-// saturation don't multiply the load.
+// Attempts fail in part of the fleet at times. Another attempt is made only if the earlier one
+// can't have run or the request is idempotent, and none of the body has been read; this prevents a
+// second run. The number of attempts is limited here and by the Placer's retry budget, so that
+// failures at saturation don't multiply the load.
 func (f *Proxy) handle(ctx context.Context, x *exchange, out responder) Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -72,7 +73,7 @@
 	}
 }
 
-// mayRetry says whether another attempt may be made after the result.
+// mayRetry reports whether another attempt is allowed after the result.
 func (f *Proxy) mayRetry(ctx context.Context, x *exchange, last Result) bool {
 	if ctx.Err() != nil || last.Reason == ReasonFenced || x.bodyRead() || x.request.Attempt >= f.Limits.withDefaults().MaxAttempts {
 		return false
@@ -80,7 +81,7 @@
 	return last.Outcome == NotRun || x.request.Idempotent
 }
 
-// attempt places and sends the request once; with no answer the result says why.
+// attempt places and sends the request once. If it returns no response, the result states why.
 func (f *Proxy) attempt(ctx context.Context, x *exchange) (*response, Result, func(Result)) {
 	switch p := f.Placer.Place(ctx, x.request).(type) {
 	case Local:
@@ -105,7 +106,7 @@
 	}
 }
 
-// doneOrNoop returns a function that is safe to call in place of a nil one.
+// doneOrNoop returns done, or a function that does nothing if done is nil.
 func doneOrNoop(done func(Result)) func(Result) {
 	if done == nil {
 		return func(Result) {}
@@ -113,7 +114,7 @@
 	return done
 }
 
-// relay streams the answer to the side that asked.
+// relay streams the response to the caller or peer.
 func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *response, out responder) Result {
 	result := a.result
 	closeOnce := sync.OnceFunc(a.close)
@@ -124,7 +125,7 @@
 	}
 	if err == nil {
 		trailer := a.trailer()
-		// The connection is free for the next request before the caller can send it.
+		// Free the connection before the caller can send its next request.
 		closeOnce()
 		err = out.finish(trailer)
 		if err != nil {
@@ -143,10 +144,10 @@
 	return result
 }
 
-// callerError is a failure to write to the side that asked.
+// callerError is a failure to write to the caller or to the forwarding peer.
 type callerError struct{ error }
 
-// cutCause returns why an answer ended in its middle.
+// cutCause returns why a response ended before its body was complete.
 func cutCause(ctx context.Context, err, source error) (Reason, Fault) {
 	var caller callerError
 	var peer peerError
@@ -162,8 +163,8 @@
 	}
 }
 
-// copy passes the body on, piece by piece. Each read and each write has the idle time; waiting for
-// the pacer does not count against either side.
+// copy streams the body in chunks. Each read and each write is subject to the idle timeout; time
+// spent in the pacer is not counted against either side.
 func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *response, out responder) (int64, error) {
 	idle := f.Limits.withDefaults().BodyIdleTimeout
 	timer := f.Clock.AfterFunc(idle, func() {
@@ -200,7 +201,8 @@
 	}
 }
 
-// pacing returns the function that is asked before bytes of the flow are passed on.
+// pacing returns a function that is called before each chunk of the flow is passed on. It may
+// block.
 func (f *Proxy) pacing(ctx context.Context, flow Flow) func(int) error {
 	if f.Pacer == nil {
 		return func(int) error { return nil }
@@ -208,7 +210,7 @@
 	return func(bytes int) error { return f.Pacer.Pace(ctx, flow, bytes) }
 }
 
-// ServeHTTP takes a request from a caller.
+// ServeHTTP handles a request from a caller.
 func (f *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &httpResponder{writer: w, control: http.NewResponseController(w)}
 	body := f.newRequestBody(r, out)
@@ -231,12 +233,13 @@
 	out.finishBody(body)
 	f.reportEnd(x.request, result)
 	if out.aborted {
-		// net/http's way to break off an answer: the caller's connection closes without an end of the body.
+		// Abort the connection, so that the caller can't mistake the partial response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// reportEnd reports the end of a request.
+// reportEnd reports the end of a request to the Observer, and records an event if its outcome is
+// unknown.
 func (f *Proxy) reportEnd(r Request, last Result) {
 	if f.Observer != nil {
 		f.Observer.Finished(r, last)
@@ -256,19 +259,20 @@
 	}
 }
 
-// beforeDeadline says that the request may still start. It asks the clock, because after a pause of the
-// process the context's own timer may fire late.
+// beforeDeadline reports whether the request may still start. It checks the clock because the
+// context's own timer may fire late after the process was paused.
 func (f *Proxy) beforeDeadline(ctx context.Context, x *exchange) bool {
 	return ctx.Err() == nil && f.Clock.Now().Before(x.request.Deadline)
 }
 
-// newRequestBody makes the caller's body ready to be streamed while the answer comes back; nil is none.
+// newRequestBody returns a body that can be read while the response is written; nil if there is
+// none.
 func (f *Proxy) newRequestBody(r *http.Request, out *httpResponder) *requestBody {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	// Without it net/http would wait for up to 256 KB of the body before the first byte of an answer,
-	// so that a caller that sends slowly would get its refusal late.
+	// Otherwise net/http would read up to 256 KB of the body before the first byte of a response,
+	// which would delay the refusal of a caller that sends slowly.
 	_ = out.control.EnableFullDuplex()
 	out.expect = r.Header.Get("Expect") != ""
 	limits := f.Limits.withDefaults()
@@ -278,7 +282,7 @@
 	}
 }
 
-// pastDeadline is a deadline that has passed by any clock.
+// pastDeadline is a connection deadline that has already expired.
 var pastDeadline = time.Unix(1, 0)
 
 // flowTo returns the flow of bytes to or from an entry VM.
@@ -286,7 +290,7 @@
 	return Flow{Request: x.request.ID, Service: x.request.Service, Peer: peer, Sending: sending}
 }
 
-// responseFlow returns the flow of an answer: on to the origin, in from a peer, or local.
+// responseFlow returns the flow of a response: to the origin, from a peer, or local.
 func responseFlow(x *exchange, a *response) Flow {
 	if x.request.Origin != "" {
 		return flowTo(x, x.request.Origin, true)
--- a/paproxy/limit.go
+++ b/paproxy/limit.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// The limits where Limits leaves them zero.
+// Defaults of Limits.
 const (
-	// DefaultMaxHeader fits cookies and tokens; 360 connections with full headers stay under 24 MB.
+	// DefaultMaxHeader, in bytes, fits cookies and tokens; 360 connections with full headers use less
+	// than 24 MB.
 	DefaultMaxHeader = 64 << 10
-	// DefaultHeaderTimeout gives a phone on a poor link time for a header, and bounds a caller that
-	// sends its header byte by byte to hold connections.
+	// DefaultHeaderTimeout gives a phone on a poor link time to send a header, and limits how long a
+	// caller that sends its header byte by byte can hold a connection.
 	DefaultHeaderTimeout = 5 * time.Second
-	// DefaultIdleTimeout is how long an idle caller's connection is kept.
+	// DefaultIdleTimeout is how long an idle caller's connection stays open.
 	DefaultIdleTimeout = 60 * time.Second
-	// DefaultBodyIdleTimeout is how long a body may stand still in either direction; a stalled body holds a
-	// slot at a target that has three.
+	// DefaultBodyIdleTimeout is how long a body may make no progress in either direction; a stalled
+	// body holds a slot at a target that may have only three.
 	DefaultBodyIdleTimeout = 10 * time.Second
-	// DefaultMaxAttempts bounds the attempts at a request: first, another target, another entry VM. The
-	// Placer's budget is the tighter bound under load.
+	// DefaultMaxAttempts limits the attempts at a request: the first one, one at another target, one
+	// at another entry VM. Under load the Placer's retry budget is the tighter limit.
 	DefaultMaxAttempts = 3
 )
 
-// Limits bound what a caller can hold on to; zero fields take the defaults.
+// Limits are the limits on callers' resources; zero fields take the defaults.
 type Limits struct {
-	// MaxHeader bounds a request's header in bytes.
+	// MaxHeader limits a request's header in bytes.
 	MaxHeader int
-	// HeaderTimeout bounds the time a header takes; IdleTimeout the time between requests.
+	// HeaderTimeout limits the time to read a header; IdleTimeout the time between requests.
 	HeaderTimeout, IdleTimeout time.Duration
-	// BodyIdleTimeout bounds the time in which a body makes no progress.
+	// BodyIdleTimeout limits the time in which a body makes no progress.
 	BodyIdleTimeout time.Duration
-	// MaxBody bounds a request's body in bytes; 0 leaves it to the deadline.
+	// MaxBody limits a request's body in bytes; 0 means no limit but the deadline.
 	MaxBody int64
-	// MaxAttempts bounds the attempts at one request.
+	// MaxAttempts limits the attempts at one request.
 	MaxAttempts int
 }
 
-// withDefaults returns the limits with the defaults in place of zeros.
+// withDefaults returns the limits with zeros replaced by the defaults.
 func (l Limits) withDefaults() Limits {
 	l.MaxHeader = orDefault(l.MaxHeader, DefaultMaxHeader)
 	l.HeaderTimeout = orDefault(l.HeaderTimeout, DefaultHeaderTimeout)
@@ -53,8 +54,8 @@
 	return v
 }
 
-// Server returns an HTTP server for callers that holds to the limits; serve it on Watch's listener,
-// so that requests with ambiguous framing can be told.
+// Server returns an HTTP server for callers that enforces the limits. Serve it on a listener of
+// NewFramingListener, so that requests with ambiguous framing are detected.
 func (l Limits) Server(h http.Handler) *http.Server {
 	l = l.withDefaults()
 	return &http.Server{
--- a/paproxy/outcome.go
+++ b/paproxy/outcome.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Outcome is how a request ended.
+// Outcome states whether a request ran, as far as is known at its end.
 type Outcome int
 
-// The outcomes; the zero value is none yet. A higher value claims less.
+// The outcomes, from the most to the least certain; zero means not known yet.
 const (
-	// Answered has the target's whole answer.
+	// Answered means that the target's complete response was relayed.
 	Answered Outcome = iota + 1
-	// NotRun is certain that no byte of the request reached a target.
+	// NotRun means that no byte of the request can have reached a target.
 	NotRun
-	// Unknown may have run, and its answer is lost or in part.
+	// Unknown means that the request may have run, and its response is lost or incomplete.
 	Unknown
 )
 
-// String returns the outcome as the Papaya-Outcome header writes it.
+// String returns the value of the Papaya-Outcome header.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -27,7 +27,7 @@
 	}
 }
 
-// Reason says why a request has no answer.
+// Reason states why a request got no response.
 type Reason string
 
 // The reasons of this package; a Placer may add its own.
@@ -53,56 +53,58 @@
 	ReasonFenced           Reason = "Fenced"
 	ReasonForwardedTwice   Reason = "ForwardedTwice"
 	ReasonIdle             Reason = "IdleBody"
-	// ReasonRepeated says that an earlier copy under the same key was answered.
+	// ReasonRepeated means that an earlier copy with the same key was answered.
 	ReasonRepeated Reason = "Repeated"
-	// ReasonCopyRuns says that an earlier copy under the same key is running.
+	// ReasonCopyRuns means that an earlier copy with the same key is running.
 	ReasonCopyRuns Reason = "CopyRuns"
-	// ReasonKeyConflict says that the key was used for another request.
+	// ReasonKeyConflict means that the key was used for another request.
 	ReasonKeyConflict Reason = "KeyConflict"
 )
 
-// Fault names the part that kept a request from its answer.
+// Fault names the component that caused a request to fail.
 type Fault string
 
-// The parts at fault.
+// The components at fault.
 const (
-	// FaultNone is no fault.
+	// FaultNone means that nothing failed.
 	FaultNone Fault = ""
-	// FaultCaller went away, was too slow or sent nonsense.
+	// FaultCaller means that the caller went away, was too slow or sent invalid data.
 	FaultCaller Fault = "Caller"
-	// FaultConnection is a single connection that went silent or died while new ones may work; it is
-	// not held against the target.
+	// FaultConnection means that a single connection was silent or closed while new ones may work; it
+	// is not counted against the target.
 	FaultConnection Fault = "Connection"
-	// FaultTarget is the target: it can't be dialled, closed early, or answered nonsense.
+	// FaultTarget means that the target refused connections, closed one early, or sent an invalid
+	// response.
 	FaultTarget Fault = "Target"
-	// FaultShed is a target that said in good order that it did not run the request.
+	// FaultShed means that a target, or a peer, refused the request and did not run it.
 	FaultShed Fault = "Shed"
-	// FaultPeer is the entry VM that the request was forwarded to.
+	// FaultPeer means that the entry VM that the request was forwarded to failed.
 	FaultPeer Fault = "Peer"
-	// FaultDeadline is a deadline that passed first.
+	// FaultDeadline means that the deadline passed.
 	FaultDeadline Fault = "Deadline"
-	// FaultRefused is a decision and no fault.
+	// FaultRefused means that the request was refused by decision; nothing failed.
 	FaultRefused Fault = "Refused"
 )
 
-// Result is the end of one attempt, as the Placer hears it.
+// Result is the result of one attempt, as reported to the Placer.
 type Result struct {
 	Outcome Outcome
 	Reason  Reason
 	Fault   Fault
-	// Status is the answer's HTTP status; 0 is none.
+	// Status is the response's HTTP status; 0 means none.
 	Status int
-	// RequestBytes and ResponseBytes count the bodies' bytes that were passed on.
+	// RequestBytes and ResponseBytes count the body bytes passed on.
 	RequestBytes, ResponseBytes int64
-	// TimeToHeader is the time from the send to the answer's head; Duration ends with the answer.
+	// TimeToHeader is the time from sending the request to the response's header. Duration is the time
+	// from the request's arrival to the end of its response.
 	TimeToHeader, Duration time.Duration
-	// NewConnection says that a connection was opened for the attempt.
+	// NewConnection reports that a connection was opened for the attempt.
 	NewConnection bool
-	// Draining says that the target announced that it leaves.
+	// Draining reports that the target announced its shutdown.
 	Draining bool
-	// RetryAfter is when a refusing target or peer has room again.
+	// RetryAfter is the time after which the refusing target or peer expects to have a free slot.
 	RetryAfter time.Duration
 
-	// concluded says that a Conclude named the outcome, whatever the attempts before were.
+	// concluded reports that a Conclude set the outcome; earlier attempts don't change it.
 	concluded bool
 }
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -19,14 +19,15 @@
 
 var _ pawire.DRPCForwardingServer = (*Proxy)(nil)
 
-// PeerServer serves drpc to other entry VMs, with messages of bounded size.
+// PeerServer serves DRPC to other entry VMs, with messages of limited size.
 type PeerServer struct {
-	// Handler is the mux with Forwarding and whatever else entry VMs ask each other.
+	// Handler is the mux with the Forwarding service and the other services for entry VMs.
 	Handler drpc.Handler
 }
 
-// Serve accepts connections until the context ends, which ends all calls too: a graceful shutdown
-// waits for those in flight first. It returns when all calls have ended.
+// Serve accepts connections until the context is cancelled. That ends all calls too, so a graceful
+// shutdown must wait for calls in flight before it cancels the context. Serve returns after all
+// calls have ended, with an error if the listener failed.
 func (s *PeerServer) Serve(ctx context.Context, l net.Listener) error {
 	server := drpcserver.NewWithOptions(s.Handler, drpcserver.Options{Manager: managerOptions()})
 	stop := context.AfterFunc(ctx, func() { l.Close() })
@@ -42,14 +43,14 @@
 			return trace.Wrap(err)
 		}
 		conns.Go(func() {
-			// A peer that goes away is an ordinary end of its connection.
+			// The error of a connection that the peer closed is of no interest.
 			_ = server.ServeOne(context.WithValue(ctx, peerConnKey{}, c), c)
 			c.Close()
 		})
 	}
 }
 
-// Fence answers a peer that lost a call.
+// Fence reports to a peer whether a call it lost was started, and keeps the call from starting.
 func (f *Proxy) Fence(_ context.Context, q *pawire.FenceRequest) (*pawire.FenceReply, error) {
 	age := time.Duration(q.GetAgeMicroseconds()) * time.Microsecond
 	reply := &pawire.FenceReply{}
@@ -66,7 +67,7 @@
 	return reply, nil
 }
 
-// Forward takes a request from another entry VM.
+// Forward handles a request from another entry VM.
 func (f *Proxy) Forward(stream pawire.DRPCForwarding_ForwardStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -84,7 +85,7 @@
 		return nil
 	}
 	if !f.Calls.Accept(open.GetCall()) {
-		// Fenced or known already: this copy is not run, but an earlier one may have been.
+		// Fenced or a duplicate: this copy doesn't run, but an earlier one may have run.
 		out.refuse(refusal{outcome: Unknown, reason: ReasonFenced, result: Result{Fault: FaultPeer}})
 		return nil
 	}
@@ -92,7 +93,7 @@
 	return f.serveForwarded(stream, open.GetCall(), x, out)
 }
 
-// serveForwarded sees a forwarded request to its end.
+// serveForwarded handles an accepted call to its end.
 func (f *Proxy) serveForwarded(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
 	accepted := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Accepted{Accepted: &pawire.ForwardAccepted{}}}
 	if err := stream.Send(accepted); err != nil {
@@ -111,13 +112,13 @@
 	return out.failure
 }
 
-// peerResponder answers the origin of a forwarded request.
+// peerResponder writes to the origin of a forwarded request.
 type peerResponder struct {
 	stream  pawire.DRPCForwarding_ForwardStream
 	stamps  *paevent.Stamper
 	sent    int64
 	failure error
-	// bodyReceived is set with the end of the request's body.
+	// bodyReceived is set at the end of the request's body.
 	bodyReceived atomic.Bool
 }
 
@@ -170,8 +171,8 @@
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_End{End: e}})
 }
 
-// interrupt closes the connection: a peer that reads nothing more would otherwise hold the target's
-// slot until the kernel gives the connection up, which takes a quarter of an hour.
+// interrupt closes the connection. A peer that stops reading would otherwise hold the target's slot
+// until the kernel times the connection out, after about 15 minutes.
 func (w *peerResponder) interrupt() {
 	if c := peerConnFrom(w.stream.Context()); c != nil {
 		c.Close()
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -15,15 +15,15 @@
 // PathPrefix is followed by the service's name and the path at the target.
 const PathPrefix = "/Services/"
 
-// Bounds of what a caller may send as a name; they keep logs and ledgers small.
+// Limits on IDs and keys sent by callers; they bound the size of logs and ledgers.
 const (
 	maxIDLength  = 128
 	maxKeyLength = 255
-	// maxDeadline is the longest deadline that can be asked for; the service's MaxTimeout is less.
+	// maxDeadline is the longest deadline that can be requested; a service's maximum is shorter.
 	maxDeadline = 24 * time.Hour
 )
 
-// parse reads a caller's request, or says why it is refused.
+// parse validates a caller's request, or returns the refusal for it.
 func (f *Proxy) parse(r *http.Request) (*exchange, *refusal) {
 	now := f.Clock.Now()
 	service, uri, ok := splitPath(r)
@@ -38,7 +38,8 @@
 		return nil, reject(ReasonMethod)
 	}
 	if !r.ProtoAtLeast(1, 1) {
-		// An HTTP/1.0 caller can't tell a truncated answer of unknown length from a whole one.
+		// An HTTP/1.0 caller can't distinguish a truncated response of unknown length from a complete
+		// one.
 		return nil, reject(ReasonBadRequest)
 	}
 	if hasAmbiguousFraming(r) {
@@ -77,7 +78,7 @@
 
 func reject(reason Reason) *refusal { return &refusal{outcome: NotRun, reason: reason} }
 
-// splitPath reads the service's name from the path and returns path and query for the target.
+// splitPath returns the service's name and the path and query for the target.
 func splitPath(r *http.Request) (pabundle.ServiceName, string, bool) {
 	path := r.URL.EscapedPath()
 	rest, ok := strings.CutPrefix(path, PathPrefix)
@@ -95,7 +96,8 @@
 	return pabundle.ServiceName(name), uri, true
 }
 
-// parseIdentity reads the request's identity and key; false says that one is malformed or given twice.
+// parseIdentity parses the request's ID and idempotency key. It returns false if one is malformed
+// or repeated.
 func parseIdentity(h http.Header, r *Request) bool {
 	id, ok := singleValue(h, RequestIDHeader)
 	if !ok || len(id) > maxIDLength || !isToken(id) {
@@ -109,7 +111,8 @@
 	return parseCopyHeaders(h, r)
 }
 
-// parseCopyHeaders reads what the caller says of earlier copies of a keyed request.
+// parseCopyHeaders parses the headers about earlier copies of a keyed request. It returns false if
+// one is malformed or repeated.
 func parseCopyHeaders(h http.Header, r *Request) bool {
 	sent, ok := singleValue(h, FirstSentHeader)
 	if !ok {
@@ -127,14 +130,15 @@
 	return ok && (repeat == "" || r.Repeat)
 }
 
-// requestDigest tells two requests under one key apart.
+// requestDigest returns a digest that distinguishes different requests with the same key.
 func requestDigest(method, uri string, length int64) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + uri + " " + strconv.FormatInt(length, 10))
 	return d.Sum64()
 }
 
-// parseDeadline sets the deadline: the caller's, within the service's terms.
+// parseDeadline sets the deadline: the caller's, limited by the service's maximum, or the service's
+// default. It returns false if the field is malformed or repeated.
 func parseDeadline(h http.Header, t Timeouts, r *Request) bool {
 	text, ok := singleValue(h, DeadlineHeader)
 	if !ok {
@@ -158,7 +162,8 @@
 	return true
 }
 
-// singleValue returns the field's only value; false says that there are more.
+// singleValue returns the field's value, or "" if it is absent. It returns false if there are
+// several values.
 func singleValue(h http.Header, name string) (string, bool) {
 	values := h.Values(name)
 	switch len(values) {
@@ -171,8 +176,8 @@
 	}
 }
 
-// isToken says that all bytes are letters, digits or one of "-._:", so that they need no escaping
-// in headers, paths and logs.
+// isToken reports whether all bytes are letters, digits or one of "-._:", which need no escaping in
+// headers, paths and logs.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -184,7 +189,7 @@
 	return true
 }
 
-// isVisible says that all bytes are visible ASCII.
+// isVisible reports whether all bytes are visible ASCII.
 func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -194,7 +199,7 @@
 	return true
 }
 
-// semantics says whether a method is safe and whether it is idempotent (RFC 9110, 9.2).
+// semantics reports whether a method is safe and whether it is idempotent (RFC 9110, section 9.2).
 func semantics(method string) (safe, idempotent bool) {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -206,7 +211,7 @@
 	}
 }
 
-// addressOf returns the caller's address; the zero value where the connection has none.
+// addressOf returns the caller's address; zero if the connection has none.
 func addressOf(r *http.Request) netip.Addr {
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -20,46 +20,47 @@
 	"papayahead/pawire"
 )
 
-// The limits of connections to other entry VMs where Peers leaves them zero.
+// Defaults and limits of connections to other entry VMs.
 const (
-	// DefaultAcceptTimeout bounds the wait for a peer's word that it has a call. A round trip between
-	// regions takes 35 ms; a peer or connection that is silent for a second is treated as lost.
+	// DefaultAcceptTimeout limits the wait for a peer to accept a call. A round trip between regions
+	// takes 35 ms; a peer or connection that is silent for a second is treated as lost.
 	DefaultAcceptTimeout = time.Second
-	// DefaultFenceTimeout bounds the question after a lost call. The caller waits for it, so it is short:
-	// a dial and a question between regions take 70 ms.
+	// DefaultFenceTimeout limits the fence request after a lost call. The caller waits for it, so it
+	// is short: a dial and a request between regions take 70 ms.
 	DefaultFenceTimeout = 500 * time.Millisecond
-	// DefaultPeerIdleTimeout is how long an unused connection to a peer may wait for the next call.
+	// DefaultPeerIdleTimeout is how long an unused connection to a peer stays open.
 	DefaultPeerIdleTimeout = 20 * time.Second
-	// maxIdlePeerConns bounds the idle connections to one peer: 64 calls at once between two entry VMs
-	// are above what 12 servers of 3 slots answer from one origin.
+	// maxIdlePeerConns limits the idle connections to one peer: 64 concurrent calls between two entry
+	// VMs are more than 12 servers with 3 slots each can answer for one origin.
 	maxIdlePeerConns = 64
-	// maxDeadlineMargin is taken off the deadline that the owner gets, so that its refusal is back in
-	// time: a round trip between regions with some queueing. It is at most a quarter of the time left.
+	// maxDeadlineMargin is subtracted from the deadline sent to the owner, so that its refusal returns
+	// in time: it covers a round trip between regions with some queueing. At most a quarter of the
+	// remaining time is subtracted.
 	maxDeadlineMargin = 50 * time.Millisecond
 )
 
-// PeerClient forwards requests to other entry VMs. A connection carries one call at a time, so that a
-// slow body holds up no other call and no heartbeat. Set the fields before the first request.
+// PeerClient forwards requests to other entry VMs. A connection carries one call at a time, so that
+// a slow body delays no other call and no heartbeat. Set the fields before the first request.
 type PeerClient struct {
 	// Self is this entry VM.
 	Self  pabundle.EntryName
 	Dial  DialFunc
 	Clock clockwork.Clock
-	// Events hears of lost calls; nil is nobody.
+	// Events receives events about lost calls; nil disables them.
 	Events Events
-	// Stamps is this process's hybrid logical clock; nil leaves calls without stamps.
+	// Stamps is this process's hybrid logical clock; calls carry no timestamps if it is nil.
 	Stamps *paevent.Stamper
-	// NewCallID returns an identity that no other call has, also after a restart; it is called by many
-	// goroutines.
+	// NewCallID returns a call ID that is unique across restarts. It must be safe for concurrent use.
 	NewCallID func() string
-	// AcceptTimeout, FenceTimeout and IdleTimeout are as their defaults say; zero takes the default.
+	// AcceptTimeout, FenceTimeout and IdleTimeout are described at their defaults, which replace
+	// zeros.
 	AcceptTimeout, FenceTimeout, IdleTimeout time.Duration
 
 	mutex sync.Mutex
 	pool  *drpcpool.Pool[netip.AddrPort, *peerConn]
 }
 
-// peerConn is one connection to a peer.
+// peerConn is a connection to a peer.
 type peerConn struct {
 	*drpcconn.Conn
 	address netip.AddrPort
@@ -67,15 +68,15 @@
 	reused  bool
 }
 
-// discard closes the connection; its fate is of no interest after that.
+// discard closes the connection and ignores the error.
 func (c *peerConn) discard() { _ = c.Close() }
 
-// managerOptions bounds messages on both sides of a connection.
+// managerOptions limits the size of messages on both sides of a connection.
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxFrame}}
 }
 
-// connections returns the pool.
+// connections returns the pool of idle connections.
 func (p *PeerClient) connections() *drpcpool.Pool[netip.AddrPort, *peerConn] {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -85,7 +86,8 @@
 	return p.pool
 }
 
-// connect returns a connection, an idle one where that is good enough.
+// connect returns a connection to the address: an idle one, or a new one if there is none or fresh
+// is set.
 func (p *PeerClient) connect(ctx context.Context, address netip.AddrPort, fresh bool) (*peerConn, error) {
 	for !fresh {
 		c, ok := p.connections().Take(address)
@@ -108,18 +110,18 @@
 	return &peerConn{Conn: c, address: address, usedAt: p.Clock.Now()}, nil
 }
 
-// put puts a connection back after a call that ended in good order.
+// put returns a connection to the pool after a call that completed.
 func (p *PeerClient) put(c *peerConn) {
 	c.usedAt = p.Clock.Now()
 	p.connections().Put(c.address, c)
 }
 
-// Close closes all idle connections; those in use close with their calls.
+// Close closes all idle connections; those in use are closed with their calls.
 func (p *PeerClient) Close() error { return trace.Wrap(p.connections().Close()) }
 
-// fence asks a peer what became of a lost call and keeps it from starting. It uses a new connection,
-// because the one that lost the call may be silent, and has a time of its own, because the caller's
-// may be over.
+// fence asks a peer whether a lost call was started, and keeps it from starting. It uses a new
+// connection because the one that lost the call may be silent, and a timeout of its own because the
+// caller's deadline may have passed.
 func (p *PeerClient) fence(ctx context.Context, to Forward, call string, sent time.Time) Outcome {
 	if to.Incarnation == 0 {
 		return Unknown
@@ -140,8 +142,8 @@
 	return Unknown
 }
 
-// send forwards the request. A call that was lost on a reused connection and is certain not to have
-// started goes out once more on a new one: that is the connection's fault, and not the peer's.
+// send forwards the request. A call that was lost on a reused connection and certainly not started
+// is sent once more on a new connection: the connection is at fault, not the peer.
 func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*response, Result) {
 	for fresh := false; ; fresh = true {
 		a, result, again := p.sendOnce(ctx, x, to, fresh)
@@ -151,7 +153,8 @@
 	}
 }
 
-// sendOnce makes one call; again says that a new connection may do better.
+// sendOnce makes one call. The last result reports whether the call may succeed on a new
+// connection.
 func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*response, Result, bool) {
 	begun := p.Clock.Now()
 	if !x.tryStart() {
@@ -165,7 +168,7 @@
 		}
 		return nil, r, false
 	}
-	// Once the call has ended the connection may be another's.
+	// Read reused now: after its end the call no longer owns the connection.
 	reused := c.reused
 	k := &peerCall{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: begun}
 	a, result := k.run(ctx)
@@ -176,10 +179,10 @@
 	return a, result, reused && result.Outcome == NotRun && result.Reason == ReasonPeerLost
 }
 
-// peerConnKey keys the connection in the context of the calls that came in on it.
+// peerConnKey is the context key of the connection that a call arrived on.
 type peerConnKey struct{}
 
-// peerConnFrom returns the connection that the call came in on, or nil.
+// peerConnFrom returns the connection that the call arrived on, or nil.
 func peerConnFrom(ctx context.Context) net.Conn {
 	c, _ := ctx.Value(peerConnKey{}).(net.Conn)
 	return c
--- a/paproxy/placer.go
+++ b/paproxy/placer.go
@@ -9,47 +9,48 @@
 	"papayahead/paevent"
 )
 
-// RequestID identifies a request over all hops and attempts.
+// RequestID identifies a request across all hops and attempts.
 type RequestID string
 
-// Request is what a Placer knows of a request; it is a copy, safe to keep.
+// Request describes a request to the Placer. It is a copy and may be retained.
 type Request struct {
 	ID RequestID
-	// LocalID identifies the request at this entry VM over its attempts; no two share one, even if
-	// a caller sends two requests under one ID.
+	// LocalID identifies the request at this entry VM across its attempts. It is unique even if a
+	// caller sends two requests with the same ID.
 	LocalID uint64
 	Service pabundle.ServiceName
 	Method  string
-	// Key is the caller's idempotency key; "" is none.
+	// Key is the caller's idempotency key; "" means none.
 	Key string
 	// Safe requests change nothing; Idempotent ones may run more than once.
 	Safe, Idempotent bool
-	// Digest tells two requests under one key apart: of method, path, query and length.
+	// Digest of the method, path, query and length distinguishes different requests with the same key.
 	Digest uint64
-	// FirstSent is when the caller sent its first copy, zero if it did not say; Repeat marks later ones.
+	// FirstSent is the time at which the caller sent its first copy, zero if unknown. Repeat marks
+	// later copies.
 	FirstSent time.Time
 	Repeat    bool
-	// Attempt counts from 1; Previous is the result of the attempt before.
+	// Attempt counts from 1; Previous is the result of the previous attempt.
 	Attempt  int
 	Previous Result
 	Arrived  time.Time
 	Deadline time.Time
-	// Size is the body's length in bytes; -1 is not known.
+	// Size is the body's length in bytes; -1 means unknown.
 	Size   int64
 	Caller netip.Addr
-	// Origin is the entry VM that forwarded the request; "" is this one.
+	// Origin is the entry VM that forwarded the request; "" means that it arrived here.
 	Origin pabundle.EntryName
-	// Credit is the token under which the owner granted room to the origin.
+	// Credit is the token with which the owner granted capacity to the origin.
 	Credit string
-	// Target is the target that the origin has in mind for a forwarded request; "" is any.
+	// Target is the origin's choice of target for a forwarded request; "" means any.
 	Target pabundle.TargetName
-	// MaxQueueWait is the longest wait for a slot that is of use to the origin; 0 is no bound.
+	// MaxQueueWait is the longest wait for a slot that the origin accepts; 0 means no limit.
 	MaxQueueWait time.Duration
 }
 
-// Placer decides where a request goes. Place may wait for a slot, until the context ends; it is
-// called anew, with a higher Attempt, when an attempt failed and another can do no harm. The Placer
-// bounds such attempts by refusing.
+// Placer decides where a request is sent. Place may wait for a slot until the context ends. It is
+// called again, with a higher Attempt, after an attempt failed and another is safe; the Placer
+// limits such attempts by refusing.
 type Placer interface {
 	Place(ctx context.Context, r Request) Placement
 }
@@ -57,43 +58,44 @@
 // Placement is a decision: Local, Forward, Refuse or Conclude.
 type Placement interface{ placement() }
 
-// Local sends the request to a target of the own zone.
+// Local sends the request to a target of the same zone.
 type Local struct {
 	Target  pabundle.TargetName
 	Address netip.AddrPort
-	// MaxConnections is this entry VM's part of the target's connections; 0 is no limit.
+	// MaxConnections is this entry VM's share of the target's connections; 0 means no limit.
 	MaxConnections int
-	// Done, if set, is called once with the end of the attempt.
+	// Done, if set, is called once with the attempt's result.
 	Done func(Result)
 }
 
-// Forward hands the request to the entry VM that owns a target for it.
+// Forward sends the request to the entry VM that owns a target for it.
 type Forward struct {
 	Entry   pabundle.EntryName
 	Address netip.AddrPort
-	// Incarnation is the peer's; with 0 a lost call is Unknown, because a restarted peer has forgotten.
+	// Incarnation identifies the peer's process. If it is 0, a lost call ends as Unknown, because a
+	// restarted peer can't tell whether it ran.
 	Incarnation uint64
 	Credit      string
-	// Target is the target in mind; "" leaves the choice to the peer.
+	// Target is the chosen target; "" lets the peer choose.
 	Target pabundle.TargetName
-	// MaxQueueWait goes with the request; 0 is no bound.
+	// MaxQueueWait is sent with the request; 0 means no limit.
 	MaxQueueWait time.Duration
-	// Done, if set, is called once with the end of the attempt.
+	// Done, if set, is called once with the attempt's result.
 	Done func(Result)
 }
 
-// Refuse turns the request away; it has not run.
+// Refuse rejects the request without sending it.
 type Refuse struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Conclude ends the request without sending it, with an outcome that is known from elsewhere: what
-// became of an earlier copy under the same key.
+// Conclude ends the request without sending it, with the outcome of an earlier copy with the same
+// key.
 type Conclude struct {
 	Outcome Outcome
 	Reason  Reason
-	// Status is the HTTP status that the earlier copy was answered with; 0 is none.
+	// Status is the HTTP status of the response to the earlier copy; 0 means none.
 	Status     int
 	RetryAfter time.Duration
 }
@@ -103,13 +105,13 @@
 func (Forward) placement()  {}
 func (Refuse) placement()   {}
 
-// Timeouts are what a service allows its callers.
+// Timeouts are a service's request timeouts.
 type Timeouts struct {
-	// Default is the deadline of a request that names none; Max bounds those named.
+	// Default is the deadline of a request that sets none; Max limits those that are set.
 	Default, Max time.Duration
 }
 
-// Services knows the services of the bundle in force.
+// Services looks up the services of the current bundle.
 type Services interface {
 	Timeouts(name pabundle.ServiceName) (Timeouts, bool)
 }
@@ -118,37 +120,37 @@
 type Flow struct {
 	Request RequestID
 	Service pabundle.ServiceName
-	// Peer is the entry VM at the other end; "" is a target or caller of the own zone.
+	// Peer is the entry VM at the other end; "" means a target or caller of this zone.
 	Peer pabundle.EntryName
-	// Sending is true where this entry VM sends the bytes to Peer.
+	// Sending reports that this entry VM sends the bytes to Peer.
 	Sending bool
 }
 
-// Pacer is asked before each piece of a body is passed on, with its size in bytes. It may wait, to
-// keep a link within its limit; an error ends the request.
+// Pacer is called before each chunk of a body is passed on, with its size in bytes. It may block to
+// keep a link within its rate limit. An error ends the request.
 type Pacer interface {
 	Pace(ctx context.Context, f Flow, bytes int) error
 }
 
-// Events takes the events of the path, which are those of requests that went wrong. Ordinary ends and
-// refusals are the Observer's: under load there are thousands a second.
+// Events receives the events of requests that went wrong. Successful requests and refusals are
+// reported only to the Observer: under load there are thousands per second.
 type Events interface {
 	Record(e paevent.Event)
 }
 
-// record records the event where anyone wants it.
+// record records the event; a nil receiver drops it.
 func record(to Events, e paevent.Event) {
 	if to != nil {
 		to.Record(e)
 	}
 }
 
-// eventSubject returns the subject of the request's events.
+// eventSubject returns the subject of events about the request.
 func eventSubject(r Request) paevent.Subject {
 	return paevent.Subject{Request: string(r.ID), Service: string(r.Service)}
 }
 
-// Observer hears of each request's end, after its last attempt.
+// Observer is told of each request's end, after its last attempt.
 type Observer interface {
 	Finished(r Request, last Result)
 }
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -15,79 +15,84 @@
 	"papayahead/paevent"
 )
 
-// The limits of connections to targets where Targets leaves them zero.
+// Defaults and limits of connections to targets.
 const (
-	// DefaultMaxReuseAge is how long after its last answer a connection may carry a request that is
-	// not idempotent. A middlebox that forgets a connection swallows the request without an error;
-	// such boxes forget after minutes of silence or on their own restart. A second of trust keeps
-	// reuse under load, where answers come every few ms, and a new connection costs about 1 ms.
+	// DefaultMaxReuseAge is how long after its last response a connection may carry a request that is
+	// not idempotent. A middlebox that drops its connection state loses the request without an error;
+	// this happens after minutes of silence or when the middlebox restarts. One second preserves reuse
+	// under load, where responses arrive every few ms, and a new connection takes about 1 ms.
 	DefaultMaxReuseAge = time.Second
-	// DefaultSilenceTimeout is how long a reused connection without proof of life may hold an idempotent
-	// request before it is closed and the request sent on a new one. It is above the run time of
-	// ordinary work, so that a slow target's work is rarely cut.
+	// DefaultSilenceTimeout is how long an idempotent request may stay unanswered on a reused
+	// connection older than MaxReuseAge before the connection is closed and the request sent on a new
+	// one. It exceeds the usual run time, so that a slow target's work is rarely interrupted.
 	DefaultSilenceTimeout = 2 * time.Second
-	// DefaultTargetIdleTimeout closes unused connections, so that a target's 330 are left to who needs them.
+	// DefaultTargetIdleTimeout closes unused connections, so that other entry VMs can use the target's
+	// limit of 330.
 	DefaultTargetIdleTimeout = 30 * time.Second
-	// DefaultDialTimeout bounds opening a connection, which takes about 1 ms.
+	// DefaultDialTimeout limits opening a connection, which takes about 1 ms.
 	DefaultDialTimeout = time.Second
-	// continueTimeout is how long a target may leave an expected 100-continue out.
+	// continueTimeout is how long to wait for a target's 100 Continue before the body is sent without
+	// it.
 	continueTimeout = time.Second
-	// maxResponseHeader bounds the header of a target's answer.
+	// maxResponseHeader limits the header of a target's response, in bytes.
 	maxResponseHeader = 64 << 10
 )
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TargetClient sends requests to targets, each at most once on a connection that this entry VM keeps for
-// the target. Set the fields before the first request.
+// TargetClient sends requests to targets over pooled connections, each request at most once. Set
+// the fields before the first request.
 type TargetClient struct {
 	Dial  DialFunc
 	Clock clockwork.Clock
-	// Events hears of silent connections and crossed answers; nil is nobody.
+	// Events receives events about silent connections and responses with a wrong request ID; nil
+	// disables them.
 	Events Events
-	// Stamps is this process's hybrid logical clock; nil leaves requests without stamps.
+	// Stamps is this process's hybrid logical clock; requests carry no timestamps if it is nil.
 	Stamps *paevent.Stamper
-	// MaxReuseAge, SilenceTimeout, IdleTimeout and DialTimeout are as their defaults say; zero takes the default.
+	// MaxReuseAge, SilenceTimeout, IdleTimeout and DialTimeout are described at their defaults, which
+	// replace zeros.
 	MaxReuseAge, SilenceTimeout, IdleTimeout, DialTimeout time.Duration
-	// TrustResponseOrder reuses connections of targets that do not repeat the request's identity in their
-	// answers. Without it these get a new connection for each request, because a late or surplus
-	// answer on a reused one would pass for the answer to the next request.
+	// TrustResponseOrder allows reusing connections of targets that don't repeat the request ID in
+	// their responses. By default each of their requests gets a new connection, because a late or
+	// surplus response on a reused one would be taken for the response to the next request.
 	TrustResponseOrder bool
 
 	mutex sync.Mutex
 	pools map[netip.AddrPort]*pool
 }
 
-// pool holds the connections to one target, the least recently used first.
+// pool holds the connections to one target. Idle connections are ordered from the least to the most
+// recently used.
 type pool struct {
 	idle []*targetConn
 	open int
 }
 
-// targetConn is one connection to a target, under an http.Transport of its own.
+// targetConn is a connection to a target, with its own http.Transport.
 //
-// The failure that this guards against is a second run: a shared http.Transport sends a request
-// again when a reused connection died, for each idempotent method and for every request with an
-// Idempotency-Key. This Transport can dial once; when its connection is gone, there is nothing left
-// to send on.
+// A shared http.Transport resends a request if a reused connection fails, for every idempotent
+// method and for every request with an Idempotency-Key, which could run the request twice. This
+// Transport can dial only once; after its connection has failed it has none to resend on.
 type targetConn struct {
 	transport *http.Transport
 	tracked   *trackedConn
 	address   netip.AddrPort
-	// respondedAt is the time of the last whole answer, or of the dial.
+	// respondedAt is the time of the last complete response, or of the dial.
 	respondedAt time.Time
-	// reused and recent describe the connection as it was taken.
+	// reused and recent describe the connection when it was taken from the pool; recent reports that
+	// its last response is at most MaxReuseAge old.
 	reused, recent bool
 }
 
-// errConnectionBudget says that all of this entry VM's connections to the target are in use.
+// errConnectionBudget is returned when this entry VM's share of the target's connections is in use.
 var errConnectionBudget = trace.LimitExceeded("all connections to the target are in use")
 
-// errSecondDial says that a connection's transport wanted a second connection.
+// errSecondDial is returned when a connection's transport tries to open a second connection.
 var errSecondDial = trace.ConnectionProblem(nil, "the connection is gone")
 
-// connect returns a connection: an idle one with an answer less than maxAge ago, or a new one.
+// connect returns an idle connection with a response less than maxAge ago, or a new one.
 func (t *TargetClient) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
 	c, err := t.acquire(to, maxAge)
 	if c != nil || err != nil {
@@ -124,7 +129,8 @@
 	return &targetConn{transport: transport, tracked: wire, address: address, respondedAt: now, recent: true}
 }
 
-// acquire takes an idle connection, or room for a new one.
+// acquire takes an idle connection. If there is none it counts a new one and returns nil, or
+// errConnectionBudget if the limit is reached.
 func (t *TargetClient) acquire(to Local, maxAge time.Duration) (*targetConn, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -155,7 +161,7 @@
 	return nil, nil
 }
 
-// reap closes idle connections that died or are too old; the caller holds the lock.
+// reap closes idle connections that failed or are too old; the caller holds the lock.
 func (t *TargetClient) reap(p *pool, now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
@@ -169,21 +175,21 @@
 	p.idle = kept
 }
 
-// discard closes a connection of the pool; the caller holds the lock.
+// discard closes a connection and stops counting it; the caller holds the lock.
 func (t *TargetClient) discard(p *pool, c *targetConn) {
 	p.open--
 	c.tracked.seal()
 	c.transport.CloseIdleConnections()
 }
 
-// releaseSlot gives the room of a connection back that was not opened.
+// releaseSlot stops counting a connection that could not be opened.
 func (t *TargetClient) releaseSlot(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pools[address].open--
 }
 
-// closeUsed closes a connection in use and returns the number of writes that started on it.
+// closeUsed closes a connection in use and returns the number of writes started on it.
 func (t *TargetClient) closeUsed(c *targetConn) int {
 	n := c.tracked.seal()
 	t.mutex.Lock()
@@ -192,7 +198,7 @@
 	return n
 }
 
-// put makes a connection idle after a whole answer.
+// put returns a connection to the pool after a complete response.
 func (t *TargetClient) put(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -201,8 +207,9 @@
 	p.idle = append(p.idle, c)
 }
 
-// CloseIdle closes the target's idle connections after one of them was silent: a middlebox that lost
-// track of one has lost track of others, and new ones cost about 1 ms each.
+// CloseIdle closes the target's idle connections. Call it after one connection was silent: a
+// middlebox that dropped the state of one has probably dropped others, and new ones take about 1 ms
+// each.
 func (t *TargetClient) CloseIdle(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -216,7 +223,7 @@
 	p.idle = nil
 }
 
-// Reap closes idle connections that are too old; call it now and then.
+// Reap closes idle connections that are too old; call it periodically.
 func (t *TargetClient) Reap() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -229,7 +236,7 @@
 	}
 }
 
-// Close closes all idle connections; those in use close with their requests.
+// Close closes all idle connections; those in use are closed with their requests.
 func (t *TargetClient) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/paproxy/register.go
+++ b/paproxy/register.go
@@ -7,24 +7,26 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// The bounds of a Register where its fields are zero.
+// Defaults of CallRegistry.
 const (
-	// DefaultRetention is how long an ended call is remembered. An origin that lost a call asks within a
-	// second of noticing; 30 s leave room for one that was paused, and hold 30,000 calls at 1,000 a second.
+	// DefaultRetention is how long an ended call is remembered. An origin sends its fence request
+	// within a second of noticing the loss; 30 s allow for an origin that was paused, and keep 30,000
+	// calls at 1,000 per second.
 	DefaultRetention = 30 * time.Second
-	// DefaultMaxCalls bounds the register to about 20 MB; calls beyond it are refused, not forgotten.
+	// DefaultMaxCalls limits the registry to about 20 MB. Further calls are refused; none are
+	// forgotten early.
 	DefaultMaxCalls = 1 << 17
 )
 
-// CallRegistry remembers which forwarded calls were started at this entry VM, so that the origin of a
-// lost call can learn whether it ran, and keep it from running.
+// CallRegistry records which forwarded calls were started at this entry VM, so that the origin of a
+// lost call can learn whether it ran, and keep it from starting.
 //
-// The failure it guards against is a false "not run": a call whose reply was lost, or that waits in a
-// paused process, starts after its origin told the caller that it did not. It shows as an execution
-// at a target under the identity of a refused request. A fenced call is never started, because Start
-// and Fence decide under one lock.
+// This guards against a false NotRun: a call whose reply was lost, or that waits in a paused
+// process, could start after its origin reported NotRun to the caller. The target would then run a
+// request that the caller was told did not run. A fenced call never starts, because Start and Fence
+// decide under the same lock.
 type CallRegistry struct {
-	// Incarnation is this process's; a call to an earlier one is not known here.
+	// Incarnation identifies this process; calls to an earlier incarnation are unknown here.
 	Incarnation uint64
 	Clock       clockwork.Clock
 	Retention   time.Duration
@@ -35,7 +37,7 @@
 	ended []endedCall
 }
 
-// callState is what became of a call so far.
+// callState is the progress of a call.
 type callState int
 
 const (
@@ -44,13 +46,14 @@
 	callFenced
 )
 
-// endedCall is a call that can be forgotten some time after its end.
+// endedCall is an ended call, which is forgotten after the retention time.
 type endedCall struct {
 	call string
 	at   time.Time
 }
 
-// Accept records a new call; false says that it is fenced, a duplicate, or one too many.
+// Accept records a new call. It returns false if the call is fenced or a duplicate, or if the
+// registry is full.
 func (r *CallRegistry) Accept(call string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -62,7 +65,7 @@
 	return true
 }
 
-// Start says whether the call may start now, and records that it does.
+// Start reports whether the call may start now, and if so records that it was started.
 func (r *CallRegistry) Start(call string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,23 +78,24 @@
 	}
 }
 
-// End records that nothing more happens to an arrived call.
+// End records the end of an accepted call.
 func (r *CallRegistry) End(call string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.ended = append(r.ended, endedCall{call, r.Clock.Now()})
 }
 
-// FenceState is what a Register can say of a call.
+// FenceState states whether a call was started.
 type FenceState int
 
-// What a Register can say of a call.
+// The states of a call.
 const (
-	// FenceUnknown knows nothing of the call: it was sent to another incarnation, or too long ago.
+	// FenceUnknown means that nothing is known: the call was sent to another incarnation, or too long
+	// ago.
 	FenceUnknown FenceState = iota
-	// FenceNever is certain that the call was not started and never will be.
+	// FenceNever means that the call was not started and never will be.
 	FenceNever
-	// FenceStarted says that the call was started.
+	// FenceStarted means that the call was started.
 	FenceStarted
 )
 
@@ -107,13 +111,13 @@
 	}
 }
 
-// Fence says what became of a call that was sent to the incarnation some time ago, and keeps it from
-// starting if it has not.
+// Fence reports whether a call was started that was sent to the incarnation the given time ago, and
+// keeps it from starting otherwise.
 func (r *CallRegistry) Fence(call string, incarnation uint64, age time.Duration) FenceState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.expire()
-	// Half of the memory leaves the other half for the question's own way here.
+	// The other half of the retention time covers the fence request's own transit.
 	if incarnation != r.Incarnation || incarnation == 0 || age < 0 || age > orDefault(r.Retention, DefaultRetention)/2 {
 		return FenceUnknown
 	}
@@ -138,7 +142,7 @@
 	r.calls[call] = s
 }
 
-// expire drops the calls that ended longer ago than the memory; the caller holds the lock.
+// expire forgets calls that ended longer ago than the retention time; the caller holds the lock.
 func (r *CallRegistry) expire() {
 	before := r.Clock.Now().Add(-orDefault(r.Retention, DefaultRetention))
 	n := 0
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -11,23 +11,23 @@
 type Refusal struct {
 	Outcome string
 	Reason  Reason
-	// ComeBack is the number of milliseconds after which to come back.
+	// ComeBack is the number of milliseconds after which to retry.
 	ComeBack int64     `json:",omitempty"`
 	Request  RequestID `json:",omitempty"`
-	// Status is the HTTP status that an earlier copy under the same key was answered with.
+	// Status is the HTTP status of the response to an earlier copy with the same key.
 	Status int `json:",omitempty"`
 }
 
-// httpResponder answers a caller.
+// httpResponder writes to a caller.
 type httpResponder struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	id      RequestID
-	// flushEach sends each piece at once, because the length is not known.
+	// flushEach flushes every chunk, because the length is unknown.
 	flushEach   bool
 	headWritten bool
 	aborted     bool
-	// expect says that reading the body would ask the caller for it.
+	// expect reports that reading the body would send 100 Continue to the caller.
 	expect bool
 }
 
@@ -77,10 +77,10 @@
 		}
 	}
 	if w.flushEach {
-		// The last chunk and the trailer are net/http's to send, after the handler returned.
+		// net/http sends the last chunk and the trailer after the handler has returned.
 		return nil
 	}
-	// A process that stops when its last request has ended must not stop before the answer left.
+	// A process that exits when its last request has ended must have sent the response by then.
 	return w.control.Flush()
 }
 
@@ -115,8 +115,8 @@
 	_ = json.NewEncoder(w.writer).Encode(body)
 }
 
-// MinRetryAfter is the least time to come back: a caller that knew of no wait would return at once
-// and add its retries to the load that refused it.
+// MinRetryAfter is the shortest delay given to a refused caller. Without it the caller could retry
+// at once and add to the load that caused the refusal.
 const MinRetryAfter = 50 * time.Millisecond
 
 // statusOf returns the HTTP status of a refusal.
@@ -143,16 +143,16 @@
 	}
 }
 
-// After an answer or refusal that left the body unread, this much of it is read for this long. A
-// connection that closes on a caller who still sends may take the answer with it (a TCP reset); a
-// caller who sends on and on, or nothing, must not hold the connection.
+// Limits on reading the rest of a request's body after a response or refusal. Closing the
+// connection while the caller still sends may lose the response (TCP reset), but a caller that
+// sends endlessly, or nothing, must not hold the connection.
 const (
 	maxDrainBytes = 1 << 20
 	drainTimeout  = 500 * time.Millisecond
 )
 
-// finishBody ends the reading of the caller's body. One that waits for 100-continue is not read, since
-// reading would ask for it.
+// finishBody ends the reading of the caller's body. If the caller waits for 100 Continue the body
+// is not read, since reading would send it.
 func (w *httpResponder) finishBody(b *requestBody) {
 	if b == nil {
 		return
@@ -166,7 +166,7 @@
 		b.drain(maxDrainBytes, drainTimeout)
 	}
 	if !b.complete() {
-		// net/http would read on without a bound of time.
+		// net/http would read the rest without a time limit.
 		b.interrupt()
 	}
 }
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -18,31 +18,31 @@
 	"papayahead/paevent"
 )
 
-// errSilent is the cause of a send that was given up because its connection is silent.
+// errSilent is the cause of a send that was cancelled because its connection was silent.
 var errSilent = trace.ConnectionProblem(nil, "the connection is silent")
 
-// targetSend is one request on one connection.
+// targetSend is one request on one connection to a target.
 type targetSend struct {
 	targets      *TargetClient
 	conn         *targetConn
 	body         *bodyReader
 	cancel       context.CancelCauseFunc
 	writesBefore int
-	// responseStarted is set with the answer's first byte.
+	// responseStarted is set at the response's first byte.
 	responseStarted atomic.Bool
-	// interimMutex guards over, which ends interim answers: net/http may still deliver one after
-	// RoundTrip returned, when the caller's ResponseWriter belongs to its handler again.
+	// interimMutex guards interimEnded, which stops interim responses: net/http may deliver one after
+	// RoundTrip has returned, when the caller's ResponseWriter must no longer be used here.
 	interimMutex sync.Mutex
 	interimEnded bool
 	interims     int
 }
 
-// send sends the request to the target, once. With no answer the result says why; it is NotRun only
-// if no write of the request started.
+// send sends the request to the target, once. If it returns no response, the result states why; it
+// is NotRun only if no write of the request was started.
 //
-// A connection that turns out to be gone before a write started, or to be silent under an idempotent
-// request, is replaced by another to the same target; that is the connection's fault, and no new
-// attempt: the Placer does not hear of it.
+// A connection that was found closed before a write was started, or silent under an idempotent
+// request, is replaced by another one to the same target. The connection is at fault, so this
+// doesn't count as a new attempt and the Placer is not told.
 func (t *TargetClient) send(ctx context.Context, x *exchange, to Local) (*response, Result) {
 	maxAge := orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 	if x.request.Idempotent {
@@ -65,7 +65,8 @@
 	}
 }
 
-// notStarted is the end of an attempt that came too late to start.
+// notStarted returns the result of an attempt that was not allowed to start: fenced, past its
+// deadline, or cancelled.
 func notStarted(ctx context.Context, now time.Time, x *exchange) Result {
 	r := Result{Outcome: NotRun, Reason: ReasonFenced, Fault: FaultPeer}
 	switch {
@@ -77,8 +78,8 @@
 	return r
 }
 
-// nextMaxAge returns the age of connections to use after one failed. After a silent one, only a new one
-// will do.
+// nextMaxAge returns the maximum age of the connection to try after one failed. After a silent one
+// only a new connection is used.
 func (t *TargetClient) nextMaxAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
 	if r.Outcome == Unknown {
 		t.CloseIdle(c.address)
@@ -87,7 +88,7 @@
 	return maxAge
 }
 
-// putUnused returns a connection that was not used.
+// putUnused returns a connection to the pool that carried no request.
 func (t *TargetClient) putUnused(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -95,7 +96,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// connectFailed is the end of an attempt that found no connection.
+// connectFailed returns the result of an attempt that got no connection.
 func connectFailed(ctx context.Context, err error) Result {
 	r := Result{Outcome: NotRun, Reason: ReasonNoConnection, Fault: FaultTarget}
 	switch {
@@ -107,7 +108,8 @@
 	return r
 }
 
-// sendOn sends the request on the connection; again says that another connection may be tried.
+// sendOn sends the request on the connection. The last result reports whether another connection
+// may be tried.
 func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*response, Result, bool) {
 	begun := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
@@ -127,7 +129,7 @@
 	a.result.TimeToHeader = t.Clock.Since(begun)
 	if r, refused := s.rejectResponse(x, resp); refused {
 		if r.Outcome == NotRun {
-			// A short refusal is read to its end, so that its connection can be used again.
+			// Read a short refusal to its end, so that the connection can be reused.
 			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
 		}
 		a.close()
@@ -137,7 +139,7 @@
 	return a, a.result, false
 }
 
-// request returns the request as the target gets it.
+// request returns the request for the target.
 func (s *targetSend) request(ctx context.Context, x *exchange) *http.Request {
 	u, err := url.ParseRequestURI(x.uri)
 	if err != nil {
@@ -153,7 +155,7 @@
 	left := x.request.Deadline.Sub(s.targets.Clock.Now()).Milliseconds()
 	h.Set(DeadlineHeader, strconv.FormatInt(max(left, 1), 10))
 	if h.Get("User-Agent") == "" {
-		// An empty value keeps net/http from naming itself in the caller's place.
+		// An empty value keeps net/http from adding its own User-Agent.
 		h["User-Agent"] = []string{""}
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -172,14 +174,15 @@
 	return r.WithContext(ctx)
 }
 
-// maxInterim bounds the interim answers to a request; net/http leaves that to who listens to them. A
-// target has a few hints to give, and one without end would never answer.
+// maxInterim limits the interim responses to a request, because net/http doesn't if there is a
+// Got1xxResponse hook. A few are legitimate hints; a target that sends them endlessly would never
+// respond.
 const maxInterim = 16
 
-// errInterim ends a request whose target sends interim answers without end.
+// errInterim is returned when a target exceeds maxInterim.
 var errInterim = trace.LimitExceeded("more than %d interim answers", maxInterim)
 
-// forwardInterim passes an forwardInterim answer on while the request waits for its final one.
+// forwardInterim passes an interim response on while the request waits for its final one.
 func (s *targetSend) forwardInterim(x *exchange, code int, h http.Header) error {
 	s.interimMutex.Lock()
 	defer s.interimMutex.Unlock()
@@ -193,14 +196,14 @@
 	return nil
 }
 
-// endInterim ends interim answers.
+// endInterim stops passing on interim responses.
 func (s *targetSend) endInterim() {
 	s.interimMutex.Lock()
 	defer s.interimMutex.Unlock()
 	s.interimEnded = true
 }
 
-// attachBody gives the request its body.
+// attachBody sets the request's body and trailer.
 func (s *targetSend) attachBody(x *exchange, r *http.Request) {
 	s.body = x.body.newReader()
 	r.ContentLength = x.request.Size
@@ -218,7 +221,7 @@
 	r.Body = &trailerBody{bodyReader: s.body, to: r.Trailer, from: x.trailer}
 }
 
-// trailerBody fills the trailer in when the body has ended.
+// trailerBody sets the request's trailer at the end of its body.
 type trailerBody struct {
 	*bodyReader
 	to   http.Header
@@ -236,11 +239,12 @@
 	return n, err
 }
 
-// watchSilence gives the send up when a connection without proof of life stays silent.
+// watchSilence cancels the send if a connection that is not recent stays silent. stop ends the
+// watch.
 //
-// The failure it guards against is a middlebox that lost track of an open connection: the request is
-// swallowed and no error comes. It shows as a request that runs into its deadline while the target
-// answers others. Only an idempotent request whose body is not on its way may be sent again.
+// A middlebox may drop the state of an open connection and lose the request without an error, so
+// that it runs into its deadline while the target responds to others. Only an idempotent request
+// without a body is sent again.
 func (s *targetSend) watchSilence(x *exchange) (stop func()) {
 	t := s.targets
 	if s.conn.recent || !x.request.Idempotent || x.body != nil {
@@ -254,7 +258,8 @@
 	return func() { timer.Stop() }
 }
 
-// failed closes the connection and returns what became of the request.
+// failed closes the connection and returns the result. The last result reports whether another
+// connection may be tried.
 func (s *targetSend) failed(ctx, sendCtx context.Context, x *exchange, err error) (Result, bool) {
 	s.body.stop()
 	wrote := s.targets.closeUsed(s.conn) > s.writesBefore
@@ -269,7 +274,7 @@
 		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.responseStarted.Load() {
 			s.targets.CloseIdle(s.conn.address)
 			if !s.conn.recent {
-				// The connection may have been silent all along: that is not held against the target.
+				// The connection may have been silent from the start, so don't count it against the target.
 				r.Fault = FaultConnection
 			}
 		}
@@ -285,13 +290,14 @@
 		}
 		return r, false
 	case s.conn.reused && wrote:
-		// A reused connection that the target closed meanwhile is no sign of a broken target.
+		// The target may close an idle connection at any time; don't count it against the target.
 		r.Fault = FaultConnection
 	}
 	return r, replaceable && !wrote
 }
 
-// rejectResponse returns the end of an attempt whose response is not an answer to this request.
+// rejectResponse returns the result for a response that must not be relayed; false means that it
+// may be.
 func (s *targetSend) rejectResponse(x *exchange, resp *http.Response) (Result, bool) {
 	r := Result{
 		Outcome: Unknown, Fault: FaultTarget, Status: resp.StatusCode,
@@ -302,7 +308,8 @@
 	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
 	case said != string(x.request.ID) && (said != "" || strict):
-		// An answer to another request: late, surplus or crossed. Matching by order would hand it out.
+		// The response to another request: late, surplus or mismatched. Matching by order would deliver
+		// it to the wrong caller.
 		r.Reason = ReasonWrongIdentity
 		record(s.targets.Events, paevent.IdentityMismatch{
 			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: said,
@@ -320,16 +327,17 @@
 	return r, true
 }
 
-// closeDelimited says that the answer ends with its connection, so that a truncated one looks whole.
+// closeDelimited reports whether the end of the response is marked only by the end of its
+// connection, so that a truncated response looks complete.
 func closeDelimited(method string, r *http.Response) bool {
 	none := bodiless(method, r.StatusCode)
 	return !none && r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// maxRetryAfter bounds what a target may say of its time to come back.
+// maxRetryAfter limits the Retry-After of a target.
 const maxRetryAfter = 60 * time.Second
 
-// retryAfter reads the seconds of a Retry-After field.
+// retryAfter parses a Retry-After field in seconds; 0 if it is absent or malformed.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(h.Get("Retry-After"), 10, 16)
 	if err != nil {
@@ -338,7 +346,7 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// newResponse returns the response as an newResponse on its way.
+// newResponse returns the target's response, ready to be relayed.
 func (s *targetSend) newResponse(x *exchange, resp *http.Response) *response {
 	a := &response{
 		responseHead: responseHead{status: resp.StatusCode, header: endToEnd(resp.Header), length: resp.ContentLength},
@@ -359,8 +367,8 @@
 	return a
 }
 
-// finish gives the connection back after a whole answer, or closes it. A connection whose answer was
-// given up is never used again, so that the late rest can't be read by another request.
+// finish returns the connection to the pool after a complete response, or closes it. A connection
+// whose response was abandoned is never reused, because the next request could read the rest of it.
 func (s *targetSend) finish(whole bool, resp *http.Response) {
 	defer s.cancel(nil)
 	s.body.stop()
@@ -372,7 +380,7 @@
 	s.targets.closeUsed(s.conn)
 }
 
-// eofReader notes the end of a body.
+// eofReader records whether the source was read to its end.
 type eofReader struct {
 	source io.Reader
 	atEOF  bool
--- a/paproxy/wire.go
+++ b/paproxy/wire.go
@@ -7,15 +7,15 @@
 	"github.com/gravitational/trace"
 )
 
-// errSealed ends writes to a connection that has been given up.
+// errSealed is returned by writes to a sealed connection.
 var errSealed = trace.ConnectionProblem(nil, "the connection has been given up")
 
-// trackedConn is a connection that knows whether it was written to.
+// trackedConn is a connection that counts the writes started on it.
 //
-// The failure it guards against is a false "not run": net/http gives an error for a request whose
-// bytes may have left, or may yet leave, because its write loop runs on after RoundTrip returned. It
-// shows as an execution at the target of a request that was refused. Once sealed, no write can
-// start, so the count is final: if no write started, no byte reached the target.
+// This guards against a false NotRun: net/http returns an error for a request whose bytes may have
+// been sent, or may still be sent, because its write loop runs on after RoundTrip has returned. The
+// target would then run a request that was reported as NotRun. After seal no write can start, so
+// the count is final: if no write was started, no byte reached the target.
 type trackedConn struct {
 	net.Conn
 	mutex  sync.Mutex
@@ -24,7 +24,7 @@
 	writes int
 }
 
-// Write counts the write before its first byte can leave.
+// Write counts the write before its first byte can be sent.
 func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mutex.Lock()
 	if c.sealed {
@@ -36,7 +36,7 @@
 	return c.Conn.Write(p)
 }
 
-// Read notes the end of the connection, which keeps it from being used again.
+// Read records the end of the connection, which prevents its reuse.
 func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// Close closes the connection.
+// Close closes the connection and prevents its reuse.
 func (c *trackedConn) Close() error {
 	c.mutex.Lock()
 	c.dead = true
@@ -55,21 +55,21 @@
 	return c.Conn.Close()
 }
 
-// writesStarted returns the number of writes that have writesStarted.
+// writesStarted returns the number of writes started.
 func (c *trackedConn) writesStarted() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.writes
 }
 
-// alive says that the connection has not ended as far as is known here.
+// alive reports whether the connection is usable as far as is known here.
 func (c *trackedConn) alive() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return !c.dead && !c.sealed
 }
 
-// seal keeps writes from starting, closes the connection, and returns the final count of writes.
+// seal prevents further writes, closes the connection, and returns the final number of writes.
 func (c *trackedConn) seal() int {
 	c.mutex.Lock()
 	c.sealed, c.dead = true, true
