--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -10,10 +10,10 @@
 )
 
 // errBodyClosed is returned by reads of an attempt that has ended.
-var errBodyClosed = trace.Errorf("the attempt that read this body has ended")
+var errBodyClosed = trace.Errorf("read of a request body after its attempt ended")
 
 // errBodyTooLarge is returned when a request's body exceeds Limits.MaxBody.
-var errBodyTooLarge = trace.LimitExceeded("the request's body is too large")
+var errBodyTooLarge = trace.LimitExceeded("request body exceeds the size limit")
 
 // requestBody streams a request's body to a target or peer. At most one attempt reads it: no
 // further attempt is made once reading has started.
@@ -56,11 +56,11 @@
 
 // drain reads and discards up to limit bytes, for at most d.
 func (b *requestBody) drain(limit int64, d time.Duration) {
-	a := b.newReader()
+	r := b.newReader()
 	timer := b.clock.AfterFunc(d, b.interrupt)
 	defer timer.Stop()
-	_, _ = io.CopyN(io.Discard, a, limit)
-	a.stop()
+	_, _ = io.CopyN(io.Discard, r, limit)
+	r.stop()
 }
 
 // complete reports whether the body was read to its end.
@@ -72,16 +72,16 @@
 
 // state reports whether an attempt has started to read, the number of bytes read, and the read
 // error of the source.
-func (b *requestBody) state() (touched bool, count int64, failure error) {
+func (b *requestBody) state() (started bool, count int64, failure error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.started, b.count, b.failure
 }
 
 // read reads from the source on behalf of an attempt.
-func (b *requestBody) read(a *bodyReader, p []byte) (int, error) {
+func (b *requestBody) read(r *bodyReader, p []byte) (int, error) {
 	b.mutex.Lock()
-	if b.ended || a.closed {
+	if b.ended || r.closed {
 		b.mutex.Unlock()
 		return 0, errBodyClosed
 	}
@@ -123,20 +123,20 @@
 }
 
 // Read returns errBodyClosed after the attempt has ended.
-func (a *bodyReader) Read(p []byte) (int, error) { return a.body.read(a, p) }
+func (r *bodyReader) Read(p []byte) (int, error) { return r.body.read(r, p) }
 
 // Close ends reading by this attempt. It doesn't close the body's source.
-func (a *bodyReader) Close() error {
-	a.stop()
+func (r *bodyReader) Close() error {
+	r.stop()
 	return nil
 }
 
 // stop is Close without an error. It accepts a nil reader.
-func (a *bodyReader) stop() {
-	if a == nil {
+func (r *bodyReader) stop() {
+	if r == nil {
 		return
 	}
-	a.body.mutex.Lock()
-	defer a.body.mutex.Unlock()
-	a.closed = true
+	r.body.mutex.Lock()
+	defer r.body.mutex.Unlock()
+	r.closed = true
 }
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -45,40 +45,40 @@
 func peerProtocolError(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
 
 // run makes the call and returns once the response's header has arrived.
-func (k *peerCall) run(ctx context.Context) (*response, Result) {
+func (c *peerCall) run(ctx context.Context) (*response, Result) {
 	callCtx, cancel := context.WithCancelCause(ctx)
-	k.cancel = cancel
-	stream, err := pawire.NewDRPCForwardingClient(k.conn).Forward(callCtx)
+	c.cancel = cancel
+	stream, err := pawire.NewDRPCForwardingClient(c.conn).Forward(callCtx)
 	if err != nil {
 		// The call's first frame has not been sent, and the peer starts nothing without it.
-		k.abort()
+		c.abort()
 		return nil, Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer}
 	}
-	k.stream = stream
-	h, err := k.open(ctx)
+	c.stream = stream
+	h, err := c.open(ctx)
 	if err != nil {
-		return nil, k.resolveLost(ctx, err)
+		return nil, c.resolveLost(ctx, err)
 	}
 	if h == nil {
-		return nil, k.endResult(ctx)
+		return nil, c.endResult(ctx)
 	}
-	return k.newResponse(h), Result{Status: int(h.GetStatus())}
+	return c.newResponse(h), Result{Status: int(h.GetStatus())}
 }
 
 // open sends the first frame and receives frames up to the response's header. It returns nil
 // without an error if the peer ended the call without a response.
-func (k *peerCall) open(ctx context.Context) (*pawire.ForwardHead, error) {
-	left := k.x.request.Deadline.Sub(k.peers.Clock.Now())
+func (c *peerCall) open(ctx context.Context) (*pawire.ForwardHead, error) {
+	left := c.x.request.Deadline.Sub(c.peers.Clock.Now())
 	left -= min(left/4, maxDeadlineMargin)
-	silence := k.peers.Clock.AfterFunc(orDefault(k.peers.AcceptTimeout, DefaultAcceptTimeout), func() { k.cancel(errSilent) })
+	silence := c.peers.Clock.AfterFunc(orDefault(c.peers.AcceptTimeout, DefaultAcceptTimeout), func() { c.cancel(errSilent) })
 	defer silence.Stop()
-	open := openOf(k.x, k.to, k.id, k.peers.Self, left)
-	open.Stamp = k.peers.Stamps.Text()
-	if err := k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
+	open := openOf(c.x, c.to, c.id, c.peers.Self, left)
+	open.Stamp = c.peers.Stamps.Text()
+	if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
 		return nil, peerLostError(err)
 	}
 	for {
-		f, err := k.stream.Recv()
+		f, err := c.stream.Recv()
 		if err != nil {
 			return nil, peerLostError(err)
 		}
@@ -86,62 +86,62 @@
 		case *pawire.ForwardFrame_Accepted:
 			silence.Stop()
 		case *pawire.ForwardFrame_Continue:
-			k.startBody(ctx)
+			c.startBody(ctx)
 		case *pawire.ForwardFrame_Head:
 			if s.Head.GetStatus() >= http.StatusOK {
 				return s.Head, nil
 			}
-			k.x.writeInterim(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
+			c.x.writeInterim(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
 		case *pawire.ForwardFrame_End:
-			k.peers.Stamps.Heard(s.End.GetStamp())
-			k.end = s.End
+			c.peers.Stamps.Heard(s.End.GetStamp())
+			c.end = s.End
 			return nil, nil
 		default:
-			return nil, peerProtocolError(trace.BadParameter("unexpected frame before the answer"))
+			return nil, peerProtocolError(trace.BadParameter("unexpected frame before the response"))
 		}
 	}
 }
 
 // startBody starts to send the request's body, concurrently with receiving the response.
-func (k *peerCall) startBody(ctx context.Context) {
-	if k.x.body == nil {
+func (c *peerCall) startBody(ctx context.Context) {
+	if c.x.body == nil {
 		return
 	}
-	k.bodyOnce.Do(func() {
-		k.body = k.x.body.newReader()
-		pace := k.x.newPacer(ctx, flowTo(k.x, k.to.Entry, true))
+	c.bodyOnce.Do(func() {
+		c.body = c.x.body.newReader()
+		pace := c.x.newPacer(ctx, flowTo(c.x, c.to.Entry, true))
 		go func() {
-			if err := k.sendBody(pace); err != nil {
+			if err := c.sendBody(pace); err != nil {
 				// The peer must not mistake the part it received for the whole body.
-				k.cancel(err)
+				c.cancel(err)
 			}
 		}()
 	})
 }
 
 // sendBody sends the request's body and its trailer.
-func (k *peerCall) sendBody(pace func(int) error) error {
+func (c *peerCall) sendBody(pace func(int) error) error {
 	chunk := chunks.Get().(*[chunkSize]byte)
 	defer chunks.Put(chunk)
 	var offset int64
 	for {
-		n, err := k.body.Read(chunk[:])
+		n, err := c.body.Read(chunk[:])
 		if n > 0 {
 			if err := pace(n); err != nil {
 				return err
 			}
-			piece := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
-			if err := k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: piece}}); err != nil {
+			frame := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
+			if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: frame}}); err != nil {
 				return ignoreEnd(err)
 			}
 			offset += int64(n)
 		}
 		if err == io.EOF {
 			end := &pawire.ForwardBodyEnd{Length: offset}
-			if k.x.trailer != nil {
-				end.Trailer = fieldsOf(k.x.trailer())
+			if c.x.trailer != nil {
+				end.Trailer = fieldsOf(c.x.trailer())
 			}
-			return ignoreEnd(k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_BodyEnd{BodyEnd: end}}))
+			return ignoreEnd(c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_BodyEnd{BodyEnd: end}}))
 		}
 		if err != nil {
 			return ignoreClosed(err)
@@ -167,15 +167,15 @@
 
 // resolveLost returns the result of a call that failed without a response. It asks the peer whether
 // the call started, and keeps it from starting if it did not.
-func (k *peerCall) resolveLost(ctx context.Context, err error) Result {
-	k.abort()
+func (c *peerCall) resolveLost(ctx context.Context, err error) Result {
+	c.abort()
 	r := Result{Outcome: Unknown, Reason: ReasonPeerLost, Fault: FaultPeer}
 	var peer peerError
 	if errors.As(err, &peer) {
 		r.Reason, r.Fault = peer.reason, peer.fault
 	}
 	switch {
-	case k.x.bodyError() != nil:
+	case c.x.bodyError() != nil:
 		r.Reason, r.Fault = ReasonCallerGone, FaultCaller
 		return r
 	case ctx.Err() != nil:
@@ -184,17 +184,17 @@
 			return r
 		}
 	}
-	r.Outcome = k.peers.fence(ctx, k.to, k.id, k.sent)
-	record(k.peers.Events, paevent.CallLost{
-		Subject: eventSubject(k.x.request), Call: k.id, Peer: string(k.to.Entry), Outcome: r.Outcome.String(),
+	r.Outcome = c.peers.fence(ctx, c.to, c.id, c.sent)
+	record(c.peers.Events, paevent.CallLost{
+		Subject: eventSubject(c.x.request), Call: c.id, Peer: string(c.to.Entry), Outcome: r.Outcome.String(),
 	})
 	return r
 }
 
 // endResult returns the result that the peer reported for a call without a response.
-func (k *peerCall) endResult(ctx context.Context) Result {
-	k.finish(true)
-	e := k.end
+func (c *peerCall) endResult(ctx context.Context) Result {
+	c.finish(true)
+	e := c.end
 	r := Result{
 		Outcome: Unknown, Reason: Reason(e.GetReason()), Fault: Fault(e.GetFault()),
 		Draining:   e.GetDraining(),
@@ -214,43 +214,43 @@
 }
 
 // newResponse returns the response whose body is received from the peer.
-func (k *peerCall) newResponse(h *pawire.ForwardHead) *response {
+func (c *peerCall) newResponse(h *pawire.ForwardHead) *response {
 	declared := h.GetLength()
-	if bodiless(k.x.request.Method, int(h.GetStatus())) {
+	if bodiless(c.x.request.Method, int(h.GetStatus())) {
 		declared = 0
 	}
-	body := &frameReader{pieces: chunkChecker{declared: declared}, next: k.next, checkEnd: k.checkEnd}
+	body := &frameReader{checker: chunkChecker{declared: declared}, next: c.next, checkEnd: c.checkEnd}
 	return &response{
 		responseHead: responseHead{
 			status: int(h.GetStatus()), header: headerOf(h.GetHeader()),
 			length: h.GetLength(), trailerNames: h.GetTrailer(),
 		},
 		body:    body,
-		peer:    k.to.Entry,
-		trailer: func() http.Header { return headerOf(k.end.GetTrailer()) },
-		close:   func() { k.finish(body.err == io.EOF) },
+		peer:    c.to.Entry,
+		trailer: func() http.Header { return headerOf(c.end.GetTrailer()) },
+		close:   func() { c.finish(body.err == io.EOF) },
 	}
 }
 
 // next returns the next frame of the response.
-func (k *peerCall) next() (*pawire.ForwardFrame, error) {
-	f, err := k.stream.Recv()
+func (c *peerCall) next() (*pawire.ForwardFrame, error) {
+	f, err := c.stream.Recv()
 	if err != nil {
 		return nil, peerLostError(err)
 	}
-	k.peers.Stamps.Heard(f.GetEnd().GetStamp())
+	c.peers.Stamps.Heard(f.GetEnd().GetStamp())
 	return f, nil
 }
 
 // checkEnd checks the frame that follows the response's body.
-func (k *peerCall) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
+func (c *peerCall) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	e := f.GetEnd()
 	if e == nil {
-		return peerProtocolError(trace.BadParameter("unexpected frame in the answer's body"))
+		return peerProtocolError(trace.BadParameter("unexpected frame in the response body"))
 	}
-	k.end = e
+	c.end = e
 	if Outcome(e.GetOutcome()) != Answered {
-		return peerError{trace.ConnectionProblem(nil, "the peer's answer was cut"), Reason(e.GetReason()), Fault(e.GetFault())}
+		return peerError{trace.ConnectionProblem(nil, "the peer ended the response before its body was complete"), Reason(e.GetReason()), Fault(e.GetFault())}
 	}
 	if err := p.end(e.GetLength()); err != nil {
 		return peerProtocolError(err)
@@ -260,30 +260,30 @@
 
 // finish returns the connection to the pool if the call is complete on both sides, and closes it
 // otherwise.
-func (k *peerCall) finish(whole bool) {
-	k.body.stop()
-	untaken := k.body != nil && !k.end.GetBodyTaken()
-	if !whole || untaken || k.stream.CloseSend() != nil {
-		k.abort()
+func (c *peerCall) finish(complete bool) {
+	c.body.stop()
+	bodyUnread := c.body != nil && !c.end.GetBodyTaken()
+	if !complete || bodyUnread || c.stream.CloseSend() != nil {
+		c.abort()
 		return
 	}
-	if _, err := k.stream.Recv(); !errors.Is(err, io.EOF) {
-		k.abort()
+	if _, err := c.stream.Recv(); !errors.Is(err, io.EOF) {
+		c.abort()
 		return
 	}
-	if k.stream.Close() != nil {
-		k.abort()
+	if c.stream.Close() != nil {
+		c.abort()
 		return
 	}
-	k.cancel(nil)
-	k.peers.put(k.conn)
+	c.cancel(nil)
+	c.peers.put(c.conn)
 }
 
 // abort closes the connection, so that no later call reads the rest of this one.
-func (k *peerCall) abort() {
-	k.body.stop()
-	k.cancel(nil)
-	k.conn.discard()
+func (c *peerCall) abort() {
+	c.body.stop()
+	c.cancel(nil)
+	c.conn.discard()
 }
 
 // bodiless reports whether a response has no body, whatever Content-Length it declares.
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -24,18 +24,18 @@
 }
 
 // receiveBody sets the exchange's body to be read from the call's frames.
-func (f *Proxy) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
+func (p *Proxy) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
 	b := &callBody{
 		out:    out,
 		frames: make(chan *pawire.ForwardFrame),
 		failed: make(chan error, 1),
 		done:   make(chan struct{}),
 	}
-	limits := f.Limits.withDefaults()
+	limits := p.Limits.withDefaults()
 	x.body = &requestBody{
-		source: &frameReader{pieces: chunkChecker{declared: x.request.Size}, next: b.next, checkEnd: b.checkEnd},
-		clock:  f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody, interrupt: b.stop,
-		pace: f.pacing(ctx, flowTo(x, x.request.Origin, false)),
+		source: &frameReader{checker: chunkChecker{declared: x.request.Size}, next: b.next, checkEnd: b.checkEnd},
+		clock:  p.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody, interrupt: b.stop,
+		pace: p.pacing(ctx, flowTo(x, x.request.Origin, false)),
 	}
 	x.trailer = func() http.Header { return b.trailer }
 	return b
@@ -84,7 +84,7 @@
 func (b *callBody) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
 	end := f.GetBodyEnd()
 	if end == nil {
-		return trace.BadParameter("unexpected frame in a request's body")
+		return trace.BadParameter("unexpected frame in the request body")
 	}
 	if err := p.end(end.GetLength()); err != nil {
 		return err
--- a/paproxy/exchange.go
+++ b/paproxy/exchange.go
@@ -62,10 +62,10 @@
 
 // refusal is the end of a request without a response from a target.
 type refusal struct {
-	outcome  Outcome
-	reason   Reason
-	comeBack time.Duration
-	result   Result
+	outcome    Outcome
+	reason     Reason
+	retryAfter time.Duration
+	result     Result
 }
 
 // responder writes to the caller or to the peer that the request came from.
@@ -83,7 +83,7 @@
 }
 
 // errIdle is the cause of a context that was cancelled because a body made no progress.
-var errIdle = trace.LimitExceeded("the body made no progress")
+var errIdle = trace.LimitExceeded("body made no progress within the idle timeout")
 
 // contextEndReason returns the reason why the context ended, and whose fault it is.
 func contextEndReason(ctx context.Context) (Reason, Fault) {
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -66,24 +66,24 @@
 	left := o.GetLeftMicroseconds()
 	switch {
 	case o.GetCall() == "" || len(o.GetCall()) > 2*maxIDLength:
-		return nil, trace.BadParameter("call identity of %d bytes", len(o.GetCall()))
+		return nil, trace.BadParameter("call ID of %d bytes is empty or too long", len(o.GetCall()))
 	case o.GetOrigin() == "":
-		return nil, trace.BadParameter("no origin")
+		return nil, trace.BadParameter("origin is missing")
 	case o.GetRequest() == "" || len(o.GetRequest()) > maxIDLength || !isToken(o.GetRequest()):
-		return nil, trace.BadParameter("malformed request identity")
+		return nil, trace.BadParameter("malformed request ID")
 	case len(o.GetKey()) > maxKeyLength || !isVisible(o.GetKey()):
 		return nil, trace.BadParameter("malformed idempotency key")
 	case left <= 0 || left > maxDeadline.Microseconds():
-		return nil, trace.BadParameter("deadline of %d microseconds", left)
+		return nil, trace.BadParameter("deadline of %d microseconds is out of range", left)
 	case o.GetPatienceMicroseconds() < 0 || o.GetPatienceMicroseconds() > maxDeadline.Microseconds():
-		return nil, trace.BadParameter("patience of %d microseconds", o.GetPatienceMicroseconds())
+		return nil, trace.BadParameter("maximum queue wait of %d microseconds is out of range", o.GetPatienceMicroseconds())
 	case o.GetLength() < -1:
-		return nil, trace.BadParameter("length %d", o.GetLength())
+		return nil, trace.BadParameter("invalid body length %d", o.GetLength())
 	case o.GetMethod() == "" || !isToken(o.GetMethod()) || len(o.GetHeader()) > maxFields:
-		return nil, trace.BadParameter("malformed method or header")
+		return nil, trace.BadParameter("malformed method or too many header fields")
 	}
 	if _, err := url.ParseRequestURI(o.GetUri()); err != nil || o.GetUri()[0] != '/' {
-		return nil, trace.BadParameter("malformed target path")
+		return nil, trace.BadParameter("malformed request URI")
 	}
 	caller, _ := netip.ParseAddr(o.GetCaller())
 	x := &exchange{
@@ -114,14 +114,14 @@
 func (p *chunkChecker) add(b *pawire.ForwardBody) error {
 	n := int64(len(b.GetData()))
 	if b.GetOffset() != p.count {
-		return trace.BadParameter("piece at %d where %d follows", b.GetOffset(), p.count)
+		return trace.BadParameter("body chunk at offset %d, expected offset %d", b.GetOffset(), p.count)
 	}
 	if n > chunkSize {
-		return trace.BadParameter("piece of %d bytes", n)
+		return trace.BadParameter("body chunk of %d bytes is too large", n)
 	}
 	p.count += n
 	if p.declared >= 0 && p.count > p.declared {
-		return trace.BadParameter("%d bytes of %d declared", p.count, p.declared)
+		return trace.BadParameter("body has at least %d bytes but declares %d", p.count, p.declared)
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 // end checks the length reported at the end.
 func (p *chunkChecker) end(length int64) error {
 	if p.count != length || p.declared >= 0 && p.count != p.declared {
-		return trace.BadParameter("%d bytes where %d were sent and %d declared", p.count, length, p.declared)
+		return trace.BadParameter("received %d body bytes; the sender reports %d and declares %d", p.count, length, p.declared)
 	}
 	return nil
 }
@@ -137,8 +137,8 @@
 // frameReader reads a body from frames. next returns the next frame; checkEnd is called with the
 // first frame that is not part of the body.
 type frameReader struct {
-	pieces chunkChecker
-	next   func() (*pawire.ForwardFrame, error)
+	checker chunkChecker
+	next    func() (*pawire.ForwardFrame, error)
 	// checkEnd checks the frame that follows the body. It returns io.EOF if the body is complete.
 	checkEnd func(f *pawire.ForwardFrame, p *chunkChecker) error
 	rest     []byte
@@ -167,10 +167,10 @@
 	}
 	b := f.GetBody()
 	if b == nil {
-		r.err = r.checkEnd(f, &r.pieces)
+		r.err = r.checkEnd(f, &r.checker)
 		return
 	}
-	if r.err = r.pieces.add(b); r.err == nil {
+	if r.err = r.checker.add(b); r.err == nil {
 		r.rest = b.GetData()
 	}
 }
--- a/paproxy/front.go
+++ b/paproxy/front.go
@@ -45,28 +45,28 @@
 // can't have run or the request is idempotent, and none of the body has been read; this prevents a
 // second run. The number of attempts is limited here and by the Placer's retry budget, so that
 // failures at saturation don't multiply the load.
-func (f *Proxy) handle(ctx context.Context, x *exchange, out responder) Result {
+func (p *Proxy) handle(ctx context.Context, x *exchange, out responder) Result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	worst := NotRun
-	x.request.LocalID = f.lastLocalID.Add(1)
+	x.request.LocalID = p.lastLocalID.Add(1)
 	for attempt := 1; ; attempt++ {
 		x.request.Attempt = attempt
-		a, result, done := f.attempt(ctx, x)
-		if a != nil {
-			a.pace = f.pacing(ctx, responseFlow(x, a))
-			result = f.relay(ctx, cancel, x, a, out)
+		resp, result, done := p.attempt(ctx, x)
+		if resp != nil {
+			resp.pace = p.pacing(ctx, responseFlow(x, resp))
+			result = p.relay(ctx, cancel, x, resp, out)
 			done(result)
 			return result
 		}
 		result.RequestBytes = x.requestBytes()
 		done(result)
 		worst = max(worst, result.Outcome)
-		if result.Fault == FaultRefused || !f.mayRetry(ctx, x, result) {
+		if result.Fault == FaultRefused || !p.mayRetry(ctx, x, result) {
 			if !result.concluded {
 				result.Outcome = worst
 			}
-			out.refuse(refusal{outcome: result.Outcome, reason: result.Reason, comeBack: result.RetryAfter, result: result})
+			out.refuse(refusal{outcome: result.Outcome, reason: result.Reason, retryAfter: result.RetryAfter, result: result})
 			return result
 		}
 		x.request.Previous = result
@@ -74,35 +74,35 @@
 }
 
 // mayRetry reports whether another attempt is allowed after the result.
-func (f *Proxy) mayRetry(ctx context.Context, x *exchange, last Result) bool {
-	if ctx.Err() != nil || last.Reason == ReasonFenced || x.bodyRead() || x.request.Attempt >= f.Limits.withDefaults().MaxAttempts {
+func (p *Proxy) mayRetry(ctx context.Context, x *exchange, last Result) bool {
+	if ctx.Err() != nil || last.Reason == ReasonFenced || x.bodyRead() || x.request.Attempt >= p.Limits.withDefaults().MaxAttempts {
 		return false
 	}
 	return last.Outcome == NotRun || x.request.Idempotent
 }
 
 // attempt places and sends the request once. If it returns no response, the result states why.
-func (f *Proxy) attempt(ctx context.Context, x *exchange) (*response, Result, func(Result)) {
-	switch p := f.Placer.Place(ctx, x.request).(type) {
+func (p *Proxy) attempt(ctx context.Context, x *exchange) (*response, Result, func(Result)) {
+	switch d := p.Placer.Place(ctx, x.request).(type) {
 	case Local:
-		a, r := f.Targets.send(ctx, x, p)
-		return a, r, doneOrNoop(p.Done)
+		resp, r := p.Targets.send(ctx, x, d)
+		return resp, r, doneOrNoop(d.Done)
 	case Forward:
-		if x.request.Origin != "" || f.Peers == nil {
+		if x.request.Origin != "" || p.Peers == nil {
 			// A request forwarded twice could circle between entry VMs that disagree on the owner.
-			return nil, Result{Outcome: NotRun, Reason: ReasonForwardedTwice, Fault: FaultPeer}, doneOrNoop(p.Done)
+			return nil, Result{Outcome: NotRun, Reason: ReasonForwardedTwice, Fault: FaultPeer}, doneOrNoop(d.Done)
 		}
-		x.newPacer = f.pacing
-		a, r := f.Peers.send(ctx, x, p)
-		return a, r, doneOrNoop(p.Done)
+		x.newPacer = p.pacing
+		resp, r := p.Peers.send(ctx, x, d)
+		return resp, r, doneOrNoop(d.Done)
 	case Refuse:
-		return nil, Result{Outcome: NotRun, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter}, doneOrNoop(nil)
+		return nil, Result{Outcome: NotRun, Reason: d.Reason, Fault: FaultRefused, RetryAfter: d.RetryAfter}, doneOrNoop(nil)
 	case Conclude:
 		return nil, Result{
-			Outcome: p.Outcome, Reason: p.Reason, Fault: FaultRefused, RetryAfter: p.RetryAfter, Status: p.Status, concluded: true,
+			Outcome: d.Outcome, Reason: d.Reason, Fault: FaultRefused, RetryAfter: d.RetryAfter, Status: d.Status, concluded: true,
 		}, doneOrNoop(nil)
 	default:
-		panic("paproxy: a Placer returned no placement")
+		panic("paproxy: Placer returned an unknown Placement type")
 	}
 }
 
@@ -115,16 +115,16 @@
 }
 
 // relay streams the response to the caller or peer.
-func (f *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, a *response, out responder) Result {
-	result := a.result
-	closeOnce := sync.OnceFunc(a.close)
+func (p *Proxy) relay(ctx context.Context, cancel context.CancelCauseFunc, x *exchange, resp *response, out responder) Result {
+	result := resp.result
+	closeOnce := sync.OnceFunc(resp.close)
 	defer closeOnce()
-	err := out.writeHead(a.responseHead)
+	err := out.writeHead(resp.responseHead)
 	if err == nil {
-		result.ResponseBytes, err = f.copy(ctx, cancel, a, out)
+		result.ResponseBytes, err = p.copy(ctx, cancel, resp, out)
 	}
 	if err == nil {
-		trailer := a.trailer()
+		trailer := resp.trailer()
 		// Free the connection before the caller can send its next request.
 		closeOnce()
 		err = out.finish(trailer)
@@ -133,7 +133,7 @@
 		}
 	}
 	result.RequestBytes = x.requestBytes()
-	result.Duration = f.Clock.Since(x.request.Arrived)
+	result.Duration = p.Clock.Since(x.request.Arrived)
 	if err == nil {
 		result.Outcome = Answered
 		return result
@@ -165,9 +165,9 @@
 
 // copy streams the body in chunks. Each read and each write is subject to the idle timeout; time
 // spent in the pacer is not counted against either side.
-func (f *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, a *response, out responder) (int64, error) {
-	idle := f.Limits.withDefaults().BodyIdleTimeout
-	timer := f.Clock.AfterFunc(idle, func() {
+func (p *Proxy) copy(ctx context.Context, cancel context.CancelCauseFunc, resp *response, out responder) (int64, error) {
+	idle := p.Limits.withDefaults().BodyIdleTimeout
+	timer := p.Clock.AfterFunc(idle, func() {
 		cancel(errIdle)
 		out.interrupt()
 	})
@@ -177,10 +177,10 @@
 	var sent int64
 	for {
 		timer.Reset(idle)
-		n, err := a.body.Read(chunk[:])
+		n, err := resp.body.Read(chunk[:])
 		timer.Stop()
 		if n > 0 {
-			if err := a.pace(n); err != nil {
+			if err := resp.pace(n); err != nil {
 				return sent, err
 			}
 			timer.Reset(idle)
@@ -203,35 +203,35 @@
 
 // pacing returns a function that is called before each chunk of the flow is passed on. It may
 // block.
-func (f *Proxy) pacing(ctx context.Context, flow Flow) func(int) error {
-	if f.Pacer == nil {
+func (p *Proxy) pacing(ctx context.Context, flow Flow) func(int) error {
+	if p.Pacer == nil {
 		return func(int) error { return nil }
 	}
-	return func(bytes int) error { return f.Pacer.Pace(ctx, flow, bytes) }
+	return func(bytes int) error { return p.Pacer.Pace(ctx, flow, bytes) }
 }
 
 // ServeHTTP handles a request from a caller.
-func (f *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	out := &httpResponder{writer: w, control: http.NewResponseController(w)}
-	body := f.newRequestBody(r, out)
-	x, bad := f.parse(r)
+	body := p.newRequestBody(r, out)
+	x, bad := p.parse(r)
 	if bad != nil {
 		out.refuse(*bad)
 		out.finishBody(body)
 		return
 	}
 	out.id = x.request.ID
-	ctx, cancel := paclock.WithTimeout(r.Context(), f.Clock, x.request.Deadline.Sub(f.Clock.Now()))
+	ctx, cancel := paclock.WithTimeout(r.Context(), p.Clock, x.request.Deadline.Sub(p.Clock.Now()))
 	defer cancel()
 	x.writeInterim = out.writeInterim
-	x.tryStart = func() bool { return f.beforeDeadline(ctx, x) }
+	x.tryStart = func() bool { return p.beforeDeadline(ctx, x) }
 	if body != nil {
-		body.pace = f.pacing(ctx, flowTo(x, "", false))
+		body.pace = p.pacing(ctx, flowTo(x, "", false))
 		x.body, x.trailer = body, func() http.Header { return endToEnd(r.Trailer) }
 	}
-	result := f.handle(ctx, x, out)
+	result := p.handle(ctx, x, out)
 	out.finishBody(body)
-	f.reportEnd(x.request, result)
+	p.reportEnd(x.request, result)
 	if out.aborted {
 		// Abort the connection, so that the caller can't mistake the partial response for a complete one.
 		panic(http.ErrAbortHandler)
@@ -240,19 +240,19 @@
 
 // reportEnd reports the end of a request to the Observer, and records an event if its outcome is
 // unknown.
-func (f *Proxy) reportEnd(r Request, last Result) {
-	if f.Observer != nil {
-		f.Observer.Finished(r, last)
+func (p *Proxy) reportEnd(r Request, last Result) {
+	if p.Observer != nil {
+		p.Observer.Finished(r, last)
 	}
 	switch {
 	case last.Outcome != Unknown || last.Fault == FaultCaller:
 	case last.ResponseBytes > 0:
-		record(f.Events, paevent.AnswerCut{
+		record(p.Events, paevent.AnswerCut{
 			Subject: eventSubject(r), Reason: string(last.Reason), Fault: string(last.Fault),
 			Bytes: last.ResponseBytes, Origin: string(r.Origin),
 		})
 	default:
-		record(f.Events, paevent.RequestUnknown{
+		record(p.Events, paevent.RequestUnknown{
 			Subject: eventSubject(r), Reason: string(last.Reason), Fault: string(last.Fault),
 			Attempts: r.Attempt, Origin: string(r.Origin),
 		})
@@ -261,13 +261,13 @@
 
 // beforeDeadline reports whether the request may still start. It checks the clock because the
 // context's own timer may fire late after the process was paused.
-func (f *Proxy) beforeDeadline(ctx context.Context, x *exchange) bool {
-	return ctx.Err() == nil && f.Clock.Now().Before(x.request.Deadline)
+func (p *Proxy) beforeDeadline(ctx context.Context, x *exchange) bool {
+	return ctx.Err() == nil && p.Clock.Now().Before(x.request.Deadline)
 }
 
 // newRequestBody returns a body that can be read while the response is written; nil if there is
 // none.
-func (f *Proxy) newRequestBody(r *http.Request, out *httpResponder) *requestBody {
+func (p *Proxy) newRequestBody(r *http.Request, out *httpResponder) *requestBody {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -275,9 +275,9 @@
 	// which would delay the refusal of a caller that sends slowly.
 	_ = out.control.EnableFullDuplex()
 	out.expect = r.Header.Get("Expect") != ""
-	limits := f.Limits.withDefaults()
+	limits := p.Limits.withDefaults()
 	return &requestBody{
-		source: r.Body, clock: f.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody,
+		source: r.Body, clock: p.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody,
 		interrupt: func() { _ = out.control.SetReadDeadline(pastDeadline) },
 	}
 }
@@ -291,9 +291,9 @@
 }
 
 // responseFlow returns the flow of a response: to the origin, from a peer, or local.
-func responseFlow(x *exchange, a *response) Flow {
+func responseFlow(x *exchange, resp *response) Flow {
 	if x.request.Origin != "" {
 		return flowTo(x, x.request.Origin, true)
 	}
-	return flowTo(x, a.peer, false)
+	return flowTo(x, resp.peer, false)
 }
--- a/paproxy/fuzz_test.go
+++ b/paproxy/fuzz_test.go
@@ -77,7 +77,7 @@
 			frames = frames[1:]
 			return frame, nil
 		}
-		r := &frameReader{pieces: chunkChecker{declared: declared}, next: next, checkEnd: (&peerCall{}).checkEnd}
+		r := &frameReader{checker: chunkChecker{declared: declared}, next: next, checkEnd: (&peerCall{}).checkEnd}
 		got, err := io.ReadAll(r)
 		all := int64(len(first) + len(second))
 		good := offset == int64(len(first)) && length == all && (declared < 0 || declared == all) &&
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -51,11 +51,11 @@
 }
 
 // Fence reports to a peer whether a call it lost was started, and keeps the call from starting.
-func (f *Proxy) Fence(_ context.Context, q *pawire.FenceRequest) (*pawire.FenceReply, error) {
+func (p *Proxy) Fence(_ context.Context, q *pawire.FenceRequest) (*pawire.FenceReply, error) {
 	age := time.Duration(q.GetAgeMicroseconds()) * time.Microsecond
 	reply := &pawire.FenceReply{}
-	state := f.Calls.Fence(q.GetCall(), q.GetIncarnation(), age)
-	record(f.Events, paevent.CallFenced{Call: q.GetCall(), State: state.String()})
+	state := p.Calls.Fence(q.GetCall(), q.GetIncarnation(), age)
+	record(p.Events, paevent.CallFenced{Call: q.GetCall(), State: state.String()})
 	switch state {
 	case FenceNever:
 		reply.State = pawire.FenceState_FENCE_STATE_NEVER
@@ -68,47 +68,47 @@
 }
 
 // Forward handles a request from another entry VM.
-func (f *Proxy) Forward(stream pawire.DRPCForwarding_ForwardStream) error {
+func (p *Proxy) Forward(stream pawire.DRPCForwarding_ForwardStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return trace.Wrap(err)
 	}
 	open := first.GetOpen()
-	f.Stamps.Heard(open.GetStamp())
-	x, err := exchangeOf(open, f.Clock.Now())
+	p.Stamps.Heard(open.GetStamp())
+	x, err := exchangeOf(open, p.Clock.Now())
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	out := &peerResponder{stream: stream, stamps: f.Stamps}
-	if open.GetIncarnation() != 0 && open.GetIncarnation() != f.Calls.Incarnation {
+	out := &peerResponder{stream: stream, stamps: p.Stamps}
+	if open.GetIncarnation() != 0 && open.GetIncarnation() != p.Calls.Incarnation {
 		out.refuse(refusal{outcome: NotRun, reason: ReasonIncarnation, result: Result{Fault: FaultPeer}})
 		return nil
 	}
-	if !f.Calls.Accept(open.GetCall()) {
+	if !p.Calls.Accept(open.GetCall()) {
 		// Fenced or a duplicate: this copy doesn't run, but an earlier one may have run.
 		out.refuse(refusal{outcome: Unknown, reason: ReasonFenced, result: Result{Fault: FaultPeer}})
 		return nil
 	}
-	defer f.Calls.End(open.GetCall())
-	return f.serveForwarded(stream, open.GetCall(), x, out)
+	defer p.Calls.End(open.GetCall())
+	return p.serveForwarded(stream, open.GetCall(), x, out)
 }
 
 // serveForwarded handles an accepted call to its end.
-func (f *Proxy) serveForwarded(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
+func (p *Proxy) serveForwarded(stream pawire.DRPCForwarding_ForwardStream, id string, x *exchange, out *peerResponder) error {
 	accepted := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Accepted{Accepted: &pawire.ForwardAccepted{}}}
 	if err := stream.Send(accepted); err != nil {
 		return trace.Wrap(err)
 	}
-	ctx, cancel := paclock.WithTimeout(stream.Context(), f.Clock, x.request.Deadline.Sub(f.Clock.Now()))
+	ctx, cancel := paclock.WithTimeout(stream.Context(), p.Clock, x.request.Deadline.Sub(p.Clock.Now()))
 	defer cancel()
 	x.writeInterim = out.writeInterim
-	x.tryStart = func() bool { return f.beforeDeadline(ctx, x) && f.Calls.Start(id) }
+	x.tryStart = func() bool { return p.beforeDeadline(ctx, x) && p.Calls.Start(id) }
 	if x.request.Size != 0 {
-		b := f.receiveBody(ctx, out, x)
+		b := p.receiveBody(ctx, out, x)
 		defer x.body.finish()
 		defer b.stop()
 	}
-	f.reportEnd(x.request, f.handle(ctx, x, out))
+	p.reportEnd(x.request, p.handle(ctx, x, out))
 	return out.failure
 }
 
@@ -143,9 +143,9 @@
 }
 
 func (w *peerResponder) write(p []byte) error {
-	piece := &pawire.ForwardBody{Offset: w.sent, Data: p}
+	body := &pawire.ForwardBody{Offset: w.sent, Data: p}
 	w.sent += int64(len(p))
-	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: piece}})
+	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: body}})
 }
 
 func (w *peerResponder) finish(trailer http.Header) error {
@@ -161,7 +161,7 @@
 func (w *peerResponder) refuse(r refusal) {
 	_ = w.sendEnd(&pawire.ForwardEnd{
 		Outcome: int32(r.outcome), Reason: string(r.reason), Fault: string(r.result.Fault),
-		ComeBackMicroseconds: r.comeBack.Microseconds(), Draining: r.result.Draining,
+		ComeBackMicroseconds: r.retryAfter.Microseconds(), Draining: r.result.Draining,
 	})
 }
 
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -24,13 +24,13 @@
 )
 
 // parse validates a caller's request, or returns the refusal for it.
-func (f *Proxy) parse(r *http.Request) (*exchange, *refusal) {
-	now := f.Clock.Now()
+func (p *Proxy) parse(r *http.Request) (*exchange, *refusal) {
+	now := p.Clock.Now()
 	service, uri, ok := splitPath(r)
 	if !ok {
 		return nil, reject(ReasonNoService)
 	}
-	terms, ok := f.Services.Timeouts(service)
+	timeouts, ok := p.Services.Timeouts(service)
 	if !ok {
 		return nil, reject(ReasonNoService)
 	}
@@ -45,15 +45,15 @@
 	if hasAmbiguousFraming(r) {
 		return nil, reject(ReasonFraming)
 	}
-	if limit := f.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
+	if limit := p.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
 		return nil, reject(ReasonTooLarge)
 	}
 	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: addressOf(r)}
-	if !parseIdentity(r.Header, &request) || !parseDeadline(r.Header, terms, &request) {
+	if !parseIdentity(r.Header, &request) || !parseDeadline(r.Header, timeouts, &request) {
 		return nil, reject(ReasonBadRequest)
 	}
 	if request.ID == "" {
-		request.ID = f.NewID()
+		request.ID = p.NewID()
 	}
 	request.Digest = requestDigest(r.Method, uri, r.ContentLength)
 	request.Safe, request.Idempotent = semantics(r.Method)
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -88,8 +88,8 @@
 
 // connect returns a connection to the address: an idle one, or a new one if there is none or fresh
 // is set.
-func (p *PeerClient) connect(ctx context.Context, address netip.AddrPort, fresh bool) (*peerConn, error) {
-	for !fresh {
+func (p *PeerClient) connect(ctx context.Context, address netip.AddrPort, forceNew bool) (*peerConn, error) {
+	for !forceNew {
 		c, ok := p.connections().Take(address)
 		if !ok {
 			break
@@ -145,22 +145,22 @@
 // send forwards the request. A call that was lost on a reused connection and certainly not started
 // is sent once more on a new connection: the connection is at fault, not the peer.
 func (p *PeerClient) send(ctx context.Context, x *exchange, to Forward) (*response, Result) {
-	for fresh := false; ; fresh = true {
-		a, result, again := p.sendOnce(ctx, x, to, fresh)
-		if !again || fresh || x.bodyRead() || ctx.Err() != nil {
-			return a, result
+	for forceNew := false; ; forceNew = true {
+		resp, result, retry := p.sendOnce(ctx, x, to, forceNew)
+		if !retry || forceNew || x.bodyRead() || ctx.Err() != nil {
+			return resp, result
 		}
 	}
 }
 
 // sendOnce makes one call. The last result reports whether the call may succeed on a new
 // connection.
-func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, fresh bool) (*response, Result, bool) {
-	begun := p.Clock.Now()
+func (p *PeerClient) sendOnce(ctx context.Context, x *exchange, to Forward, forceNew bool) (*response, Result, bool) {
+	start := p.Clock.Now()
 	if !x.tryStart() {
-		return nil, notStarted(ctx, begun, x), false
+		return nil, notStarted(ctx, start, x), false
 	}
-	c, err := p.connect(ctx, to.Address, fresh)
+	c, err := p.connect(ctx, to.Address, forceNew)
 	if err != nil {
 		r := Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer, NewConnection: true}
 		if ctx.Err() != nil {
@@ -170,13 +170,13 @@
 	}
 	// Read reused now: after its end the call no longer owns the connection.
 	reused := c.reused
-	k := &peerCall{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: begun}
-	a, result := k.run(ctx)
-	result.TimeToHeader, result.NewConnection = p.Clock.Since(begun), !reused
-	if a != nil {
-		a.result = result
+	call := &peerCall{peers: p, to: to, x: x, conn: c, id: p.NewCallID(), sent: start}
+	resp, result := call.run(ctx)
+	result.TimeToHeader, result.NewConnection = p.Clock.Since(start), !reused
+	if resp != nil {
+		resp.result = result
 	}
-	return a, result, reused && result.Outcome == NotRun && result.Reason == ReasonPeerLost
+	return resp, result, reused && result.Outcome == NotRun && result.Reason == ReasonPeerLost
 }
 
 // peerConnKey is the context key of the connection that a call arrived on.
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -87,10 +87,10 @@
 }
 
 // errConnectionBudget is returned when this entry VM's share of the target's connections is in use.
-var errConnectionBudget = trace.LimitExceeded("all connections to the target are in use")
+var errConnectionBudget = trace.LimitExceeded("this entry VM's connections to the target are all in use")
 
 // errSecondDial is returned when a connection's transport tries to open a second connection.
-var errSecondDial = trace.ConnectionProblem(nil, "the connection is gone")
+var errSecondDial = trace.ConnectionProblem(nil, "the connection to the target is closed")
 
 // connect returns an idle connection with a response less than maxAge ago, or a new one.
 func (t *TargetClient) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -39,21 +39,21 @@
 	}
 }
 
-func (w *httpResponder) writeHead(a responseHead) error {
+func (w *httpResponder) writeHead(head responseHead) error {
 	w.headWritten = true
 	h := w.writer.Header()
-	addAll(h, a.header)
+	addAll(h, head.header)
 	h.Set(OutcomeHeader, Answered.String())
 	h.Set(RequestIDHeader, string(w.id))
 	h.Del("Content-Length")
-	if a.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
+	if head.length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(head.length, 10))
 	}
-	for _, name := range a.trailerNames {
+	for _, name := range head.trailerNames {
 		h.Add("Trailer", name)
 	}
-	w.writer.WriteHeader(a.status)
-	w.flushEach = a.length < 0
+	w.writer.WriteHeader(head.status)
+	w.flushEach = head.length < 0
 	if w.flushEach {
 		return w.control.Flush()
 	}
@@ -99,11 +99,11 @@
 	body := Refusal{Outcome: r.outcome.String(), Reason: r.reason, Request: w.id}
 	if r.result.concluded {
 		body.Status = r.result.Status
-		body.ComeBack = r.comeBack.Milliseconds()
+		body.ComeBack = r.retryAfter.Milliseconds()
 	}
 	status := statusOf(r)
 	if status == http.StatusServiceUnavailable {
-		wait := max(r.comeBack, MinRetryAfter)
+		wait := max(r.retryAfter, MinRetryAfter)
 		h.Set("Retry-After", strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10))
 		body.ComeBack = wait.Milliseconds()
 		h.Set(ComeBackHeader, strconv.FormatInt(body.ComeBack, 10))
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -19,7 +19,7 @@
 )
 
 // errSilent is the cause of a send that was cancelled because its connection was silent.
-var errSilent = trace.ConnectionProblem(nil, "the connection is silent")
+var errSilent = trace.ConnectionProblem(nil, "no data on the connection within the timeout")
 
 // targetSend is one request on one connection to a target.
 type targetSend struct {
@@ -57,9 +57,9 @@
 			t.putUnused(c)
 			return nil, notStarted(ctx, t.Clock.Now(), x)
 		}
-		a, result, again := t.sendOn(ctx, x, c)
-		if !again {
-			return a, result
+		resp, result, retry := t.sendOn(ctx, x, c)
+		if !retry {
+			return resp, result
 		}
 		maxAge = t.nextMaxAge(c, maxAge, result)
 	}
@@ -111,32 +111,32 @@
 // sendOn sends the request on the connection. The last result reports whether another connection
 // may be tried.
 func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*response, Result, bool) {
-	begun := t.Clock.Now()
+	start := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
 	s := &targetSend{targets: t, conn: c, cancel: cancel, writesBefore: c.tracked.writesStarted()}
 	r := s.request(sendCtx, x)
 	stop := s.watchSilence(x)
-	resp, err := c.transport.RoundTrip(r) //nolint:bodyclose // the answer closes it
+	httpResp, err := c.transport.RoundTrip(r) //nolint:bodyclose // closed by response.close
 	stop()
 	s.endInterim()
 	if err != nil {
-		result, again := s.failed(ctx, sendCtx, x, err)
-		result.TimeToHeader = t.Clock.Since(begun)
+		result, retry := s.failed(ctx, sendCtx, x, err)
+		result.TimeToHeader = t.Clock.Since(start)
 		cancel(nil)
-		return nil, result, again
+		return nil, result, retry
 	}
-	a := s.newResponse(x, resp)
-	a.result.TimeToHeader = t.Clock.Since(begun)
-	if r, refused := s.rejectResponse(x, resp); refused {
+	resp := s.newResponse(x, httpResp)
+	resp.result.TimeToHeader = t.Clock.Since(start)
+	if r, refused := s.rejectResponse(x, httpResp); refused {
 		if r.Outcome == NotRun {
 			// Read a short refusal to its end, so that the connection can be reused.
-			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
+			_, _ = io.CopyN(io.Discard, resp.body, chunkSize)
 		}
-		a.close()
-		r.TimeToHeader = a.result.TimeToHeader
+		resp.close()
+		r.TimeToHeader = resp.result.TimeToHeader
 		return nil, r, false
 	}
-	return a, a.result, false
+	return resp, resp.result, false
 }
 
 // request returns the request for the target.
@@ -180,7 +180,7 @@
 const maxInterim = 16
 
 // errInterim is returned when a target exceeds maxInterim.
-var errInterim = trace.LimitExceeded("more than %d interim answers", maxInterim)
+var errInterim = trace.LimitExceeded("more than %d interim responses", maxInterim)
 
 // forwardInterim passes an interim response on while the request waits for its final one.
 func (s *targetSend) forwardInterim(x *exchange, code int, h http.Header) error {
@@ -298,29 +298,29 @@
 
 // rejectResponse returns the result for a response that must not be relayed; false means that it
 // may be.
-func (s *targetSend) rejectResponse(x *exchange, resp *http.Response) (Result, bool) {
+func (s *targetSend) rejectResponse(x *exchange, httpResp *http.Response) (Result, bool) {
 	r := Result{
-		Outcome: Unknown, Fault: FaultTarget, Status: resp.StatusCode,
-		NewConnection: !s.conn.reused, Draining: resp.Header.Get(DrainingHeader) == "true",
+		Outcome: Unknown, Fault: FaultTarget, Status: httpResp.StatusCode,
+		NewConnection: !s.conn.reused, Draining: httpResp.Header.Get(DrainingHeader) == "true",
 	}
-	s.targets.Stamps.Heard(resp.Header.Get(StampHeader))
-	said := resp.Header.Get(RequestIDHeader)
+	s.targets.Stamps.Heard(httpResp.Header.Get(StampHeader))
+	gotID := httpResp.Header.Get(RequestIDHeader)
 	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
-	case said != string(x.request.ID) && (said != "" || strict):
+	case gotID != string(x.request.ID) && (gotID != "" || strict):
 		// The response to another request: late, surplus or mismatched. Matching by order would deliver
 		// it to the wrong caller.
 		r.Reason = ReasonWrongIdentity
 		record(s.targets.Events, paevent.IdentityMismatch{
-			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: said,
+			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: gotID,
 		})
-	case resp.StatusCode == http.StatusSwitchingProtocols:
+	case httpResp.StatusCode == http.StatusSwitchingProtocols:
 		r.Reason = ReasonUnframedAnswer
-	case closeDelimited(x.request.Method, resp):
+	case closeDelimited(x.request.Method, httpResp):
 		r.Reason = ReasonUnframedAnswer
-	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(OutcomeHeader) == NotRun.String():
+	case httpResp.StatusCode == http.StatusServiceUnavailable && httpResp.Header.Get(OutcomeHeader) == NotRun.String():
 		r.Outcome, r.Reason, r.Fault = NotRun, ReasonShed, FaultShed
-		r.RetryAfter = retryAfter(resp.Header)
+		r.RetryAfter = retryAfter(httpResp.Header)
 	default:
 		return Result{}, false
 	}
@@ -330,8 +330,8 @@
 // closeDelimited reports whether the end of the response is marked only by the end of its
 // connection, so that a truncated response looks complete.
 func closeDelimited(method string, r *http.Response) bool {
-	none := bodiless(method, r.StatusCode)
-	return !none && r.ContentLength < 0 && len(r.TransferEncoding) == 0
+	empty := bodiless(method, r.StatusCode)
+	return !empty && r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
 // maxRetryAfter limits the Retry-After of a target.
@@ -347,33 +347,33 @@
 }
 
 // newResponse returns the target's response, ready to be relayed.
-func (s *targetSend) newResponse(x *exchange, resp *http.Response) *response {
-	a := &response{
-		responseHead: responseHead{status: resp.StatusCode, header: endToEnd(resp.Header), length: resp.ContentLength},
-		body:         resp.Body,
+func (s *targetSend) newResponse(x *exchange, httpResp *http.Response) *response {
+	resp := &response{
+		responseHead: responseHead{status: httpResp.StatusCode, header: endToEnd(httpResp.Header), length: httpResp.ContentLength},
+		body:         httpResp.Body,
 		result: Result{
-			Status: resp.StatusCode, NewConnection: !s.conn.reused,
-			Draining: resp.Header.Get(DrainingHeader) == "true",
+			Status: httpResp.StatusCode, NewConnection: !s.conn.reused,
+			Draining: httpResp.Header.Get(DrainingHeader) == "true",
 		},
-		trailer: func() http.Header { return endToEnd(resp.Trailer) },
+		trailer: func() http.Header { return endToEnd(httpResp.Trailer) },
 	}
-	for name := range resp.Trailer {
-		a.trailerNames = append(a.trailerNames, name)
+	for name := range httpResp.Trailer {
+		resp.trailerNames = append(resp.trailerNames, name)
 	}
-	identified := resp.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
-	end := &eofReader{source: resp.Body}
-	a.body = end
-	a.close = func() { s.finish(end.atEOF && identified && !resp.Close, resp) }
-	return a
+	identified := httpResp.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
+	body := &eofReader{source: httpResp.Body}
+	resp.body = body
+	resp.close = func() { s.finish(body.atEOF && identified && !httpResp.Close, httpResp) }
+	return resp
 }
 
 // finish returns the connection to the pool after a complete response, or closes it. A connection
 // whose response was abandoned is never reused, because the next request could read the rest of it.
-func (s *targetSend) finish(whole bool, resp *http.Response) {
+func (s *targetSend) finish(complete bool, httpResp *http.Response) {
 	defer s.cancel(nil)
 	s.body.stop()
-	resp.Body.Close()
-	if whole && s.conn.tracked.alive() {
+	httpResp.Body.Close()
+	if complete && s.conn.tracked.alive() {
 		s.targets.put(s.conn)
 		return
 	}
--- a/paproxy/wire.go
+++ b/paproxy/wire.go
@@ -8,7 +8,7 @@
 )
 
 // errSealed is returned by writes to a sealed connection.
-var errSealed = trace.ConnectionProblem(nil, "the connection has been given up")
+var errSealed = trace.ConnectionProblem(nil, "write to a sealed connection")
 
 // trackedConn is a connection that counts the writes started on it.
 //
