--- a/paproxy/bench_test.go
+++ b/paproxy/bench_test.go
@@ -16,18 +16,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// benchSize is the size of an answer: a page of slots or of thumbnails' names.
+// benchSize is the size of a response: a page of slots or of thumbnail names.
 const benchSize = 1 << 10
 
-// BenchmarkPath measures one request over each way in the same run: straight to the target, by one
-// entry VM, and by two. "request" is the time of requests one after another; "CPU-µs/op" is the
-// processor time of the whole process, callers and target too, so that the difference between ways is
-// the path's own part.
+// BenchmarkPath measures one request per path in the same run: directly to the target, through one
+// entry VM, and through two. The p50 and p99 metrics are request times. "CPU-µs/op" is the
+// processor time of the whole process, including callers and target, so the difference between two
+// paths is the cost of the proxying.
 func BenchmarkPath(b *testing.B) {
 	page := make([]byte, benchSize)
 	target := echoTarget(b, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(page) })
-	origin, owner := benchFronts(b, target)
-	for _, way := range []struct {
+	origin, owner := benchProxies(b, target)
+	for _, path := range []struct {
 		name, url string
 		callers   int
 	}{
@@ -38,37 +38,40 @@
 		{"local-16", owner + "/Services/s/", 16},
 		{"forwarded-16", origin + "/Services/s/", 16},
 	} {
-		b.Run(way.name, func(b *testing.B) { benchWay(b, way.url, way.callers) })
+		b.Run(path.name, func(b *testing.B) { benchPath(b, path.url, path.callers) })
 	}
 }
 
-// benchFronts returns the addresses of an entry VM that forwards all and of the owner of the target.
-func benchFronts(b *testing.B, target netip.AddrPort) (origin, owner string) {
+// benchProxies returns the addresses of an entry VM that forwards all requests and of the one that
+// owns the target.
+func benchProxies(b *testing.B, target netip.AddrPort) (origin, owner string) {
 	clock := clockwork.NewRealClock()
 	dial := (&net.Dialer{}).DialContext
 	local := &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return Local{Address: target} }),
-		Services: anyService{}, Clock: clock, NewID: counter("l"), Targets: &TargetClient{Clock: clock, Dial: dial},
+		Services: anyService{}, Clock: clock, NewID: sequentialIDs("l"), Targets: &TargetClient{Clock: clock, Dial: dial},
 		Calls: &CallRegistry{Incarnation: 1, Clock: clock},
 	}
 	peer := serveForwarding(b, local)
-	calls := counter("c")
+	calls := sequentialIDs("c")
 	remote := &Proxy{
 		Placer: placeFunc(func(context.Context, Request) Placement {
 			return Forward{Entry: "e2", Address: peer, Incarnation: 1}
 		}),
-		Services: anyService{}, Clock: clock, NewID: counter("r"),
+		Services: anyService{}, Clock: clock, NewID: sequentialIDs("r"),
 		Peers: &PeerClient{Self: "e1", Dial: dial, Clock: clock, NewCallID: func() string { return string(calls()) }},
 	}
 	b.Cleanup(func() {
 		_ = remote.Peers.Close()
 		local.Targets.Close()
 	})
-	return "http://" + serve(b, Limits{}.Server(remote), NewFramingListener).String(), "http://" + serve(b, Limits{}.Server(local), NewFramingListener).String()
+	return "http://" + serve(b, Limits{}.Server(remote), NewFramingListener).String(),
+		"http://" + serve(b, Limits{}.Server(local), NewFramingListener).String()
 }
 
-// benchWay sends b.N requests by the callers and reports the distribution.
-func benchWay(b *testing.B, url string, callers int) {
+// benchPath sends b.N requests with the given number of concurrent callers and reports the
+// distribution of their times.
+func benchPath(b *testing.B, url string, callers int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
 	times := make([]time.Duration, b.N)
@@ -108,7 +111,7 @@
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "CPU-µs/op")
 }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the CPU time used by the process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -250,7 +250,10 @@
 	}
 	c.end = e
 	if Outcome(e.GetOutcome()) != Answered {
-		return peerError{trace.ConnectionProblem(nil, "the peer ended the response before its body was complete"), Reason(e.GetReason()), Fault(e.GetFault())}
+		return peerError{
+			trace.ConnectionProblem(nil, "the peer ended the response before its body was complete"),
+			Reason(e.GetReason()), Fault(e.GetFault()),
+		}
 	}
 	if err := p.end(e.GetLength()); err != nil {
 		return peerProtocolError(err)
--- a/paproxy/failure_test.go
+++ b/paproxy/failure_test.go
@@ -16,9 +16,9 @@
 	"papayahead/pastand"
 )
 
-// A camera shows footage that ends in grey: the library's target dies in the middle of an answer, the
-// entry VM ends its own answer in good order, and the caller takes the half for the whole.
-func TestCutAnswerNeverEndsCleanly(t *testing.T) {
+// Guards against a truncated response that looks complete: a target fails in the middle of a
+// response, and the entry VM ends its own response to the caller cleanly.
+func TestTruncatedResponseNeverEndsCleanly(t *testing.T) {
 	for name, f := range map[string]pastand.Faults{
 		"declared length": {CloseMidBody: true},
 		"chunked":         {Truncate: true},
@@ -29,7 +29,7 @@
 			p := newPair(t)
 			p.target.Inject(f)
 			for _, place := range []Placement{p.local(), p.forward()} {
-				p.front.Placer = placeFunc(func(_ context.Context, r Request) Placement {
+				p.proxy.Placer = placeFunc(func(_ context.Context, r Request) Placement {
 					if r.Attempt > 1 {
 						return Refuse{Reason: "Budget"}
 					}
@@ -41,7 +41,7 @@
 					g.Expect(r.outcome()).To(Equal("Unknown"))
 					continue
 				}
-				g.Expect(r.err).To(HaveOccurred(), "%T: %d bytes looked whole", place, len(r.body))
+				g.Expect(r.err).To(HaveOccurred(), "%T: %d bytes looked complete", place, len(r.body))
 				last := p.results.last()
 				g.Expect(last.Outcome).To(Equal(Unknown))
 				g.Expect(last.Fault).To(Equal(FaultTarget))
@@ -51,31 +51,31 @@
 	}
 }
 
-// A team sees another team's booking: a target answers the first request after its deadline, or sends
-// more than it declared, and the connection's next request gets what was left over.
-func TestLeftoversReachNoOtherRequest(t *testing.T) {
+// Guards against delivering a response to the wrong caller: a target responds after the deadline,
+// or sends more than it declared, and the next request on the connection reads what was left over.
+func TestSurplusResponseReachesNoOtherRequest(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
 	var before sync.Map
-	late := &rawTarget{answer: func(w io.Writer, r *http.Request, c, n int) bool {
+	late := &rawTarget{respond: func(w io.Writer, r *http.Request, c, n int) bool {
 		id := r.Header.Get(RequestIDHeader)
 		if last, _ := before.Swap(c, id); last == "twice" {
-			plain(w, "twice", "left over")
+			writeResponse(w, "twice", "left over")
 		}
 		switch id {
 		case "surplus":
-			plain(w, id, "own")
-			plain(w, id, "left over")
+			writeResponse(w, id, "own")
+			writeResponse(w, id, "left over")
 		case "late":
 			time.Sleep(500 * time.Millisecond)
-			plain(w, id, "late")
+			writeResponse(w, id, "late")
 		default:
-			plain(w, id, "own of "+id)
+			writeResponse(w, id, "own of "+id)
 		}
 		return true
 	}}
 	late.start(t)
-	b.front.Placer = placeFunc(func(context.Context, Request) Placement { return Local{Address: late.address} })
+	b.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return Local{Address: late.address} })
 	for i := range 18 {
 		kind := []string{"surplus", "late", "twice"}[i%3]
 		first := b.ask("GET", "/Services/s/", kind, "", DeadlineHeader, "100")
@@ -93,9 +93,9 @@
 	}
 }
 
-// Two teams ask at once and get each other's slots, because a target answers under crossed identities
-// on a connection of its own for each: order alone can't tell, only the identity can.
-func TestCrossedAnswersAreDropped(t *testing.T) {
+// Guards against swapped responses: a target sends responses with mismatched request IDs, each on
+// its own connection, so that their order gives no hint. Only the request ID shows the mismatch.
+func TestMismatchedResponsesAreDropped(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
 	b.target.Inject(pastand.Faults{WrongIdentity: true})
@@ -105,8 +105,8 @@
 	g.Expect(b.results.last().Reason).To(Equal(ReasonWrongIdentity))
 }
 
-// A caller hangs up in the middle of a long answer; the next caller on the same connection to the
-// target would read the rest of it.
+// Guards against delivering a response to the wrong caller: a caller disconnects in the middle of a
+// long response, and the next request on the same connection to the target reads the rest of it.
 func TestCancelledConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
@@ -121,45 +121,46 @@
 		cancel()
 		response.Body.Close()
 		id := fmt.Sprintf("after%d", i)
-		g.Expect(whole(b.ask("GET", "/Services/s/?Size=5000", id, ""), id, 5000)).To(BeTrue())
+		g.Expect(complete(b.ask("GET", "/Services/s/?Size=5000", id, ""), id, 5000)).To(BeTrue())
 	}
-	g.Eventually(func() int { return b.front.Targets.open(b.address) }).Should(BeNumerically("<=", 1))
+	g.Eventually(func() int { return b.proxy.Targets.open(b.address) }).Should(BeNumerically("<=", 1))
 }
 
-// A small school pays its deposit twice: the POST goes out on a reused connection that the target
-// closes after reading it, and net/http, given the Idempotency-Key, sends it again on a new one.
-func TestKeyedPostOnDyingConnectionIsSentOnce(t *testing.T) {
+// Guards against a double payment: a POST is sent on a reused connection, which the target closes
+// after reading it, and net/http resends it on a new connection because of its Idempotency-Key.
+func TestKeyedPostOnClosedConnectionIsSentOnce(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
-	target := &rawTarget{answer: func(w io.Writer, r *http.Request, c, n int) bool {
+	target := &rawTarget{respond: func(w io.Writer, r *http.Request, c, n int) bool {
 		if n == 2 {
 			return false
 		}
-		plain(w, r.Header.Get(RequestIDHeader), "ok")
+		writeResponse(w, r.Header.Get(RequestIDHeader), "ok")
 		return true
 	}}
 	target.start(t)
-	b.front.Placer = placeFunc(func(context.Context, Request) Placement {
+	b.proxy.Placer = placeFunc(func(context.Context, Request) Placement {
 		return Local{Address: target.address, Done: b.results.add}
 	})
 	g.Expect(b.ask("GET", "/Services/deposits/", "warm", "").status).To(Equal(http.StatusOK))
 	r := b.ask("POST", "/Services/deposits/", "pay", "", KeyHeader, "deposit-17")
 	g.Expect(target.count("pay")).To(Equal(1))
 	g.Expect(r.status).To(Equal(http.StatusBadGateway))
-	g.Expect(r.outcome()).To(Equal("Unknown"), "the target had the whole request: it may have run")
+	g.Expect(r.outcome()).To(Equal("Unknown"), "the target received the complete request and may have run it")
 	g.Expect(b.results.last().Fault).To(Equal(FaultConnection))
 	g.Expect(b.dials.Load()).To(Equal(int64(1)))
 }
 
-// A caller is told "not run" and books elsewhere, while the first booking stands: its bytes had left
-// when the connection broke. NotRun needs that no write started.
-func TestNotRunOnlyWithoutAWrite(t *testing.T) {
+// Guards against a false NotRun: a connection breaks after the request's bytes were sent, the
+// caller is told NotRun and books elsewhere, but the first booking was made. NotRun requires that
+// no write was started.
+func TestNotRunOnlyWithoutWrite(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
-	broken := &rawTarget{answer: func(io.Writer, *http.Request, int, int) bool { return false }}
+	broken := &rawTarget{respond: func(io.Writer, *http.Request, int, int) bool { return false }}
 	broken.start(t)
 	address := broken.address
-	b.front.Placer = placeFunc(func(_ context.Context, r Request) Placement {
+	b.proxy.Placer = placeFunc(func(_ context.Context, r Request) Placement {
 		if r.Attempt > 1 {
 			return Refuse{Reason: "Budget", RetryAfter: 1500 * time.Millisecond}
 		}
@@ -170,7 +171,7 @@
 	r = b.ask("GET", "/Services/s/", "repeated", "")
 	g.Expect(r.outcome()).To(Equal("Unknown"), "the first attempt may have run, whatever the second says")
 
-	address = serveNothing(t)
+	address = closedAddress(t)
 	r = b.ask("POST", "/Services/s/", "unwritten", "x")
 	g.Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(r.outcome()).To(Equal("NotRun"))
@@ -186,22 +187,22 @@
 	g.Expect(executions(b.target, "shed")).To(Equal(0))
 }
 
-// Library browsing stalls although every target answers others at once: a middlebox lost track of the
-// open connections, requests on them vanish, and the target gets the blame.
+// Guards against stalled requests: a middlebox drops the state of open connections, requests on
+// them are lost without an error, and the target is blamed although it responds to others at once.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
-	b.front.Targets.MaxReuseAge = 20 * time.Millisecond
-	b.front.Targets.SilenceTimeout = 100 * time.Millisecond
-	forgetful := &rawTarget{answer: func(w io.Writer, r *http.Request, c, n int) bool {
+	b.proxy.Targets.MaxReuseAge = 20 * time.Millisecond
+	b.proxy.Targets.SilenceTimeout = 100 * time.Millisecond
+	dropping := &rawTarget{respond: func(w io.Writer, r *http.Request, c, n int) bool {
 		if n == 1 {
-			plain(w, r.Header.Get(RequestIDHeader), "ok")
+			writeResponse(w, r.Header.Get(RequestIDHeader), "ok")
 		}
 		return true
 	}}
-	forgetful.start(t)
-	b.front.Placer = placeFunc(func(context.Context, Request) Placement {
-		return Local{Address: forgetful.address, Done: b.results.add}
+	dropping.start(t)
+	b.proxy.Placer = placeFunc(func(context.Context, Request) Placement {
+		return Local{Address: dropping.address, Done: b.results.add}
 	})
 	for i, method := range []string{"GET", "GET", "POST", "POST"} {
 		r := b.ask(method, "/Services/library/", fmt.Sprintf("r%d", i), "", DeadlineHeader, "2000")
@@ -209,20 +210,20 @@
 		g.Expect(b.results.last().Fault).To(Equal(FaultNone))
 		time.Sleep(40 * time.Millisecond)
 	}
-	g.Expect(forgetful.count("r2")).To(Equal(1))
-	g.Expect(forgetful.count("r3")).To(Equal(1))
+	g.Expect(dropping.count("r2")).To(Equal(1))
+	g.Expect(dropping.count("r3")).To(Equal(1))
 }
 
-// A target that closed its idle connections, as it may at any time, must not cost a request.
+// A target may close its idle connections at any time; no request may fail because of it.
 func TestConnectionClosedWhileIdleCostsNothing(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
-	polite := &rawTarget{answer: func(w io.Writer, r *http.Request, c, n int) bool {
-		plain(w, r.Header.Get(RequestIDHeader), "ok")
+	closing := &rawTarget{respond: func(w io.Writer, r *http.Request, c, n int) bool {
+		writeResponse(w, r.Header.Get(RequestIDHeader), "ok")
 		return false
 	}}
-	polite.start(t)
-	b.front.Placer = placeFunc(func(context.Context, Request) Placement { return Local{Address: polite.address, MaxConnections: 2} })
+	closing.start(t)
+	b.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return Local{Address: closing.address, MaxConnections: 2} })
 	for i := range 10 {
 		r := b.ask("POST", "/Services/s/", fmt.Sprintf("r%d", i), "x")
 		g.Expect(r.status).To(Equal(http.StatusOK), "request %d", i)
@@ -230,28 +231,29 @@
 	}
 }
 
-// As above, but the close was noticed by the connection's transport alone, in the very moment of the
-// send: no write started, so that another connection may take the request.
-func TestConnectionGoneAtTheSendIsReplaced(t *testing.T) {
+// Like TestConnectionClosedWhileIdleCostsNothing, but only the connection's http.Transport has
+// noticed the close when the request is sent. No write was started, so another connection may take
+// the request.
+func TestConnectionClosedDuringSendIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
 	var attempts atomic.Int64
-	b.front.Placer = placeFunc(func(_ context.Context, r Request) Placement {
+	b.proxy.Placer = placeFunc(func(_ context.Context, r Request) Placement {
 		attempts.Store(int64(r.Attempt))
 		return b.local()
 	})
 	g.Expect(b.ask("GET", "/Services/s/", "warm", "").status).To(Equal(http.StatusOK))
-	b.front.Targets.mutex.Lock()
-	c := b.front.Targets.pools[b.address].idle[0]
+	b.proxy.Targets.mutex.Lock()
+	c := b.proxy.Targets.pools[b.address].idle[0]
 	c.transport.CloseIdleConnections()
 	c.tracked = &trackedConn{Conn: c.tracked.Conn}
-	b.front.Targets.mutex.Unlock()
+	b.proxy.Targets.mutex.Unlock()
 	g.Expect(b.ask("POST", "/Services/s/", "paid", "").status).To(Equal(http.StatusOK))
 	g.Expect(executions(b.target, "paid")).To(Equal(1))
-	g.Expect(attempts.Load()).To(Equal(int64(1)), "the Placer hears of one attempt a request")
+	g.Expect(attempts.Load()).To(Equal(int64(1)), "the Placer is told of one attempt per request")
 }
 
-// closeHook runs a function before it closes.
+// closeHook calls before and then closes the connection.
 type closeHook struct {
 	net.Conn
 	before func()
@@ -262,8 +264,9 @@
 	return c.Conn.Close()
 }
 
-// A write loop that runs on after RoundTrip gave up must not send what was just called not run: the
-// count that seal returns is final, even for a write between the count and the close.
+// Guards against a false NotRun: net/http's write loop runs on after RoundTrip has returned and
+// sends a request that was reported as NotRun. The count that seal returns must be final, even for
+// a write between the count and the close.
 func TestSealedConnectionWritesNothing(t *testing.T) {
 	g := NewWithT(t)
 	near, far := net.Pipe()
@@ -279,20 +282,20 @@
 	g.Expect(late).To(HaveOccurred())
 }
 
-// A target with 330 connections over all entry VMs closes those beyond them in anyone's face, so each
-// entry VM keeps to its own part, and says that nothing ran where it has none left.
+// A target accepts 330 connections from all entry VMs together and closes any beyond these. Each
+// entry VM must stay within its share, and report NotRun if none of its connections is free.
 func TestConnectionBudgetIsKept(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
 	place := b.local()
 	place.MaxConnections = 1
-	b.front.Placer = placeFunc(func(_ context.Context, r Request) Placement {
+	b.proxy.Placer = placeFunc(func(_ context.Context, r Request) Placement {
 		if r.Attempt > 1 {
 			return Refuse{Reason: r.Previous.Reason}
 		}
 		return place
 	})
-	done := make(chan reply)
+	done := make(chan callerResponse)
 	go func() { done <- b.ask("GET", "/Services/s/?Class=brief", "first", "") }()
 	g.Eventually(b.target.InFlight).Should(Equal(1))
 	r := b.ask("GET", "/Services/s/", "second", "")
@@ -302,12 +305,12 @@
 	g.Expect(b.ask("GET", "/Services/s/", "third", "").status).To(Equal(http.StatusOK))
 }
 
-// The deadline goes along, and a request whose caller is gone stops running at the target.
+// The target must get the deadline, and must stop running a request whose caller has disconnected.
 func TestDeadlineAndCancellationReachTheTarget(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
 	for _, place := range []Placement{p.local(), p.forward()} {
-		p.front.Placer = placeFunc(func(context.Context, Request) Placement { return place })
+		p.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return place })
 		r := p.ask("POST", "/Services/s/?Class=slow", "deadline", "x", DeadlineHeader, "200")
 		g.Expect(r.outcome()).To(Equal("Unknown"))
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/paproxy/fence_test.go
+++ b/paproxy/fence_test.go
@@ -12,14 +12,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// cutConn closes itself once the switch is set and limit bytes more have been read.
+// cutConn closes itself after armed is set and limit more bytes have been read.
 type cutConn struct {
 	net.Conn
 	armed *atomic.Bool
 	limit int64
-	// swallow makes the armed connection take writes and deliver nothing, as a forgotten one does.
-	swallow bool
-	// halfOpen keeps the other side from hearing that the connection is closed.
+	// dropWrites makes the armed connection accept writes and deliver nothing, like one whose state a
+	// middlebox dropped.
+	dropWrites bool
+	// halfOpen keeps the other side from seeing the close.
 	halfOpen bool
 }
 
@@ -43,7 +44,7 @@
 }
 
 func (c *cutConn) Write(p []byte) (int, error) {
-	if c.armed.Load() && c.swallow {
+	if c.armed.Load() && c.dropWrites {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -60,8 +61,8 @@
 	}
 }
 
-// refuseAgain places the first attempt and refuses all others.
-func refuseAgain(p func() Placement) Placer {
+// firstAttemptOnly places the first attempt and refuses all later ones.
+func firstAttemptOnly(p func() Placement) Placer {
 	return placeFunc(func(_ context.Context, r Request) Placement {
 		if r.Attempt > 1 {
 			return Refuse{Reason: r.Previous.Reason, RetryAfter: time.Second}
@@ -70,69 +71,70 @@
 	})
 }
 
-// A restored archive ends in its middle without an error: the link between two regions broke, and the
-// origin closed the caller's answer as if all had come.
-func TestForwardedAnswerCutBetweenEntries(t *testing.T) {
+// Guards against a truncated response that looks complete: the connection between two entry VMs
+// breaks in the middle of a response, and the origin ends its own response to the caller cleanly.
+func TestForwardedResponseCutBetweenEntryVMs(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
 	var armed atomic.Bool
 	armed.Store(true)
-	p.wrapper = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed, limit: 150_000} })
+	p.wrapConn = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed, limit: 150_000} })
 	for _, query := range []string{"?Size=300000", "?Size=300000&Chunked=true"} {
 		r := p.ask("GET", "/Services/archive/"+query, "cut", "")
 		if r.err != nil {
 			g.Expect(p.results.last().Outcome).To(Equal(Unknown))
 			g.Expect(p.results.last().Fault).To(Equal(FaultPeer))
-			p.wrapper = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed, limit: 150_000} })
+			p.wrapConn = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed, limit: 150_000} })
 			continue
 		}
-		g.Expect(r.err).To(HaveOccurred(), "%d bytes looked whole", len(r.body))
+		g.Expect(r.err).To(HaveOccurred(), "%d bytes looked complete", len(r.body))
 	}
 }
 
-// A repair shop is told "not run" and books again; then the first copy, which waited in a queue of a
-// peer that did not hear of the broken connection, runs as well. The fence must keep it from starting.
+// Guards against a false NotRun: the connection of a forwarded call breaks while the call waits in
+// the peer's queue, the caller is told NotRun and books again, and then the queued copy runs as
+// well. The fence must keep it from starting.
 func TestFencedCallNeverStarts(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
-	p.wrapper = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &atomic.Bool{}, halfOpen: true} })
+	p.wrapConn = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &atomic.Bool{}, halfOpen: true} })
 	t.Cleanup(func() { p.eachConn(func(c net.Conn) { c.Close() }) })
-	p.front.Placer = refuseAgain(func() Placement { return p.forward() })
-	queued, thaw, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	p.proxy.Placer = firstAttemptOnly(func() Placement { return p.forward() })
+	queued, resume, left := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	p.owner.Placer = placeFunc(func(context.Context, Request) Placement {
 		close(queued)
-		// A queue that does not see its context end, as in a process that is paused.
-		<-thaw
+		// The queue ignores the end of its context, as in a process that is paused.
+		<-resume
 		place := p.local()
 		place.Done = func(Result) { close(left) }
 		return place
 	})
-	done := make(chan reply)
+	done := make(chan callerResponse)
 	go func() { done <- p.ask("POST", "/Services/reservations/", "booked", "") }()
 	<-queued
 	p.eachConn(func(c net.Conn) { _ = c.SetReadDeadline(pastDeadline) })
 	r := <-done
 	g.Expect(r.outcome()).To(Equal("NotRun"))
 	g.Expect(r.status).To(Equal(http.StatusServiceUnavailable))
-	close(thaw)
+	close(resume)
 	<-left
 	g.Expect(executions(p.target, "booked")).To(Equal(0))
 }
 
-// A paused peer wakes up after the deadline with a queued request in hand and sends it to the target,
-// though its caller has long gone elsewhere.
-func TestThawedPeerDoesNotStartPastTheDeadline(t *testing.T) {
+// Guards against a late start: a peer is paused past the deadline of a queued request and sends it
+// to the target when it resumes, although its caller has gone elsewhere.
+func TestPausedPeerDoesNotStartAfterDeadline(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
-	p.front.Peers.FenceTimeout = 50 * time.Millisecond
-	p.front.Placer = refuseAgain(func() Placement { return p.local() })
+	p.proxy.Peers.FenceTimeout = 50 * time.Millisecond
+	p.proxy.Placer = firstAttemptOnly(func() Placement { return p.local() })
 	g.Expect(p.ask("GET", "/Services/reservations/", "warm", "").status).To(Equal(http.StatusOK))
-	p.front.Placer = refuseAgain(func() Placement { return p.forward() })
+	p.proxy.Placer = firstAttemptOnly(func() Placement { return p.forward() })
 	clock := clockwork.NewFakeClockAt(time.Unix(1000, 0))
 	p.owner.Clock, p.owner.Calls.Clock = clock, clock
 	left := make(chan Result, 1)
 	p.owner.Placer = placeFunc(func(context.Context, Request) Placement {
-		// The pause: the clock has gone on, while no timer of the process has fired yet.
+		// Simulates a pause: the clock has advanced, but no timer of the process has fired yet.
 		p.owner.Clock = clockwork.NewFakeClockAt(time.Unix(1010, 0))
 		place := p.local()
 		place.Done = func(r Result) { left <- r }
@@ -144,14 +146,15 @@
 	g.Expect(executions(p.target, "late")).To(Equal(0))
 }
 
-// A plan charge runs, but the peer's reply is lost; "not run" would let the customer pay twice.
-func TestLostReplyOfAStartedCallIsUnknown(t *testing.T) {
+// Guards against a double payment: a charge runs, but the peer's reply is lost. The origin must not
+// report NotRun.
+func TestLostReplyOfStartedCallIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
 	var armed atomic.Bool
-	p.wrapper = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed} })
-	p.front.Placer = refuseAgain(func() Placement { return p.forward() })
-	done := make(chan reply)
+	p.wrapConn = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed} })
+	p.proxy.Placer = firstAttemptOnly(func() Placement { return p.forward() })
+	done := make(chan callerResponse)
 	go func() { done <- p.ask("POST", "/Services/billing/?Class=brief", "charged", "") }()
 	g.Eventually(p.target.InFlight).Should(Equal(1))
 	armed.Store(true)
@@ -160,15 +163,15 @@
 	g.Expect(executions(p.target, "charged")).To(Equal(1))
 }
 
-// A peer restarts and has forgotten what it ran; asked for a call of its predecessor it must not say
-// "never".
-func TestRestartedPeerKnowsNothing(t *testing.T) {
+// Guards against a false NotRun after a restart: the peer no longer knows what its previous process
+// ran. Asked about a call to that process it must not answer FenceNever.
+func TestRestartedPeerReportsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
 	var armed atomic.Bool
-	p.wrapper = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed} })
-	p.front.Placer = refuseAgain(func() Placement { return p.forward() })
-	done := make(chan reply)
+	p.wrapConn = onFirst(func(c net.Conn) net.Conn { return &cutConn{Conn: c, armed: &armed} })
+	p.proxy.Placer = firstAttemptOnly(func() Placement { return p.forward() })
+	done := make(chan callerResponse)
 	go func() { done <- p.ask("POST", "/Services/billing/?Class=brief", "charged", "") }()
 	g.Eventually(p.target.InFlight).Should(Equal(1))
 	p.owner.Calls.mutex.Lock()
@@ -178,31 +181,31 @@
 	g.Expect((<-done).outcome()).To(Equal("Unknown"))
 
 	r := p.ask("POST", "/Services/billing/", "next", "")
-	g.Expect(r.outcome()).To(Equal("NotRun"), "the placement was for the predecessor")
+	g.Expect(r.outcome()).To(Equal("NotRun"), "the placement was for the previous process")
 	g.Expect(executions(p.target, "next")).To(Equal(0))
 }
 
-// The connection to a peer went silent for good; requests to the other region stall one by one while
-// new connections work.
+// Guards against requests to another region stalling one by one on a connection that is permanently
+// silent, while new connections work.
 func TestSilentPeerConnectionIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
-	p.front.Peers.AcceptTimeout = 100 * time.Millisecond
+	p.proxy.Peers.AcceptTimeout = 100 * time.Millisecond
 	var armed atomic.Bool
-	p.wrapper = onFirst(func(c net.Conn) net.Conn {
-		return &cutConn{Conn: c, armed: &armed, limit: 1 << 40, swallow: true}
+	p.wrapConn = onFirst(func(c net.Conn) net.Conn {
+		return &cutConn{Conn: c, armed: &armed, limit: 1 << 40, dropWrites: true}
 	})
 	g.Expect(p.ask("GET", "/Services/library/", "warm", "").status).To(Equal(http.StatusOK))
 	armed.Store(true)
 	r := p.ask("POST", "/Services/library/?Size=100", "share", "body")
-	g.Expect(whole(r, "share", 100)).To(BeTrue(), "%v", r)
+	g.Expect(complete(r, "share", 100)).To(BeTrue(), "%v", r)
 	g.Expect(executions(p.target, "share")).To(Equal(1))
 	g.Expect(p.results.last().Fault).To(Equal(FaultNone))
 }
 
-// A call that arrives after its fence, or twice, must not run, and one whose memory has expired must
-// not be taken for one that never came.
-func TestRegister(t *testing.T) {
+// A call that arrives after its fence, or twice, must not start. A call that was forgotten must not
+// be reported as never started.
+func TestCallRegistry(t *testing.T) {
 	g := NewWithT(t)
 	clock := clockwork.NewFakeClock()
 	r := &CallRegistry{Incarnation: 3, Clock: clock, Retention: 30 * time.Second, MaxCalls: 3}
@@ -217,9 +220,9 @@
 	g.Expect(r.Accept("b")).To(BeTrue())
 	g.Expect(r.Fence("b", 3, time.Second)).To(Equal(FenceNever))
 	g.Expect(r.Start("b")).To(BeFalse())
-	g.Expect(r.Accept("c")).To(BeFalse(), "the register is full")
+	g.Expect(r.Accept("c")).To(BeFalse(), "the registry is full")
 	r.End("a")
 	clock.Advance(31 * time.Second)
 	g.Expect(r.Accept("c")).To(BeTrue())
-	g.Expect(r.Fence("a", 3, 31*time.Second)).To(Equal(FenceUnknown), "it ran and is forgotten")
+	g.Expect(r.Fence("a", 3, 31*time.Second)).To(Equal(FenceUnknown), "it ran but was forgotten")
 }
--- a/paproxy/forward_test.go
+++ b/paproxy/forward_test.go
@@ -20,13 +20,14 @@
 	"papayahead/pawire"
 )
 
-// pair is an origin (the bench's front) that forwards all to an owner with the target.
-type pair struct {
-	*bench
-	owner   *Proxy
-	peer    netip.AddrPort
-	dials   atomic.Int64
-	wrapper func(net.Conn) net.Conn
+// entryPair is an origin, the testbed's proxy, that forwards all requests to an owner of the
+// target.
+type entryPair struct {
+	*testbed
+	owner        *Proxy
+	ownerAddress netip.AddrPort
+	dials        atomic.Int64
+	wrapConn     func(net.Conn) net.Conn
 
 	connsMutex sync.Mutex
 	conns      []net.Conn
@@ -34,17 +35,17 @@
 
 const ownerIncarnation = 7
 
-func newPair(t testing.TB) *pair {
-	p := &pair{bench: newBench(t)}
+func newPair(t testing.TB) *entryPair {
+	p := &entryPair{testbed: newBench(t)}
 	clock := clockwork.NewRealClock()
 	p.owner = &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return Local{Target: "t1", Address: p.address} }),
-		Services: anyService{}, Clock: clock, NewID: counter("owner"), Targets: p.front.Targets,
+		Services: anyService{}, Clock: clock, NewID: sequentialIDs("owner"), Targets: p.proxy.Targets,
 		Calls: &CallRegistry{Incarnation: ownerIncarnation, Clock: clock},
 	}
-	p.peer = serveForwarding(t, p.owner)
-	calls := counter("call")
-	p.front.Peers = &PeerClient{
+	p.ownerAddress = serveForwarding(t, p.owner)
+	calls := sequentialIDs("call")
+	p.proxy.Peers = &PeerClient{
 		Self: "e1", Clock: clock, NewCallID: func() string { return string(calls()) },
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
 			p.dials.Add(1)
@@ -55,22 +56,22 @@
 			p.connsMutex.Lock()
 			defer p.connsMutex.Unlock()
 			p.conns = append(p.conns, c)
-			if p.wrapper != nil {
-				c = p.wrapper(c)
+			if p.wrapConn != nil {
+				c = p.wrapConn(c)
 			}
 			return c, nil
 		},
 	}
-	p.front.Placer = placeFunc(func(context.Context, Request) Placement { return p.forward() })
-	t.Cleanup(func() { _ = p.front.Peers.Close() })
+	p.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return p.forward() })
+	t.Cleanup(func() { _ = p.proxy.Peers.Close() })
 	return p
 }
 
-func (p *pair) forward() Forward {
-	return Forward{Entry: "e2", Address: p.peer, Incarnation: ownerIncarnation, Done: p.results.add}
+func (p *entryPair) forward() Forward {
+	return Forward{Entry: "e2", Address: p.ownerAddress, Incarnation: ownerIncarnation, Done: p.results.add}
 }
 
-// serveForwarding serves the front's peers' port until the test ends.
+// serveForwarding serves drpc requests from peers until the test ends.
 func serveForwarding(t testing.TB, s pawire.DRPCForwardingServer) netip.AddrPort {
 	mux := drpcmux.New()
 	if err := pawire.DRPCRegisterForwarding(mux, s); err != nil {
@@ -86,7 +87,7 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func TestForwardAnswers(t *testing.T) {
+func TestForwardRelaysResponses(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair(t)
 	upload := bytes.Repeat([]byte("papaya"), 50_000)
@@ -103,14 +104,14 @@
 	} {
 		id := fmt.Sprintf("r%d", i)
 		r := p.ask(c.method, "/Services/library/x"+c.query, id, string(c.body))
-		g.Expect(whole(r, id, c.size)).To(BeTrue(), "%d %v %v", i, r.status, r.err)
+		g.Expect(complete(r, id, c.size)).To(BeTrue(), "%d %v %v", i, r.status, r.err)
 		g.Expect(r.outcome()).To(Equal("Answered"))
 		if c.body != nil {
 			g.Expect(r.header.Get(pastand.ReceivedHeader)).To(Equal(digest(c.body)))
 		}
 		g.Expect(executions(p.target, id)).To(Equal(1))
 	}
-	g.Expect(p.dials.Load()).To(Equal(int64(1)), "one connection serves calls one after another")
+	g.Expect(p.dials.Load()).To(Equal(int64(1)), "sequential calls share one connection")
 }
 
 func TestForwardStreamsBothWays(t *testing.T) {
@@ -129,7 +130,7 @@
 	g.Expect(response.Trailer.Get(pastand.DigestHeader)).To(Equal(pastand.BodyDigest("big", size)))
 }
 
-// zeros is an endless source.
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(p []byte) (int, error) {
@@ -137,8 +138,8 @@
 	return len(p), nil
 }
 
-// eachConn calls the function for each connection between the entry VMs.
-func (p *pair) eachConn(f func(net.Conn)) {
+// eachConn calls f for each connection between the entry VMs.
+func (p *entryPair) eachConn(f func(net.Conn)) {
 	p.connsMutex.Lock()
 	defer p.connsMutex.Unlock()
 	for _, c := range p.conns {
--- a/paproxy/fuzz_test.go
+++ b/paproxy/fuzz_test.go
@@ -16,8 +16,8 @@
 	"papayahead/pawire"
 )
 
-// FuzzForwardOpen feeds the first frame of a call with any bytes: it is refused with an error or
-// becomes an exchange that keeps to the bounds.
+// FuzzForwardOpen parses arbitrary bytes as a call's first frame: the frame must be refused with an
+// error or give an exchange within the limits.
 func FuzzForwardOpen(f *testing.F) {
 	for _, o := range []*pawire.ForwardOpen{
 		{},
@@ -55,8 +55,8 @@
 	})
 }
 
-// FuzzForwardBody feeds a sequence of frames as a body: it ends with io.EOF only if the pieces left no
-// gap and were as many bytes as declared and as said at the end.
+// FuzzForwardBody reads a body from arbitrary frames: it must end with io.EOF only if the chunks
+// are contiguous and add up to the declared length and to the length reported at the end.
 func FuzzForwardBody(f *testing.F) {
 	f.Add(int64(6), int64(6), "abc", "def", int64(3))
 	f.Add(int64(-1), int64(6), "abc", "def", int64(3))
@@ -88,7 +88,7 @@
 	})
 }
 
-// FuzzParseRequest feeds the front's parser with whatever net/http lets through.
+// FuzzParseRequest passes arbitrary requests that net/http accepts to the proxy's parser.
 func FuzzParseRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET /Services/s/x?y HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -100,13 +100,13 @@
 	} {
 		f.Add([]byte(s))
 	}
-	front := &Proxy{Services: anyService{}, Clock: clockwork.NewFakeClock(), NewID: counter("x")}
+	proxy := &Proxy{Services: anyService{}, Clock: clockwork.NewFakeClock(), NewID: sequentialIDs("x")}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 		if err != nil {
 			return
 		}
-		x, bad := front.parse(r)
+		x, bad := proxy.parse(r)
 		if bad != nil {
 			if bad.outcome != NotRun || statusOf(*bad) < 400 {
 				t.Fatalf("refused with %+v", bad)
--- a/paproxy/header.go
+++ b/paproxy/header.go
@@ -34,7 +34,9 @@
 
 // reservedHeaders are the fields that only this system sets; those of callers and targets are
 // removed.
-var reservedHeaders = []string{OutcomeHeader, ComeBackHeader, DrainingHeader, AttemptHeader, DeadlineHeader, RequestIDHeader, StampHeader}
+var reservedHeaders = []string{
+	OutcomeHeader, ComeBackHeader, DrainingHeader, AttemptHeader, DeadlineHeader, RequestIDHeader, StampHeader,
+}
 
 // endToEnd returns a copy of the header without hop-by-hop and reserved fields.
 func endToEnd(h http.Header) http.Header {
--- a/paproxy/proxy_test.go
+++ b/paproxy/proxy_test.go
@@ -35,7 +35,7 @@
 	return Timeouts{Default: 10 * time.Second, Max: 30 * time.Second}, n != "none"
 }
 
-// results collects the ends of attempts.
+// results collects the results of attempts.
 type results struct {
 	mutex sync.Mutex
 	all   []Result
@@ -56,9 +56,9 @@
 	return r.all[len(r.all)-1]
 }
 
-// bench is a caller, one entry VM and one stand-in target on loopback sockets.
-type bench struct {
-	front   *Proxy
+// testbed is a caller, one entry VM and one simulated target on loopback sockets.
+type testbed struct {
+	proxy   *Proxy
 	url     string
 	target  *pastand.Target
 	address netip.AddrPort
@@ -67,40 +67,40 @@
 	client  *http.Client
 }
 
-// counter returns identities.
-func counter(prefix string) func() RequestID {
+// sequentialIDs returns a generator of unique IDs.
+func sequentialIDs(prefix string) func() RequestID {
 	var n atomic.Int64
 	return func() RequestID { return RequestID(fmt.Sprintf("%s-%d", prefix, n.Add(1))) }
 }
 
-func newBench(t testing.TB) *bench {
-	b := &bench{}
+func newBench(t testing.TB) *testbed {
+	b := &testbed{}
 	clock := clockwork.NewRealClock()
 	b.target = &pastand.Target{
 		Name: "t1", Slots: 100, Clock: clock, Random: rand.New(rand.NewPCG(1, 1)),
 		RunTimes: map[string]pastand.RunTime{"": {}, "slow": {Mean: time.Minute}, "brief": {Mean: 50 * time.Millisecond}},
 	}
 	b.address = serve(t, b.target.Server(), b.target.Limit)
-	b.front = &Proxy{
+	b.proxy = &Proxy{
 		Placer:   placeFunc(func(context.Context, Request) Placement { return b.local() }),
-		Services: anyService{}, Clock: clock, NewID: counter("made"),
+		Services: anyService{}, Clock: clock, NewID: sequentialIDs("made"),
 		Targets: &TargetClient{Clock: clock, Dial: b.dial},
 	}
-	b.url = "http://" + serve(t, Limits{}.Server(b.front), NewFramingListener).String()
+	b.url = "http://" + serve(t, Limits{}.Server(b.proxy), NewFramingListener).String()
 	b.client = &http.Client{Transport: &http.Transport{}}
 	t.Cleanup(func() {
 		b.client.CloseIdleConnections()
-		b.front.Targets.Close()
+		b.proxy.Targets.Close()
 	})
 	return b
 }
 
-func (b *bench) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (b *testbed) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	b.dials.Add(1)
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-func (b *bench) local() Local { return Local{Target: "t1", Address: b.address, Done: b.results.add} }
+func (b *testbed) local() Local { return Local{Target: "t1", Address: b.address, Done: b.results.add} }
 
 // serve runs the server on a loopback port until the test ends.
 func serve(t testing.TB, s *http.Server, wrap func(net.Listener) net.Listener) netip.AddrPort {
@@ -113,8 +113,8 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// serveNothing returns an address that refuses connections.
-func serveNothing(t testing.TB) netip.AddrPort {
+// closedAddress returns an address that refuses connections.
+func closedAddress(t testing.TB) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -123,36 +123,37 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// open returns the number of connections to the target.
+// open returns the number of open connections to the target.
 func (t *TargetClient) open(address netip.AddrPort) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.pools[address].open
 }
 
-// reply is what a caller got.
-type reply struct {
+// callerResponse is what a caller received.
+type callerResponse struct {
 	status  int
 	header  http.Header
 	trailer http.Header
 	body    []byte
-	// err is a failure of the request or of its body.
+	// err is a failure of the request or of reading its response.
 	err error
 }
 
-func (r reply) outcome() string { return r.header.Get(OutcomeHeader) }
+func (r callerResponse) outcome() string { return r.header.Get(OutcomeHeader) }
 
-// ask sends a request under the identity; fields are alternating names and values.
-func (b *bench) ask(method, path, id, body string, fields ...string) reply {
+// ask sends a request with the given ID; fields are alternating header names and values.
+func (b *testbed) ask(method, path, id, body string, fields ...string) callerResponse {
 	var reader io.Reader
 	if body != "" {
 		reader = strings.NewReader(body)
 	}
 	r, err := http.NewRequest(method, b.url+path, reader)
 	if err != nil {
-		return reply{err: err}
+		return callerResponse{err: err}
 	}
-	// A caller that sent again by itself would hide who else does: see TestKeyedPost.
+	// A client that resends by itself would hide a resend by the proxy: see
+	// TestKeyedPostOnClosedConnectionIsSentOnce.
 	r.GetBody = nil
 	r.Header.Set(RequestIDHeader, id)
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -161,23 +162,23 @@
 	return b.do(r)
 }
 
-func (b *bench) do(r *http.Request) reply {
+func (b *testbed) do(r *http.Request) callerResponse {
 	response, err := b.client.Do(r)
 	if err != nil {
-		return reply{err: err}
+		return callerResponse{err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, trailer: response.Trailer, body: data, err: err}
+	return callerResponse{status: response.StatusCode, header: response.Header, trailer: response.Trailer, body: data, err: err}
 }
 
-// whole says that the reply is the body of the identity.
-func whole(r reply, id string, size int64) bool {
+// complete reports whether the response is the complete body for the ID.
+func complete(r callerResponse, id string, size int64) bool {
 	want, _ := io.ReadAll(pastand.Body(id, size))
 	return r.err == nil && r.status == http.StatusOK && string(r.body) == string(want)
 }
 
-// executions counts the target's executions of the identity.
+// executions counts the target's executions of the request with the ID.
 func executions(t *pastand.Target, id string) int {
 	n := 0
 	for _, e := range t.Executions() {
@@ -188,7 +189,7 @@
 	return n
 }
 
-func TestFrontAnswers(t *testing.T) {
+func TestProxyRelaysResponses(t *testing.T) {
 	g := NewWithT(t)
 	b := newBench(t)
 	for i, c := range []struct {
@@ -202,7 +203,7 @@
 	} {
 		id := fmt.Sprintf("r%d", i)
 		r := b.ask(c.method, "/Services/library/a%2Fb"+c.query, id, "")
-		g.Expect(whole(r, id, c.size)).To(BeTrue(), "%v", r)
+		g.Expect(complete(r, id, c.size)).To(BeTrue(), "%v", r)
 		g.Expect(r.outcome()).To(Equal("Answered"))
 		g.Expect(r.header.Get(RequestIDHeader)).To(Equal(id))
 		if c.method == "HEAD" {
--- a/paproxy/randomfault_test.go
+++ b/paproxy/randomfault_test.go
@@ -18,16 +18,17 @@
 	"papayahead/pastand"
 )
 
-// A fault seldom comes alone. Random requests run over both ways while the target misbehaves, callers
-// hang up, and connections between the entry VMs break at random bytes, heard of or not. Whatever
-// happens, the target's log must agree with what callers were told: "not run" did not run, a request
-// that is not idempotent ran at most once, and each answer that looks whole is the caller's own.
+// Guards against combinations of faults. Random requests take both paths while the target
+// misbehaves, callers disconnect, and connections between the entry VMs break after a random number
+// of bytes, with or without the other side seeing it. The target's log must agree with what callers
+// were told: a NotRun request did not run, a request that is not idempotent ran at most once, and
+// each response that looks complete is the caller's own.
 func TestPathUnderRandomFaults(t *testing.T) {
 	g := NewWithT(t)
 	const callers, each = 8, 50
 	p := newPair(t)
-	p.front.Peers.FenceTimeout, p.front.Peers.AcceptTimeout = 300*time.Millisecond, 100*time.Millisecond
-	p.front.Targets.MaxReuseAge = 5 * time.Millisecond
+	p.proxy.Peers.FenceTimeout, p.proxy.Peers.AcceptTimeout = 300*time.Millisecond, 100*time.Millisecond
+	p.proxy.Targets.MaxReuseAge = 5 * time.Millisecond
 	var mutex sync.Mutex
 	random := rand.New(rand.NewPCG(*pathSeed, 0))
 	draw := func(n int) int {
@@ -37,23 +38,23 @@
 	}
 	var armed atomic.Bool
 	armed.Store(true)
-	p.wrapper = func(c net.Conn) net.Conn {
+	p.wrapConn = func(c net.Conn) net.Conn {
 		if draw(3) == 0 {
 			return c
 		}
-		return &cutConn{Conn: c, armed: &armed, limit: int64(draw(20_000)), halfOpen: draw(2) == 0, swallow: draw(10) == 0}
+		return &cutConn{Conn: c, armed: &armed, limit: int64(draw(20_000)), halfOpen: draw(2) == 0, dropWrites: draw(10) == 0}
 	}
 	t.Cleanup(func() { p.eachConn(func(c net.Conn) { c.Close() }) })
-	p.front.Placer = placeFunc(func(context.Context, Request) Placement {
+	p.proxy.Placer = placeFunc(func(context.Context, Request) Placement {
 		switch draw(15) {
 		case 0:
 			return Refuse{Reason: "Full"}
 		case 1, 2, 3, 4, 5:
 			return Local{Address: p.address, MaxConnections: 12}
 		}
-		return Forward{Entry: "e2", Address: p.peer, Incarnation: ownerIncarnation}
+		return Forward{Entry: "e2", Address: p.ownerAddress, Incarnation: ownerIncarnation}
 	})
-	var told [3 + 1]atomic.Int64
+	var outcomes [3 + 1]atomic.Int64
 	var callersDone sync.WaitGroup
 	for c := range callers {
 		callersDone.Go(func() {
@@ -61,25 +62,25 @@
 				id := fmt.Sprintf("q%d-%d", c, n)
 				method := []string{http.MethodGet, http.MethodPost}[draw(2)]
 				if draw(8) == 0 {
-					p.target.Inject(randomFaults(draw(9)))
+					p.target.Inject(faultNumber(draw(9)))
 				}
 				size := int64(draw(9000))
 				r := p.ask(method, fmt.Sprintf("/Services/s/?Size=%d", size), id, "upload",
 					DeadlineHeader, fmt.Sprint(20+draw(400)), KeyHeader, id)
-				told[check(t, p, id, method, size, r)].Add(1)
+				outcomes[checkOutcome(t, p, id, method, size, r)].Add(1)
 			}
 		})
 	}
 	callersDone.Wait()
-	t.Logf("answered %d, not run %d, unknown or cut %d",
-		told[Answered].Load(), told[NotRun].Load(), told[Unknown].Load())
+	t.Logf("answered %d, not run %d, unknown or truncated %d",
+		outcomes[Answered].Load(), outcomes[NotRun].Load(), outcomes[Unknown].Load())
 	for _, o := range []Outcome{Answered, NotRun, Unknown} {
-		g.Expect(told[o].Load()).To(BeNumerically(">", 3), "too few %s to prove anything", o)
+		g.Expect(outcomes[o].Load()).To(BeNumerically(">", 3), "too few %s outcomes for a meaningful check", o)
 	}
 }
 
-// randomFaults returns the fault of the number; 0 to 2 and those beyond are none.
-func randomFaults(n int) pastand.Faults {
+// faultNumber returns the fault with the number; 0 to 2 and numbers beyond the list mean none.
+func faultNumber(n int) pastand.Faults {
 	switch n {
 	case 3:
 		return pastand.Faults{CloseMidBody: true}
@@ -98,8 +99,8 @@
 	}
 }
 
-// check sets what a caller was told against the target's log and returns it.
-func check(t *testing.T, p *pair, id, method string, size int64, r reply) Outcome {
+// checkOutcome checks what a caller was told against the target's log, and returns the outcome.
+func checkOutcome(t *testing.T, p *entryPair, id, method string, size int64, r callerResponse) Outcome {
 	runs := executions(p.target, id)
 	if method == http.MethodPost && runs > 1 {
 		t.Errorf("%s ran %d times", id, runs)
@@ -109,19 +110,19 @@
 		return Unknown
 	case r.outcome() == "NotRun":
 		if runs != 0 {
-			t.Errorf("%s was refused as not run and ran", id)
+			t.Errorf("%s was reported as NotRun but ran", id)
 		}
 		return NotRun
 	}
 	if r.status != http.StatusOK || digest(r.body) != pastand.BodyDigest(id, size) {
-		t.Errorf("%s got a wrong answer that looked whole: %d, %d bytes", id, r.status, len(r.body))
+		t.Errorf("%s got a wrong response that looked complete: %d, %d bytes", id, r.status, len(r.body))
 	}
 	return Answered
 }
 
-// The register against an oracle that remembers everything: what was called "never" never starts, and
-// what started is never called "never", whatever the order and however late.
-func TestRegisterAgainstOracle(t *testing.T) {
+// Compares CallRegistry with a model that forgets nothing: a call reported as FenceNever must never
+// start, and a started call must never be reported as FenceNever, in any order and however late.
+func TestCallRegistryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		r := &CallRegistry{Incarnation: 1, Clock: clock, Retention: 10 * time.Second, MaxCalls: 4}
@@ -135,7 +136,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				c := call.Draw(t, "call")
-				// A call is sent once; its frame arrives within the time that a connection lives.
+				// A call is sent once; its frame arrives within the lifetime of a connection.
 				if touch(c); clock.Since(sent[c]) < 5*time.Second {
 					r.Accept(c)
 				}
--- a/paproxy/rawtarget_test.go
+++ b/paproxy/rawtarget_test.go
@@ -11,18 +11,19 @@
 	"testing"
 )
 
-// rawTarget is a target whose answers are written byte by byte, beyond what net/http would send.
+// rawTarget is a target whose responses are written as raw bytes, including ones that net/http
+// would not send.
 type rawTarget struct {
-	// answer writes the answer to the request number n (from 1) of the connection number c (from 1);
-	// false closes the connection.
-	answer func(w io.Writer, r *http.Request, c, n int) bool
+	// respond writes the response to request number n on connection number c, both from 1. The
+	// connection is closed if it returns false.
+	respond func(w io.Writer, r *http.Request, c, n int) bool
 
 	address netip.AddrPort
 	mutex   sync.Mutex
 	seen    []string
 }
 
-// count returns how many requests with the identity arrived.
+// count returns how many requests with the ID arrived.
 func (t *rawTarget) count(id string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -68,13 +69,13 @@
 		t.mutex.Lock()
 		t.seen = append(t.seen, r.Header.Get(RequestIDHeader))
 		t.mutex.Unlock()
-		if !t.answer(conn, r, c, n) {
+		if !t.respond(conn, r, c, n) {
 			return
 		}
 	}
 }
 
-// plain writes a whole answer under the identity.
-func plain(w io.Writer, id, body string) {
+// writeResponse writes a complete response with the request ID.
+func writeResponse(w io.Writer, id, body string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", RequestIDHeader, id, len(body), body)
 }
--- a/paproxy/semantics_test.go
+++ b/paproxy/semantics_test.go
@@ -20,7 +20,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// echoTarget runs the handler as a target that repeats the request's identity.
+// echoTarget runs the handler as a target that repeats the request ID.
 func echoTarget(t testing.TB, h http.HandlerFunc) netip.AddrPort {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(RequestIDHeader, r.Header.Get(RequestIDHeader))
@@ -30,14 +30,14 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// everyWay runs the test over the local path and over the forwarded one.
-func everyWay(t *testing.T, target netip.AddrPort, test func(g *WithT, p *pair)) {
+// forEachPath runs the test with a local target and with a forwarded request.
+func forEachPath(t *testing.T, target netip.AddrPort, test func(g *WithT, p *entryPair)) {
 	for _, forwarded := range []bool{false, true} {
 		t.Run(fmt.Sprintf("forwarded=%t", forwarded), func(t *testing.T) {
 			p := newPair(t)
 			p.address = target
 			if !forwarded {
-				p.front.Placer = placeFunc(func(context.Context, Request) Placement { return p.local() })
+				p.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return p.local() })
 			}
 			test(NewWithT(t), p)
 		})
@@ -57,7 +57,7 @@
 			r.Trailer.Get("X-Up"), r.Header.Get("Te"), r.Header.Get(AttemptHeader))
 		w.Header().Set("X-Sum", "7")
 	})
-	everyWay(t, target, func(g *WithT, p *pair) {
+	forEachPath(t, target, func(g *WithT, p *entryPair) {
 		r, _ := http.NewRequest("POST", p.url+"/Services/s/a%2Fb//c?x=1;2", io.MultiReader(strings.NewReader("body")))
 		r.Header.Set("Connection", "X-Hop")
 		r.Header.Set("X-Hop", "1")
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestBodilessAndInterimAnswers(t *testing.T) {
+func TestBodilessAndInterimResponses(t *testing.T) {
 	target := echoTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/204":
@@ -93,7 +93,7 @@
 			_, _ = io.WriteString(w, "final")
 		}
 	})
-	everyWay(t, target, func(g *WithT, p *pair) {
+	forEachPath(t, target, func(g *WithT, p *entryPair) {
 		for _, status := range []int{204, 304} {
 			r := p.ask("GET", fmt.Sprintf("/Services/s/%d", status), "x", "")
 			g.Expect(r.err).NotTo(HaveOccurred())
@@ -115,18 +115,19 @@
 	})
 }
 
-// A phone on a dear link uploads a gigabyte only to be refused: 100-continue must wait for admission.
+// Guards against uploads that are refused after they were sent: 100 Continue must wait for
+// admission.
 func TestContinueOnlyAfterAdmission(t *testing.T) {
 	target := echoTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		n, _ := io.Copy(io.Discard, r.Body)
 		_, _ = fmt.Fprint(w, n)
 	})
-	everyWay(t, target, func(g *WithT, p *pair) {
-		admit := p.front.Placer
+	forEachPath(t, target, func(g *WithT, p *entryPair) {
+		admit := p.proxy.Placer
 		for _, refused := range []bool{false, true} {
-			p.front.Placer = admit
+			p.proxy.Placer = admit
 			if refused {
-				p.front.Placer = placeFunc(func(context.Context, Request) Placement { return Refuse{Reason: "Full"} })
+				p.proxy.Placer = placeFunc(func(context.Context, Request) Placement { return Refuse{Reason: "Full"} })
 			}
 			c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 			g.Expect(err).NotTo(HaveOccurred())
@@ -139,7 +140,7 @@
 				g.Expect(line).To(HavePrefix("HTTP/1.1 503"))
 				_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 				rest, err := io.ReadAll(b)
-				g.Expect(err).NotTo(HaveOccurred(), "the connection stays open for a body that nobody wants")
+				g.Expect(err).NotTo(HaveOccurred(), "the connection stays open to read the body of a refused request")
 				g.Expect(string(rest)).NotTo(ContainSubstring("HTTP/1.1 100"))
 				continue
 			}
@@ -155,13 +156,13 @@
 	})
 }
 
-// An attacker hides a second request behind framing that two readers take differently, sends headers
-// without end, or holds connections by sending nothing.
+// Guards against request smuggling by ambiguous framing, headers without end, and callers that hold
+// connections by sending nothing.
 func TestBadInputIsRefused(t *testing.T) {
 	b := newBench(t)
 	limits := Limits{MaxHeader: 8 << 10, HeaderTimeout: 100 * time.Millisecond, BodyIdleTimeout: 100 * time.Millisecond, MaxBody: 1000}
-	b.front.Limits = limits
-	address := serve(t, limits.Server(b.front), NewFramingListener).String()
+	b.proxy.Limits = limits
+	address := serve(t, limits.Server(b.proxy), NewFramingListener).String()
 	const post = "POST /Services/s/ HTTP/1.1\r\nHost: h\r\n"
 	for name, c := range map[string]struct{ sent, status string }{
 		"both framings":          {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400"},
@@ -179,8 +180,8 @@
 		"endless body":           {post + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("100\r\n"+strings.Repeat("x", 256)+"\r\n", 5), "413"},
 		"slow body":              {post + "Content-Length: 10\r\n\r\n12345", "502"},
 		"bad deadline":           {post + "Papaya-Deadline: -1\r\n\r\n", "400"},
-		"two identities":         {post + "Papaya-Request-Id: a\r\nPapaya-Request-Id: b\r\n\r\n", "400"},
-		"identity with spaces":   {post + "Papaya-Request-Id: a b\r\n\r\n", "400"},
+		"two request IDs":        {post + "Papaya-Request-Id: a\r\nPapaya-Request-Id: b\r\n\r\n", "400"},
+		"ID with spaces":         {post + "Papaya-Request-Id: a b\r\n\r\n", "400"},
 		"unknown service":        {"GET /Services/none/ HTTP/1.1\r\nHost: h\r\n\r\n", "404"},
 		"good chunked":           {post + "Transfer-Encoding: chunked\r\n\r\n5\r\n12345\r\n0\r\n\r\n", "200"},
 	} {
@@ -190,7 +191,8 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-			// A request in good order first: the watch must also know the second one's header.
+			// Send a valid request first: the framing check must also work for the connection's second
+			// request.
 			_, err = io.WriteString(conn, "GET /Services/s/ HTTP/1.1\r\nHost: h\r\n\r\n")
 			g.Expect(err).NotTo(HaveOccurred())
 			b := bufio.NewReader(conn)
@@ -209,14 +211,14 @@
 	NewWithT(t).Eventually(b.target.InFlight).Should(BeZero())
 }
 
-// A restore of a gigabyte must not stand in memory, at the origin or at the owner.
+// Neither the origin nor the owner may buffer a large body in memory.
 func TestStreamingMemoryIsBounded(t *testing.T) {
 	const size, bound = 128 << 20, 24 << 20
 	target := echoTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		_, _ = io.Copy(w, r.Body)
 	})
-	everyWay(t, target, func(g *WithT, p *pair) {
+	forEachPath(t, target, func(g *WithT, p *entryPair) {
 		r, _ := http.NewRequest("POST", p.url+"/Services/archive/", io.LimitReader(zeros{}, size))
 		before := heap()
 		response, err := p.client.Do(r)
