--- a/paentry/measure.go
+++ b/paentry/measure.go
@@ -22,7 +22,7 @@
 			d.post(pacontrol.Measured{Busy: share})
 		}
 		used, at = next, now
-		d.targets.Reap()
+		d.targets.CloseExpired()
 	}
 }
 
--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -20,22 +20,22 @@
 type requestBody struct {
 	source io.Reader
 	clock  clockwork.Clock
-	// idle limits each read; max limits the total in bytes, 0 means no limit.
-	idle time.Duration
-	max  int64
+	// idleTimeout limits each read; max limits the total in bytes, 0 means no limit.
+	idleTimeout time.Duration
+	maxBytes    int64
 	// interrupt unblocks a read in progress; the source can't be read afterwards.
 	interrupt func()
 	// pace is called with the size of each chunk before it is passed on; it may block.
 	pace func(bytes int) error
 
-	mutex   sync.Mutex
-	readers sync.WaitGroup
-	reading bool
-	started bool
-	ended   bool
-	atEnd   bool
-	count   int64
-	failure error
+	mutex     sync.Mutex
+	readers   sync.WaitGroup
+	reading   bool
+	started   bool
+	ended     bool
+	atEnd     bool
+	bytesRead int64
+	readError error
 }
 
 // newReader returns a reader for one attempt. It ends when it is closed.
@@ -75,7 +75,7 @@
 func (b *requestBody) state() (started bool, count int64, failure error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.started, b.count, b.failure
+	return b.started, b.bytesRead, b.readError
 }
 
 // read reads from the source on behalf of an attempt.
@@ -92,12 +92,12 @@
 	b.mutex.Lock()
 	b.reading = false
 	b.atEnd = err == io.EOF
-	b.count += int64(n)
-	if b.max > 0 && b.count > b.max {
+	b.bytesRead += int64(n)
+	if b.maxBytes > 0 && b.bytesRead > b.maxBytes {
 		n, err = 0, errBodyTooLarge
 	}
-	if err != nil && err != io.EOF && b.failure == nil {
-		b.failure = err
+	if err != nil && err != io.EOF && b.readError == nil {
+		b.readError = err
 	}
 	b.mutex.Unlock()
 	b.readers.Done()
@@ -111,7 +111,7 @@
 
 // readSource reads once from the source, within the idle timeout.
 func (b *requestBody) readSource(p []byte) (int, error) {
-	timer := b.clock.AfterFunc(b.idle, b.interrupt)
+	timer := b.clock.AfterFunc(b.idleTimeout, b.interrupt)
 	defer timer.Stop()
 	return b.source.Read(p)
 }
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -72,7 +72,7 @@
 	left -= min(left/4, maxDeadlineMargin)
 	silence := c.peers.Clock.AfterFunc(orDefault(c.peers.AcceptTimeout, DefaultAcceptTimeout), func() { c.cancel(errSilent) })
 	defer silence.Stop()
-	open := openOf(c.x, c.to, c.id, c.peers.Self, left)
+	open := newForwardOpen(c.x, c.to, c.id, c.peers.Self, left)
 	open.Stamp = c.peers.Stamps.Text()
 	if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
 		return nil, peerLostError(err)
@@ -91,7 +91,7 @@
 			if s.Head.GetStatus() >= http.StatusOK {
 				return s.Head, nil
 			}
-			c.x.writeInterim(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
+			c.x.writeInterim(int(s.Head.GetStatus()), fromFields(s.Head.GetHeader()))
 		case *pawire.ForwardFrame_End:
 			c.peers.Stamps.Heard(s.End.GetStamp())
 			c.end = s.End
@@ -121,8 +121,8 @@
 
 // sendBody sends the request's body and its trailer.
 func (c *peerCall) sendBody(pace func(int) error) error {
-	chunk := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(chunk)
+	chunk := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(chunk)
 	var offset int64
 	for {
 		n, err := c.body.Read(chunk[:])
@@ -139,7 +139,7 @@
 		if err == io.EOF {
 			end := &pawire.ForwardBodyEnd{Length: offset}
 			if c.x.trailer != nil {
-				end.Trailer = fieldsOf(c.x.trailer())
+				end.Trailer = toFields(c.x.trailer())
 			}
 			return ignoreEnd(c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_BodyEnd{BodyEnd: end}}))
 		}
@@ -222,12 +222,12 @@
 	body := &frameReader{checker: chunkChecker{declared: declared}, next: c.next, checkEnd: c.checkEnd}
 	return &response{
 		responseHead: responseHead{
-			status: int(h.GetStatus()), header: headerOf(h.GetHeader()),
+			status: int(h.GetStatus()), header: fromFields(h.GetHeader()),
 			length: h.GetLength(), trailerNames: h.GetTrailer(),
 		},
 		body:    body,
 		peer:    c.to.Entry,
-		trailer: func() http.Header { return headerOf(c.end.GetTrailer()) },
+		trailer: func() http.Header { return fromFields(c.end.GetTrailer()) },
 		close:   func() { c.finish(body.err == io.EOF) },
 	}
 }
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -34,7 +34,7 @@
 	limits := p.Limits.withDefaults()
 	x.body = &requestBody{
 		source: &frameReader{checker: chunkChecker{declared: x.request.Size}, next: b.next, checkEnd: b.checkEnd},
-		clock:  p.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody, interrupt: b.stop,
+		clock:  p.Clock, idleTimeout: limits.BodyIdleTimeout, maxBytes: limits.MaxBody, interrupt: b.stop,
 		pace: p.pacing(ctx, flowTo(x, x.request.Origin, false)),
 	}
 	x.trailer = func() http.Header { return b.trailer }
@@ -89,7 +89,7 @@
 	if err := p.end(end.GetLength()); err != nil {
 		return err
 	}
-	b.trailer = headerOf(end.GetTrailer())
+	b.trailer = fromFields(end.GetTrailer())
 	b.out.bodyReceived.Store(true)
 	return io.EOF
 }
--- a/paproxy/exchange.go
+++ b/paproxy/exchange.go
@@ -129,4 +129,4 @@
 // flight to 32 MB, and a chunk takes less than 1 ms on a 280 Mbit/s link.
 const chunkSize = 32 << 10
 
-var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
+var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -21,8 +21,8 @@
 	maxFields = 1000
 )
 
-// fieldsOf converts a header to wire fields.
-func fieldsOf(h http.Header) []*pawire.ForwardField {
+// toFields converts a header to wire fields.
+func toFields(h http.Header) []*pawire.ForwardField {
 	var fields []*pawire.ForwardField
 	for name, values := range h {
 		for _, v := range values {
@@ -32,8 +32,8 @@
 	return fields
 }
 
-// headerOf converts wire fields to a header with only end-to-end fields.
-func headerOf(fields []*pawire.ForwardField) http.Header {
+// fromFields converts wire fields to a header with only end-to-end fields.
+func fromFields(fields []*pawire.ForwardField) http.Header {
 	h := http.Header{}
 	for _, f := range fields[:min(len(fields), maxFields)] {
 		h.Add(f.GetName(), f.GetValue())
@@ -41,14 +41,14 @@
 	return endToEnd(h)
 }
 
-// openOf returns the first frame of a call.
-func openOf(x *exchange, to Forward, call string, origin pabundle.EntryName, left time.Duration) *pawire.ForwardOpen {
+// newForwardOpen returns the first frame of a call.
+func newForwardOpen(x *exchange, to Forward, call string, origin pabundle.EntryName, left time.Duration) *pawire.ForwardOpen {
 	o := &pawire.ForwardOpen{
 		Call: call, Origin: string(origin), Incarnation: to.Incarnation,
 		Request: string(x.request.ID), Service: string(x.request.Service), Key: x.request.Key,
 		Attempt: int32(x.request.Attempt), Credit: to.Credit, Target: string(to.Target),
 		LeftMicroseconds: left.Microseconds(), Method: x.request.Method, Uri: x.uri, Host: x.host,
-		Header: fieldsOf(x.header), Expect: x.expect, PatienceMicroseconds: to.MaxQueueWait.Microseconds(),
+		Header: toFields(x.header), Expect: x.expect, PatienceMicroseconds: to.MaxQueueWait.Microseconds(),
 	}
 	if x.body != nil {
 		o.Length = x.request.Size
@@ -60,9 +60,9 @@
 	return o
 }
 
-// exchangeOf validates a call's first frame and returns its exchange. The error names the invalid
+// exchangeFromOpen validates a call's first frame and returns its exchange. The error names the invalid
 // field.
-func exchangeOf(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
+func exchangeFromOpen(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
 	left := o.GetLeftMicroseconds()
 	switch {
 	case o.GetCall() == "" || len(o.GetCall()) > 2*maxIDLength:
@@ -95,7 +95,7 @@
 			Credit: o.GetCredit(), Target: pabundle.TargetName(o.GetTarget()),
 			MaxQueueWait: time.Duration(o.GetPatienceMicroseconds()) * time.Microsecond,
 		},
-		header: headerOf(o.GetHeader()), uri: o.GetUri(), host: o.GetHost(),
+		header: fromFields(o.GetHeader()), uri: o.GetUri(), host: o.GetHost(),
 		trailerNames: o.GetTrailer(), expect: o.GetExpect(),
 	}
 	x.header.Del("Content-Length")
@@ -141,20 +141,20 @@
 	next    func() (*pawire.ForwardFrame, error)
 	// checkEnd checks the frame that follows the body. It returns io.EOF if the body is complete.
 	checkEnd func(f *pawire.ForwardFrame, p *chunkChecker) error
-	rest     []byte
+	unread   []byte
 	err      error
 }
 
 // Read returns io.EOF only if the body is complete.
 func (r *frameReader) Read(p []byte) (int, error) {
-	for len(r.rest) == 0 {
+	for len(r.unread) == 0 {
 		if r.err != nil {
 			return 0, r.err
 		}
 		r.fill()
 	}
-	n := copy(p, r.rest)
-	r.rest = r.rest[n:]
+	n := copy(p, r.unread)
+	r.unread = r.unread[n:]
 	return n, nil
 }
 
@@ -171,7 +171,7 @@
 		return
 	}
 	if r.err = r.checker.add(b); r.err == nil {
-		r.rest = b.GetData()
+		r.unread = b.GetData()
 	}
 }
 
--- a/paproxy/fuzz_test.go
+++ b/paproxy/fuzz_test.go
@@ -39,7 +39,7 @@
 		if proto.Unmarshal(b, &frame) != nil {
 			return
 		}
-		x, err := exchangeOf(frame.GetOpen(), now)
+		x, err := exchangeFromOpen(frame.GetOpen(), now)
 		if err != nil {
 			return
 		}
@@ -108,7 +108,7 @@
 		}
 		x, bad := proxy.parse(r)
 		if bad != nil {
-			if bad.outcome != NotRun || statusOf(*bad) < 400 {
+			if bad.outcome != NotRun || refusalStatus(*bad) < 400 {
 				t.Fatalf("refused with %+v", bad)
 			}
 			return
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -75,7 +75,7 @@
 	}
 	open := first.GetOpen()
 	p.Stamps.Heard(open.GetStamp())
-	x, err := exchangeOf(open, p.Clock.Now())
+	x, err := exchangeFromOpen(open, p.Clock.Now())
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -109,36 +109,36 @@
 		defer b.stop()
 	}
 	p.reportEnd(x.request, p.handle(ctx, x, out))
-	return out.failure
+	return out.sendError
 }
 
 // peerResponder writes to the origin of a forwarded request.
 type peerResponder struct {
-	stream  pawire.DRPCForwarding_ForwardStream
-	stamps  *paevent.Stamper
-	sent    int64
-	failure error
+	stream    pawire.DRPCForwarding_ForwardStream
+	stamps    *paevent.Stamper
+	sent      int64
+	sendError error
 	// bodyReceived is set at the end of the request's body.
 	bodyReceived atomic.Bool
 }
 
 func (w *peerResponder) send(f *pawire.ForwardFrame) error {
 	err := w.stream.Send(f)
-	if err != nil && w.failure == nil {
-		w.failure = trace.Wrap(err)
+	if err != nil && w.sendError == nil {
+		w.sendError = trace.Wrap(err)
 	}
 	return err
 }
 
 func (w *peerResponder) writeInterim(status int, h http.Header) {
 	_ = w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Head{Head: &pawire.ForwardHead{
-		Status: int32(status), Header: fieldsOf(h),
+		Status: int32(status), Header: toFields(h),
 	}}})
 }
 
 func (w *peerResponder) writeHead(h responseHead) error {
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Head{Head: &pawire.ForwardHead{
-		Status: int32(h.status), Header: fieldsOf(h.header), Length: h.length, Trailer: h.trailerNames,
+		Status: int32(h.status), Header: toFields(h.header), Length: h.length, Trailer: h.trailerNames,
 	}}})
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (w *peerResponder) finish(trailer http.Header) error {
-	return w.sendEnd(&pawire.ForwardEnd{Outcome: int32(Answered), Length: w.sent, Trailer: fieldsOf(trailer)})
+	return w.sendEnd(&pawire.ForwardEnd{Outcome: int32(Answered), Length: w.sent, Trailer: toFields(trailer)})
 }
 
 func (w *peerResponder) abort(r Result) {
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -48,7 +48,7 @@
 	if limit := p.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
 		return nil, reject(ReasonTooLarge)
 	}
-	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: addressOf(r)}
+	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: callerAddress(r)}
 	if !parseIdentity(r.Header, &request) || !parseDeadline(r.Header, timeouts, &request) {
 		return nil, reject(ReasonBadRequest)
 	}
@@ -211,8 +211,8 @@
 	}
 }
 
-// addressOf returns the caller's address; zero if the connection has none.
-func addressOf(r *http.Request) netip.Addr {
+// callerAddress returns the caller's address; zero if the connection has none.
+func callerAddress(r *http.Request) netip.Addr {
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -143,7 +143,7 @@
 		t.pools[to.Address] = p
 	}
 	now := t.Clock.Now()
-	t.reap(p, now)
+	t.closeExpired(p, now)
 	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].respondedAt) <= maxAge {
 		c := p.idle[last]
 		p.idle = p.idle[:last]
@@ -161,11 +161,11 @@
 	return nil, nil
 }
 
-// reap closes idle connections that failed or are too old; the caller holds the lock.
-func (t *TargetClient) reap(p *pool, now time.Time) {
+// closeExpired closes idle connections that failed or are too old; the caller holds the lock.
+func (t *TargetClient) closeExpired(p *pool, now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.tracked.alive() && now.Sub(c.respondedAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
+		if c.tracked.usable() && now.Sub(c.respondedAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
 			kept = append(kept, c)
 			continue
 		}
@@ -223,13 +223,13 @@
 	p.idle = nil
 }
 
-// Reap closes idle connections that are too old; call it periodically.
-func (t *TargetClient) Reap() {
+// CloseExpired closes idle connections that are too old; call it periodically.
+func (t *TargetClient) CloseExpired() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.Clock.Now()
 	for address, p := range t.pools {
-		t.reap(p, now)
+		t.closeExpired(p, now)
 		if p.open == 0 {
 			delete(t.pools, address)
 		}
--- a/paproxy/proxy.go
+++ b/paproxy/proxy.go
@@ -172,8 +172,8 @@
 		out.interrupt()
 	})
 	defer timer.Stop()
-	chunk := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(chunk)
+	chunk := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(chunk)
 	var sent int64
 	for {
 		timer.Reset(idle)
@@ -277,7 +277,7 @@
 	out.expect = r.Header.Get("Expect") != ""
 	limits := p.Limits.withDefaults()
 	return &requestBody{
-		source: r.Body, clock: p.Clock, idle: limits.BodyIdleTimeout, max: limits.MaxBody,
+		source: r.Body, clock: p.Clock, idleTimeout: limits.BodyIdleTimeout, maxBytes: limits.MaxBody,
 		interrupt: func() { _ = out.control.SetReadDeadline(pastDeadline) },
 	}
 }
--- a/paproxy/registry.go
+++ b/paproxy/registry.go
@@ -41,7 +41,7 @@
 type callState int
 
 const (
-	callArrived callState = iota + 1
+	callAccepted callState = iota + 1
 	callStarted
 	callFenced
 )
@@ -61,7 +61,7 @@
 	if _, known := r.calls[call]; known || len(r.calls) >= orDefault(r.MaxCalls, DefaultMaxCalls) {
 		return false
 	}
-	r.set(call, callArrived)
+	r.set(call, callAccepted)
 	return true
 }
 
@@ -70,7 +70,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch r.calls[call] {
-	case callArrived, callStarted:
+	case callAccepted, callStarted:
 		r.set(call, callStarted)
 		return true
 	default:
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -101,7 +101,7 @@
 		body.Status = r.result.Status
 		body.ComeBack = r.retryAfter.Milliseconds()
 	}
-	status := statusOf(r)
+	status := refusalStatus(r)
 	if status == http.StatusServiceUnavailable {
 		wait := max(r.retryAfter, MinRetryAfter)
 		h.Set("Retry-After", strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10))
@@ -119,8 +119,8 @@
 // at once and add to the load that caused the refusal.
 const MinRetryAfter = 50 * time.Millisecond
 
-// statusOf returns the HTTP status of a refusal.
-func statusOf(r refusal) int {
+// refusalStatus returns the HTTP status of a refusal.
+func refusalStatus(r refusal) int {
 	switch r.reason {
 	case ReasonBadRequest, ReasonFraming:
 		return http.StatusBadRequest
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -373,7 +373,7 @@
 	defer s.cancel(nil)
 	s.body.stop()
 	httpResp.Body.Close()
-	if complete && s.conn.tracked.alive() {
+	if complete && s.conn.tracked.usable() {
 		s.targets.put(s.conn)
 		return
 	}
--- a/paproxy/trackedconn.go
+++ b/paproxy/trackedconn.go
@@ -20,7 +20,7 @@
 	net.Conn
 	mutex  sync.Mutex
 	sealed bool
-	dead   bool
+	closed bool
 	writes int
 }
 
@@ -41,7 +41,7 @@
 	n, err := c.Conn.Read(p)
 	if err != nil {
 		c.mutex.Lock()
-		c.dead = true
+		c.closed = true
 		c.mutex.Unlock()
 	}
 	return n, err
@@ -50,7 +50,7 @@
 // Close closes the connection and prevents its reuse.
 func (c *trackedConn) Close() error {
 	c.mutex.Lock()
-	c.dead = true
+	c.closed = true
 	c.mutex.Unlock()
 	return c.Conn.Close()
 }
@@ -62,17 +62,17 @@
 	return c.writes
 }
 
-// alive reports whether the connection is usable as far as is known here.
-func (c *trackedConn) alive() bool {
+// usable reports whether the connection is usable as far as is known here.
+func (c *trackedConn) usable() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return !c.dead && !c.sealed
+	return !c.closed && !c.sealed
 }
 
 // seal prevents further writes, closes the connection, and returns the final number of writes.
 func (c *trackedConn) seal() int {
 	c.mutex.Lock()
-	c.sealed, c.dead = true, true
+	c.sealed, c.closed = true, true
 	n := c.writes
 	c.mutex.Unlock()
 	c.Conn.Close()
