--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -20,7 +20,7 @@
 type requestBody struct {
 	source io.Reader
 	clock  clockwork.Clock
-	// idleTimeout limits each read; max limits the total in bytes, 0 means no limit.
+	// idleTimeout limits each read; maxBytes limits the total, 0 means no limit.
 	idleTimeout time.Duration
 	maxBytes    int64
 	// interrupt unblocks a read in progress; the source can't be read afterwards.
@@ -72,7 +72,7 @@
 
 // state reports whether an attempt has started to read, the number of bytes read, and the read
 // error of the source.
-func (b *requestBody) state() (started bool, count int64, failure error) {
+func (b *requestBody) state() (started bool, bytesRead int64, readError error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.started, b.bytesRead, b.readError
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -130,8 +130,8 @@
 			if err := pace(n); err != nil {
 				return err
 			}
-			frame := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
-			if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: frame}}); err != nil {
+			body := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
+			if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: body}}); err != nil {
 				return ignoreEnd(err)
 			}
 			offset += int64(n)
--- a/paproxy/peer.go
+++ b/paproxy/peer.go
@@ -86,8 +86,8 @@
 	return p.pool
 }
 
-// connect returns a connection to the address: an idle one, or a new one if there is none or fresh
-// is set.
+// connect returns a connection to the address: an idle one, or a new one if there is none or
+// forceNew is set.
 func (p *PeerClient) connect(ctx context.Context, address netip.AddrPort, forceNew bool) (*peerConn, error) {
 	for !forceNew {
 		c, ok := p.connections().Take(address)
--- a/paproxy/proxy.go
+++ b/paproxy/proxy.go
@@ -233,7 +233,8 @@
 	out.finishBody(body)
 	p.reportEnd(x.request, result)
 	if out.aborted {
-		// Abort the connection, so that the caller can't mistake the partial response for a complete one.
+		// net/http aborts the response and closes the connection, so that the caller can't mistake a
+		// partial response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
