--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -243,7 +243,7 @@
 }
 
 // checkEnd checks the frame that follows the response's body.
-func (c *peerCall) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
+func (c *peerCall) checkEnd(f *pawire.ForwardFrame, checker *chunkChecker) error {
 	e := f.GetEnd()
 	if e == nil {
 		return peerProtocolError(trace.BadParameter("unexpected frame in the response body"))
@@ -255,7 +255,7 @@
 			Reason(e.GetReason()), Fault(e.GetFault()),
 		}
 	}
-	if err := p.end(e.GetLength()); err != nil {
+	if err := checker.end(e.GetLength()); err != nil {
 		return peerProtocolError(err)
 	}
 	return io.EOF
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -81,12 +81,12 @@
 }
 
 // checkEnd checks the frame that follows the body.
-func (b *callBody) checkEnd(f *pawire.ForwardFrame, p *chunkChecker) error {
+func (b *callBody) checkEnd(f *pawire.ForwardFrame, c *chunkChecker) error {
 	end := f.GetBodyEnd()
 	if end == nil {
 		return trace.BadParameter("unexpected frame in the request body")
 	}
-	if err := p.end(end.GetLength()); err != nil {
+	if err := c.end(end.GetLength()); err != nil {
 		return err
 	}
 	b.trailer = fromFields(end.GetTrailer())
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -60,8 +60,8 @@
 	return o
 }
 
-// exchangeFromOpen validates a call's first frame and returns its exchange. The error names the invalid
-// field.
+// exchangeFromOpen validates a call's first frame and returns its exchange. The error names the
+// invalid field.
 func exchangeFromOpen(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
 	left := o.GetLeftMicroseconds()
 	switch {
@@ -111,25 +111,25 @@
 }
 
 // add checks the next chunk.
-func (p *chunkChecker) add(b *pawire.ForwardBody) error {
+func (c *chunkChecker) add(b *pawire.ForwardBody) error {
 	n := int64(len(b.GetData()))
-	if b.GetOffset() != p.count {
-		return trace.BadParameter("body chunk at offset %d, expected offset %d", b.GetOffset(), p.count)
+	if b.GetOffset() != c.count {
+		return trace.BadParameter("body chunk at offset %d, expected offset %d", b.GetOffset(), c.count)
 	}
 	if n > chunkSize {
 		return trace.BadParameter("body chunk of %d bytes is too large", n)
 	}
-	p.count += n
-	if p.declared >= 0 && p.count > p.declared {
-		return trace.BadParameter("body has at least %d bytes but declares %d", p.count, p.declared)
+	c.count += n
+	if c.declared >= 0 && c.count > c.declared {
+		return trace.BadParameter("body has at least %d bytes but declares %d", c.count, c.declared)
 	}
 	return nil
 }
 
 // end checks the length reported at the end.
-func (p *chunkChecker) end(length int64) error {
-	if p.count != length || p.declared >= 0 && p.count != p.declared {
-		return trace.BadParameter("received %d body bytes; the sender reports %d and declares %d", p.count, length, p.declared)
+func (c *chunkChecker) end(length int64) error {
+	if c.count != length || c.declared >= 0 && c.count != c.declared {
+		return trace.BadParameter("received %d body bytes; the sender reports %d and declares %d", c.count, length, c.declared)
 	}
 	return nil
 }
@@ -140,7 +140,7 @@
 	checker chunkChecker
 	next    func() (*pawire.ForwardFrame, error)
 	// checkEnd checks the frame that follows the body. It returns io.EOF if the body is complete.
-	checkEnd func(f *pawire.ForwardFrame, p *chunkChecker) error
+	checkEnd func(f *pawire.ForwardFrame, c *chunkChecker) error
 	unread   []byte
 	err      error
 }
--- a/paproxy/registry.go
+++ b/paproxy/registry.go
@@ -90,8 +90,8 @@
 
 // The states of a call.
 const (
-	// FenceUnknown means that nothing is known: the call was sent to another incarnation, or too long
-	// ago.
+	// FenceUnknown means that nothing is known: the call was sent to another incarnation or too long
+	// ago, or the registry is full.
 	FenceUnknown FenceState = iota
 	// FenceNever means that the call was not started and never will be.
 	FenceNever
@@ -111,8 +111,8 @@
 	}
 }
 
-// Fence reports whether a call was started that was sent to the incarnation the given time ago, and
-// keeps it from starting otherwise.
+// Fence reports whether a call that was sent to the incarnation the given time ago was started. If
+// it returns FenceNever, it keeps the call from starting.
 func (r *CallRegistry) Fence(call string, incarnation uint64, age time.Duration) FenceState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -162,7 +162,7 @@
 		return
 	}
 	_ = w.control.Flush()
-	if touched, _, _ := b.state(); touched || !w.expect {
+	if started, _, _ := b.state(); started || !w.expect {
 		b.drain(maxDrainBytes, drainTimeout)
 	}
 	if !b.complete() {
