--- a/pagate/doc.go
+++ b/pagate/doc.go
@@ -1,7 +1,15 @@
-// Package pagate is the daemon of an entry VM that sends each request straight to a target.
+// Package pagate is the daemon of an entry VM: a reverse proxy that forwards each client request directly to a
+// target.
 //
-// A Gate serves callers over HTTP, answers their look-ups, follows the platform's store, registers
-// itself there under a lease, and exchanges what it knows with neighbours. Where a request goes is
-// decided by pasteer; what is known of the deployment is kept by pafleet. One goroutine owns that
-// knowledge; requests read an immutable snapshot of it.
+// A Gate serves client requests over HTTP, answers look-ups of entry VM addresses, follows the platform's store,
+// keeps itself registered there under a lease, and exchanges state with neighbouring entry VMs. Package pasteer
+// chooses the target of a request; package pafleet holds what is known of the deployment. One goroutine, the control
+// loop, owns that state; requests read immutable snapshots of it.
+//
+// A target is warm for an object that it handled lately, and handles further requests for it faster; otherwise the
+// request runs cold. Entry VMs tell each other in warm notes which targets are warm for which objects.
+//
+// A few entry VMs, the store readers, watch the store on behalf of all others, which sync from them. One entry VM at
+// a time is the limiter: each entry VM has a share of every workspace's rate limit, and the limiter keeps the rest in
+// token pools.
 package pagate
--- a/pagate/follow.go
+++ b/pagate/follow.go
@@ -13,47 +13,51 @@
 )
 
 const (
-	// readPace is the least time between two readings of the store: changes that come together, as in a
-	// roll-out of targets, share one call.
-	readPace = 600 * time.Millisecond
-	// watchMost is how long the store is known to have had no change at the most: a watch that waits costs one call
-	// however long it is, but one whose connection went silent hears nothing for that time.
-	watchMost = time.Second
-	// watchesPerBound is how many watches a bound on the age of what is known has room for.
-	watchesPerBound = 10
-	// maxAge is the age of what is known at which neighbours are asked for more, and the first of them reads the store
-	// in the place of those that should have: a watch, a call by which a neighbour asks, and the ways of both.
-	maxAge = watchMost + syncPace + 500*time.Millisecond
-	// latestMargin is how long before a change must be in force the last entry VM reads by itself.
-	latestMargin = 300 * time.Millisecond
-	// storeTimeout bounds a call; the store answers in 4 ms, and a silent connection shows no error.
-	storeTimeout = watchMost + 500*time.Millisecond
-	// readers is how many entry VMs read the store for all, at the least, and entriesPerReader how many ask one
-	// of them in a large deployment: twice a second each, about a hundredth of a core.
-	readers          = 2
+	// minReadInterval is the least time between two reads of the store: changes that come together, as in a
+	// rolling update of targets, then share one call.
+	minReadInterval = 600 * time.Millisecond
+	// maxWatchTime bounds how long a watch waits. Each watch costs one call whatever its length, but one whose
+	// connection went silent learns nothing for that time.
+	maxWatchTime = time.Second
+	// watchesPerRevocation is how many watches fit into the time within which a revoked key must be rejected.
+	watchesPerRevocation = 10
+	// maxAge is the age of the state from which an entry VM asks further neighbours, and the first of them reads
+	// the store in place of the store readers. It covers a watch, the interval of calls to neighbours, and the
+	// network delays of both.
+	maxAge = maxWatchTime + syncInterval + 500*time.Millisecond
+	// propagationMargin is how long before MaxPropagation the last entry VM reads the store itself.
+	propagationMargin = 300 * time.Millisecond
+	// storeTimeout bounds a call to the store. The store responds within 4 ms; a connection that went silent
+	// reports no error.
+	storeTimeout = maxWatchTime + 500*time.Millisecond
+	// minStoreReaders is the least number of entry VMs that read the store for all. In a large deployment there
+	// is one for every entriesPerReader entry VMs: each asks twice a second, which costs the reader about a
+	// hundredth of a core.
+	minStoreReaders  = 2
 	entriesPerReader = 50
-	// leaseLife is how long a registration outlives its entry VM; a look-up must not name a dead one
+	// registrationTTL is how long a registration outlives its entry VM; look-ups must not name a dead entry VM
 	// for more than 7 s.
-	leaseLife = 5 * time.Second
-	// renewPace is how often the lease is renewed: two renewals may fail.
-	renewPace = 1700 * time.Millisecond
+	registrationTTL = 5 * time.Second
+	// registrationRenewInterval is the time between renewals of the lease, so that two in a row may fail.
+	registrationRenewInterval = 1700 * time.Millisecond
 )
 
-// follow keeps up with the store.
-func (g *Gate) follow(ctx context.Context) {
+// followStore keeps the state up to date with the store: with a full read first, unless a neighbour sent its state,
+// and then by watches while this entry VM should read the store.
+func (g *Gate) followStore(ctx context.Context) {
 	var lostAt time.Time
-	whole := !g.toldAtStart(ctx)
-	wait, fails := g.watchTime(), 0
+	whole := !g.syncedAtStart(ctx)
+	wait, failures := g.watchDuration(), 0
 	for ctx.Err() == nil {
-		if !whole && !g.dutyToRead() {
-			g.sleep(ctx, readPace/4)
+		if !whole && !g.shouldReadStore() {
+			g.sleep(ctx, minReadInterval/4)
 			continue
 		}
-		changed, err := g.read(ctx, whole, wait)
+		changed, err := g.readStore(ctx, whole, wait)
 		now := g.config.Clock.Now()
 		switch {
 		case err == nil:
-			whole, fails = false, 0
+			whole, failures = false, 0
 			if !lostAt.IsZero() {
 				g.record(paevent.StoreReachable{OutageMilliseconds: now.Sub(lostAt).Milliseconds()})
 				lostAt = time.Time{}
@@ -62,69 +66,67 @@
 			whole = true
 			continue
 		default:
-			fails++
+			failures++
 			if paplatform.FaultOf(err) != paplatform.Limited {
-				g.post(ctx, storeFailed{at: now})
+				g.post(ctx, storeFailure{at: now})
 			}
 			if lostAt.IsZero() && ctx.Err() == nil {
 				lostAt = now
 				g.record(paevent.StoreUnreachable{Reason: err.Error()})
 			}
 		}
-		wait = g.watchTime()
+		wait = g.watchDuration()
 		if changed || err != nil {
-			g.sleep(ctx, g.pause(fails))
-			wait = min(wait, max(0, wait+g.turn(wait)-readPace))
+			g.sleep(ctx, g.readDelay(failures))
+			wait = min(wait, max(0, wait+g.watchOffset(wait)-minReadInterval))
 		}
 	}
 }
 
-// turn is how much later than the first reader of the store this one begins its watches, so that theirs end in turn.
-//
-// Load: the store goes away, and all know what the last watch that ended said. Harm prevented: all readers' watches end
-// together, and the last one was a whole watch ago.
-func (g *Gate) turn(watch time.Duration) time.Duration {
-	all := g.readers(g.state.Load())
-	rank := slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
-	return watch * time.Duration(max(0, rank)) / time.Duration(max(1, len(all)))
+// watchOffset is how much later than the first store reader this one starts its watches, so that the watches of all
+// readers end evenly spread. When the store fails, the state is as old as the last watch that ended; if all watches
+// ended together, it would be up to a full watch old for everyone.
+func (g *Gate) watchOffset(watch time.Duration) time.Duration {
+	readers := g.storeReaders(g.state.Load())
+	rank := slices.IndexFunc(readers, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
+	return watch * time.Duration(max(0, rank)) / time.Duration(max(1, len(readers)))
 }
 
-// pause is the time to the next reading of the store after a number of failures.
-//
-// Load: the store is away, and a hundred entry VMs find what they know too old. Harm prevented: each asks it again
-// twice a second. The readers do; for the others it is enough to ask before a change must be in force.
-func (g *Gate) pause(fails int) time.Duration {
-	if g.isReader() {
-		return readPace
+// readDelay returns the time to wait before the next read of the store after a number of failures in a row. Only
+// store readers retry at minReadInterval during an outage; a hundred others would add two calls a second each, though
+// it is enough for them to ask within MaxPropagation.
+func (g *Gate) readDelay(failures int) time.Duration {
+	if g.isStoreReader() {
+		return minReadInterval
 	}
-	most := max(readPace, g.config.Settings.MaxPropagation/2)
-	return min(most, readPace*time.Duration(1+fails))
+	longest := max(minReadInterval, g.config.Settings.MaxPropagation/2)
+	return min(longest, minReadInterval*time.Duration(1+failures))
 }
 
 const (
-	// firstPatience is how long a process waits at the first start of a deployment for a neighbour to tell what the
-	// store holds, which is next to nothing.
-	firstPatience = 2 * time.Second
-	// startPatience is how long it waits at any other start: a neighbour of its own region tells all in a twentieth of
-	// the bytes of a reading, and where all have just started there is none that could.
-	startPatience = 60 * time.Millisecond
-	// startPace is the time between two looks for it.
-	startPace = 5 * time.Millisecond
+	// bootstrapSyncWait is how long a process waits at the first start of a deployment for a neighbour to send
+	// its state; the store holds next to nothing then.
+	bootstrapSyncWait = 2 * time.Second
+	// restartSyncWait is how long it waits at any other start. A neighbour in its own region sends the state in a
+	// twentieth of the bytes of a full read; where all have just started, no neighbour can.
+	restartSyncWait = 60 * time.Millisecond
+	// startSyncPoll is the interval of checks for that state.
+	startSyncPoll = 5 * time.Millisecond
 )
 
-// toldAtStart waits for a neighbour to tell what the store holds, and says whether one did. Entry VMs that others ask
-// at a start do not wait.
-func (g *Gate) toldAtStart(ctx context.Context) bool {
+// syncedAtStart waits for a neighbour to send its state and reports whether one did. Seeds do not wait, as others get
+// their state from them.
+func (g *Gate) syncedAtStart(ctx context.Context) bool {
 	s := g.config.Settings
 	if len(s.Seeds) == 0 || slices.Contains(s.Seeds, s.Peers) {
 		return false
 	}
-	patience := startPatience
+	wait := restartSyncWait
 	if s.Bootstrap {
-		patience = firstPatience
+		wait = bootstrapSyncWait
 	}
-	until := g.config.Clock.Now().Add(patience)
-	for g.config.Clock.Now().Before(until) && g.sleep(ctx, startPace) {
+	until := g.config.Clock.Now().Add(wait)
+	for g.config.Clock.Now().Before(until) && g.sleep(ctx, startSyncPoll) {
 		if g.state.Load().revision > 0 {
 			return true
 		}
@@ -132,114 +134,116 @@
 	return false
 }
 
-// dutyToRead says whether this entry VM reads the store now: as one of those that do so for all, or
-// because what it heard from them is too old.
-func (g *Gate) dutyToRead() bool {
+// shouldReadStore reports whether this entry VM should read the store now: because it is a store reader, or because
+// its state is too old.
+func (g *Gate) shouldReadStore() bool {
 	s := g.state.Load()
-	if g.isReader() {
+	if g.isStoreReader() {
 		return true
 	}
-	all := g.byHash(s)
+	all := g.liveByHash(s)
 	rank := slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == g.self.Name })
-	return g.age(s) > staleAfter(rank, len(all), g.config.Settings.MaxPropagation)
+	return g.age(s) > maxAgeOfRank(rank, len(all), g.config.Settings.MaxPropagation)
 }
 
-// staleAfter returns the age of what is known at which the entry VM with a rank among n reads the store by itself.
+// maxAgeOfRank returns the age of the state at which the entry VM with a rank among n reads the store itself,
+// although it is no store reader.
 //
-// Load: the readers are gone or cut off, and a hundred entry VMs find what they know too old at the same moment. Harm
-// prevented: all of them read the store at once. They come one after the other, and most have heard of what the
-// first ones read before their turn; the last one's is before a change must be in force.
-func staleAfter(rank, n int, change time.Duration) time.Duration {
-	last := max(maxAge, change-latestMargin)
+// If the store readers fail or are partitioned, a hundred entry VMs find their state too old at the same moment. The
+// staggered ages keep them from reading the store all at once: most get the changes from the first ones before their
+// own turn, and the last one still reads before MaxPropagation.
+func maxAgeOfRank(rank, n int, maxPropagation time.Duration) time.Duration {
+	last := max(maxAge, maxPropagation-propagationMargin)
 	return maxAge + (last-maxAge)*time.Duration(rank)/time.Duration(max(1, n))
 }
 
-// watchTime is how long a watch of the store waits. Keys are out of use once what is known is older than a revocation
-// may take, less a watch: short ones leave more of that time for an outage of the store.
-func (g *Gate) watchTime() time.Duration {
+// watchDuration returns how long a watch of the store waits. API keys are rejected once the state is older than
+// MaxRevocation less a watch, so that shorter watches leave more time to ride out an outage of the store.
+func (g *Gate) watchDuration() time.Duration {
 	if bound := g.config.Settings.MaxRevocation; bound > 0 {
-		return min(watchMost, bound/watchesPerBound)
+		return min(maxWatchTime, bound/watchesPerRevocation)
 	}
-	return watchMost
+	return maxWatchTime
 }
 
-// read reads the store once, waiting for a change if it is no whole reading, and says whether there was one.
-func (g *Gate) read(ctx context.Context, whole bool, wait time.Duration) (changed bool, err error) {
-	at, begun := g.uptime(), g.config.Clock.Now()
+// readStore reads the store once, by a full read or by a watch of at most the time wait, and reports whether there
+// were changes. A full read always counts as a change.
+func (g *Gate) readStore(ctx context.Context, whole bool, wait time.Duration) (changed bool, err error) {
+	verifiedAt, start := g.uptime(), g.config.Clock.Now()
 	ctx, cancel := g.withTimeout(ctx, storeTimeout)
 	defer cancel()
-	var all []pafleet.Change
-	var r pafleet.Revision
+	var changes []pafleet.Change
+	var revision pafleet.Revision
 	since := g.state.Load().revision
 	if whole {
-		g.meter.storeCall("List")
-		all, r, err = g.config.Registry.List(ctx)
+		g.meter.countStoreCall("List")
+		changes, revision, err = g.config.Registry.List(ctx)
 	} else {
-		g.meter.storeCall("Watch")
-		all, r, err = g.config.Registry.Watch(ctx, since, wait)
+		g.meter.countStoreCall("Watch")
+		changes, revision, err = g.config.Registry.Watch(ctx, since, wait)
 	}
 	if err != nil {
 		return false, trace.Wrap(err)
 	}
-	if !whole && len(all) == 0 && g.config.Clock.Since(begun) >= wait {
-		// Nothing had changed when the watch ended.
-		at += wait
+	if !whole && len(changes) == 0 && g.config.Clock.Since(start) >= wait {
+		// The watch ended without a change, so that the state was current at its end.
+		verifiedAt += wait
 	}
-	g.post(ctx, storeRead{changes: all, since: since, revision: r, whole: whole, at: at})
-	return whole || len(all) > 0, nil
+	g.post(ctx, storeUpdate{changes: changes, since: since, revision: revision, whole: whole, verifiedAt: verifiedAt})
+	return whole || len(changes) > 0, nil
 }
 
-// announce keeps the registration in the store.
-func (g *Gate) announce(ctx context.Context) {
-	var l paplatform.LeaseID
+// keepRegistered keeps this entry VM registered in the store until it shuts down, and then revokes the lease.
+func (g *Gate) keepRegistered(ctx context.Context) {
+	var lease paplatform.LeaseID
 	written := false
-	life := max(leaseLife, g.config.Settings.MinLeaseTTL)
-	for ctx.Err() == nil && !g.leaving.Load() {
+	ttl := max(registrationTTL, g.config.Settings.MinLeaseTTL)
+	for ctx.Err() == nil && !g.shuttingDown.Load() {
 		var err error
 		switch {
-		case l == "":
-			l, err = g.lease(ctx, life)
+		case lease == "":
+			lease, err = g.grantLease(ctx, ttl)
 			written = false
 			if err == nil {
 				continue
 			}
 		case !written:
-			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Register(ctx, g.self, l) })
+			err = g.storeCall(ctx, "Announce", func(ctx context.Context) error { return g.config.Registry.Register(ctx, g.self, lease) })
 			written = err == nil
 		default:
-			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.RenewLease(ctx, l) })
+			err = g.storeCall(ctx, "Renew", func(ctx context.Context) error { return g.config.Registry.RenewLease(ctx, lease) })
 		}
 		if paplatform.FaultOf(err) == paplatform.LeaseLapsed {
-			l = ""
+			lease = ""
 			continue
 		}
 		select {
-		case <-g.config.Clock.After(renewPace):
-		case <-g.announced:
-			if written && !g.sleep(ctx, readPace) {
+		case <-g.config.Clock.After(registrationRenewInterval):
+		case <-g.reregister:
+			if written && !g.sleep(ctx, minReadInterval) {
 				return
 			}
 			written = false
 		case <-ctx.Done():
 		}
 	}
-	if l != "" && g.leaving.Load() {
-		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, l) }); err != nil {
+	if lease != "" && g.shuttingDown.Load() {
+		if err := g.storeCall(ctx, "End", func(ctx context.Context) error { return g.config.Registry.RevokeLease(ctx, lease) }); err != nil {
 			g.record(paevent.StoreUnreachable{Reason: err.Error()})
 		}
 	}
 }
 
-func (g *Gate) lease(ctx context.Context, life time.Duration) (l paplatform.LeaseID, err error) {
+func (g *Gate) grantLease(ctx context.Context, ttl time.Duration) (lease paplatform.LeaseID, err error) {
 	err = g.storeCall(ctx, "Lease", func(ctx context.Context) error {
-		l, err = g.config.Registry.GrantLease(ctx, life)
+		lease, err = g.config.Registry.GrantLease(ctx, ttl)
 		return err
 	})
-	return l, err
+	return lease, err
 }
 
 func (g *Gate) storeCall(ctx context.Context, name string, call func(ctx context.Context) error) error {
-	g.meter.storeCall(name)
+	g.meter.countStoreCall(name)
 	ctx, cancel := g.withTimeout(ctx, storeTimeout)
 	defer cancel()
 	return call(ctx)
--- a/pagate/front.go
+++ b/pagate/front.go
@@ -15,7 +15,7 @@
 	"papayahead/pasteer"
 )
 
-// exchange is one request of a caller on its way.
+// exchange is a client request in progress.
 type exchange struct {
 	id     string
 	method string
@@ -23,90 +23,93 @@
 	host   string
 	header http.Header
 	route  *paroute.Route
-	// workspace is whose key the request carried; nil for none.
+	// workspace is the owner of the request's API key; nil if there is none.
 	workspace *paroute.Workspace
-	// token says that the request has a token of the workspace's rate limit.
-	token bool
-	// limited is how long it waited for that.
-	limited time.Duration
-	service string
-	object  string
-	version int64
-	// size is the length of the body, or -1; body is what is held of it, stream what follows.
-	size   int64
-	body   []byte
-	stream io.Reader
-	// arrived is when the head was read, limit when the answer is due: by the route, or as the caller leaves.
-	arrived time.Time
-	limit   time.Time
-	// tried are the targets that the request was sent to; mayHaveRun says that one may have run it.
-	tried      []string
-	mayHaveRun bool
-	failed     *reply
-	// last is the last decision, for the log.
-	last pasteer.Choice
-	// caller ends when the caller leaves.
-	caller context.Context
-	// lane knows of the requests ahead on the caller's connection; behind is how long the answer was ready, or
-	// the request waited, behind theirs.
-	lane   *palane.Lane
-	behind time.Duration
+	// hasToken says that the request holds a token of the workspace's rate limit.
+	hasToken bool
+	// limitWait is how long the request waited for the token.
+	limitWait time.Duration
+	service   string
+	object    string
+	version   int64
+	// size is the body's length, or -1 if unknown. buffered is the part of the body held in memory, unbuffered
+	// the rest.
+	size       int64
+	buffered   []byte
+	unbuffered io.Reader
+	// arrived is when the header was read, deadline when the response is due.
+	arrived  time.Time
+	deadline time.Time
+	// tried are the targets that the request was sent to; mayHaveExecuted says that one of them may have executed
+	// it. failedReply is the last reply that reported a failure.
+	tried           []string
+	mayHaveExecuted bool
+	failedReply     *reply
+	// lastChoice is the last choice of a target, for the log.
+	lastChoice pasteer.Choice
+	// clientCtx is done when the client disconnects.
+	clientCtx context.Context
+	// lane tracks the requests ahead on the client's connection; pipelineWait is how long the request, or its
+	// response, waited for them.
+	lane         *palane.Lane
+	pipelineWait time.Duration
 }
 
-func (x *exchange) inline() bool { return x.stream == nil && len(x.body) <= inlineMost }
+// inline reports whether the request is small enough to be written before its response is awaited.
+func (x *exchange) inline() bool { return x.unbuffered == nil && len(x.buffered) <= maxInlineWrite }
 
-// serveCaller answers one request of a caller.
-func (g *Gate) serveCaller(w http.ResponseWriter, r *http.Request) {
+// serveClient handles one client request.
+func (g *Gate) serveClient(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	x := g.open(r)
-	s := g.configured(r.Context())
+	x := g.newExchange(r)
+	s := g.awaitConfig(r.Context())
 	if s.table == nil {
-		g.refuse(w, x, reasonNoConfig, comeBackNoConfig)
+		g.refuse(w, x, reasonNoConfig, retryAfterNoConfig)
 		return
 	}
 	x.version = s.table.Config.Version
-	if x.route = s.table.Match(r.Host, path(r.RequestURI)); x.route == nil {
-		g.answerOwn(w, x, http.StatusNotFound, reasonNoRoute)
+	if x.route = s.table.Match(r.Host, requestPath(r.RequestURI)); x.route == nil {
+		g.writeError(w, x, http.StatusNotFound, reasonNoRoute)
 		return
 	}
-	if status, reason := g.admitKey(x, s); status != 0 {
-		g.refuseKey(w, x, status, reason)
+	if status, reason := g.authenticate(x, s); status != 0 {
+		g.refuseAuthentication(w, x, status, reason)
 		return
 	}
-	if most := s.table.Config.Limits.MaxHeader; most > 0 && headerSize(r) > most {
-		g.answerOwn(w, x, http.StatusRequestHeaderFieldsTooLarge, reasonHeader)
+	if limit := s.table.Config.Limits.MaxHeader; limit > 0 && headerSize(r) > limit {
+		g.writeError(w, x, http.StatusRequestHeaderFieldsTooLarge, reasonHeaderTooLarge)
 		return
 	}
 	if status, reason := g.readBody(x, r, s.table.Config.Limits); status != 0 {
-		g.readOn(w, r)
-		g.answerOwn(w, x, status, reason)
+		g.discardBody(w, r)
+		g.writeError(w, x, status, reason)
 		return
 	}
-	x.limit = g.limitOf(x, r)
-	if !g.mayFinish(x) {
-		g.refuse(w, x, reasonLeaving, comeBackLeaving)
+	x.deadline = g.deadlineOf(x, r)
+	if !g.canFinish(x) {
+		g.refuse(w, x, reasonShuttingDown, retryAfterShutdown)
 		return
 	}
-	if !g.mayRun(w, x) {
+	if !g.admitPipelined(w, x) {
 		return
 	}
-	if comeBack, ok := g.limits.admit(x, s); !ok {
-		g.refuseAs(w, x, http.StatusTooManyRequests, reasonLimit, comeBack)
+	if retryAfter, ok := g.quotas.admit(x, s); !ok {
+		g.refuseWithStatus(w, x, http.StatusTooManyRequests, reasonRateLimit, retryAfter)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(g.ending, cancel)()
-	g.serve(ctx, w, x)
+	defer context.AfterFunc(g.requestsCtx, cancel)()
+	g.forward(ctx, w, x)
 }
 
-// open reads the head of a request.
-func (g *Gate) open(r *http.Request) *exchange {
+// newExchange takes what is needed from the request's header.
+func (g *Gate) newExchange(r *http.Request) *exchange {
 	x := &exchange{
 		id: r.Header.Get(g.config.Headers.RequestID), method: r.Method, uri: r.RequestURI, host: r.Host,
 		header: paheader.EndToEnd(r.Header), size: r.ContentLength, arrived: g.config.Clock.Now(),
-		caller: r.Context(), lane: palane.FromContext(r.Context()),
+		clientCtx: r.Context(), lane: palane.FromContext(r.Context()),
 	}
 	if c, err := r.Cookie(g.config.Headers.ObjectCookie); err == nil {
 		x.object = c.Value
@@ -114,26 +117,27 @@
 	return x
 }
 
-func path(uri string) string {
+func requestPath(uri string) string {
 	p, _, _ := strings.Cut(uri, "?")
 	return p
 }
 
-// lineExtra is what a header line has besides its name and value: a colon, a space and the line's end.
-const lineExtra = 4
+// headerLineOverhead is the size of a header line besides its name and value: a colon, a space and CRLF.
+const headerLineOverhead = 4
 
-// headerSize returns the size of a request's head, in bytes.
+// headerSize returns the size of the request line and header in bytes.
 func headerSize(r *http.Request) int {
-	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + lineExtra + len("Host") + len(r.Host) + lineExtra
+	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + headerLineOverhead + len("Host") + len(r.Host) + headerLineOverhead
 	for name, values := range r.Header {
 		for _, v := range values {
-			n += len(name) + len(v) + lineExtra
+			n += len(name) + len(v) + headerLineOverhead
 		}
 	}
 	return n
 }
 
-// readBody reads the body as far as it is held; a status is the answer to a request that is refused for it.
+// readBody reads up to maxBuffered bytes of the body. A status other than 0 is the response to a request whose body
+// is refused.
 func (g *Gate) readBody(x *exchange, r *http.Request, l paroute.Limits) (status int, reason string) {
 	if l.MaxBody > 0 && r.ContentLength > l.MaxBody {
 		return http.StatusRequestEntityTooLarge, reasonTooLarge
@@ -145,7 +149,7 @@
 	if l.MaxBody > 0 {
 		body = http.MaxBytesReader(nil, r.Body, l.MaxBody)
 	}
-	held, err := io.ReadAll(io.LimitReader(body, bufferMost+1))
+	buffered, err := io.ReadAll(io.LimitReader(body, maxBuffered+1))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -153,37 +157,37 @@
 	case err != nil:
 		return http.StatusBadRequest, reasonBadBody
 	}
-	x.body = held
-	if len(held) > bufferMost {
-		x.stream = body
+	x.buffered = buffered
+	if len(buffered) > maxBuffered {
+		x.unbuffered = body
 	}
 	return 0, ""
 }
 
 const (
-	// readOnMost and readOnTime bound what is read of a body that is refused.
-	readOnMost = 4 << 20
-	readOnTime = time.Second
+	// maxDiscardedBody and discardTimeout bound what is read of a refused body.
+	maxDiscardedBody = 4 << 20
+	discardTimeout   = time.Second
 )
 
-// readOn reads a refused body on for a while. A connection that is closed with unread bytes is reset,
-// and the caller, still writing, loses the answer that tells it why.
-func (g *Gate) readOn(w http.ResponseWriter, r *http.Request) {
-	if err := http.NewResponseController(w).SetReadDeadline(g.config.Clock.Now().Add(readOnTime)); err != nil {
+// discardBody reads a refused body for a while. Closing a connection with unread bytes resets it, and a client that
+// is still writing would lose the response that says why.
+func (g *Gate) discardBody(w http.ResponseWriter, r *http.Request) {
+	if err := http.NewResponseController(w).SetReadDeadline(g.config.Clock.Now().Add(discardTimeout)); err != nil {
 		return
 	}
-	if _, err := io.CopyN(io.Discard, r.Body, readOnMost); err != nil {
-		return // The body ended, or its caller is too slow; the answer is the same.
+	if _, err := io.CopyN(io.Discard, r.Body, maxDiscardedBody); err != nil {
+		return // The body ended, or the client is too slow; the response is the same.
 	}
 }
 
-// limitOf returns when the answer is due: by the route's timeout, or when the caller leaves.
-func (g *Gate) limitOf(x *exchange, r *http.Request) time.Time {
-	wait := x.route.Timeout
+// deadlineOf returns when the response is due: by the route's timeout, or by the client's deadline header if sooner.
+func (g *Gate) deadlineOf(x *exchange, r *http.Request) time.Time {
+	timeout := x.route.Timeout
 	if ms, err := strconv.ParseFloat(r.Header.Get(g.config.Headers.Deadline), 64); err == nil && ms > 0 {
-		if d := time.Duration(ms * float64(time.Millisecond)); d < wait || wait <= 0 {
-			wait = d
+		if d := time.Duration(ms * float64(time.Millisecond)); d < timeout || timeout <= 0 {
+			timeout = d
 		}
 	}
-	return x.arrived.Add(wait)
+	return x.arrived.Add(timeout)
 }
--- a/pagate/limiter.go
+++ b/pagate/limiter.go
@@ -18,140 +18,150 @@
 )
 
 const (
-	// limiterLife is how long a claim on the pools outlives its last renewal, limiterRenew the time between two of these.
-	limiterLife  = 3 * time.Second
-	limiterRenew = 900 * time.Millisecond
-	// renewTimeout bounds a renewal. Harm of more: two that a silent store does not answer take most of the claim.
-	renewTimeout = limiterRenew / 2
-	// renewAgain is the time from one that failed to the next: a store that is busy answers at once.
-	renewAgain = limiterRenew / 3
-	// limiterMargin is how long before its claim may end the limiter stops.
-	limiterMargin = 200 * time.Millisecond
-	// handOverTime is how long before its claim may end a limiter whose renewals fail hands its place over, if others reach
-	// the store: two calls. Harm of more: a store that loses some answers moves the pools again and again.
-	handOverTime = limiterRenew
-	// limiterTurn is how much later each further entry VM claims pools that nobody keeps.
-	limiterTurn = 250 * time.Millisecond
-	// limiterSettle is how long after its start an entry VM claims none: many that start together know few others yet,
-	// and each would take itself for the first.
-	limiterSettle = time.Second
-	// limiterLook is the time between two looks whether somebody keeps them.
-	limiterLook = 50 * time.Millisecond
-	// hintLife is how long the word of another entry VM that it follows the limiter counts.
-	hintLife = 3 * time.Second
+	// claimTTL is how long the claim to be the limiter outlives its last renewal, claimRenewInterval the time
+	// between renewals.
+	claimTTL           = 3 * time.Second
+	claimRenewInterval = 900 * time.Millisecond
+	// claimRenewTimeout bounds a renewal. With a longer one two renewals that a silent store does not answer
+	// would use up most of claimTTL.
+	claimRenewTimeout = claimRenewInterval / 2
+	// claimRenewRetry is the delay after a failed renewal. Without it a busy store, which refuses at once, would
+	// be called again at once.
+	claimRenewRetry = claimRenewInterval / 3
+	// claimMargin is how long before its claim may expire the limiter stops.
+	claimMargin = 200 * time.Millisecond
+	// handOverBefore is the time left of its claim at which a limiter whose renewals fail hands over, if other
+	// entry VMs reach the store. It covers two calls. With a longer one a store that loses some responses would
+	// make the pools move again and again.
+	handOverBefore = claimRenewInterval
+	// claimStagger is the delay by rank after which each further entry VM claims the role if there is no limiter.
+	claimStagger = 250 * time.Millisecond
+	// claimStartDelay is how long after its start an entry VM waits before it claims the role. Of many that start
+	// together, each knows few others yet and would find itself first in rank.
+	claimStartDelay = time.Second
+	// claimPollInterval is the interval of checks whether there is a limiter.
+	claimPollInterval = 50 * time.Millisecond
+	// hintTTL is how long a hint from another entry VM on the current limiter is valid.
+	hintTTL = 3 * time.Second
 )
 
-// limiter keeps the pools of rate limits while this entry VM is the limiter, and asks the one that is.
+// limiter keeps the shared token pools of the rate limits while this entry VM holds the limiter role, and calls the
+// current limiter otherwise.
 //
-// One key of the store says who it is. It is written under a lease, and whoever wrote it stops before that lease can
-// end: at no time two of them give out tokens. A former lifetime of the own process is dead, so that its claim is taken
-// over at once.
+// A key in the store names the limiter. It is written under a lease, and its holder stops granting tokens before the
+// lease can expire, so that there are never two limiters. A claim of an earlier run of this process is taken over at
+// once, as that run has ended.
 type limiter struct {
 	gate *Gate
-	// name is the hash of the own name, which tells this entry VM from others at the limiter.
-	name uint32
-	// free hears that the limiter left and this entry VM is to follow.
-	free chan struct{}
+	// nameHash is the hash of the own name, which identifies this entry VM to the limiter.
+	nameHash uint32
+	// takeOver signals that the limiter has resigned in favour of this entry VM.
+	takeOver chan struct{}
 
 	mutex sync.Mutex
 	pools map[string]*paquota.Pool
-	// until is the uptime at which the claim ends, from the one at which the pools begin to fill.
-	until, from time.Duration
-	// left is what the former limiter's pools held, as of leftAt, for a claim that follows soon.
-	left   map[string]int
-	leftAt time.Duration
-	// alone is the uptime at which the pools were given up because most others could not be reached.
-	alone time.Duration
-	// hint is who is said to follow the limiter, until hintEnd; guess counts whom else it was looked for at.
-	hint    string
-	hintEnd time.Duration
-	guess   int
+	// claimEnd is the uptime at which the claim ends, fillFrom the uptime from which the pools fill.
+	claimEnd, fillFrom time.Duration
+	// inherited is what the former limiter's pools held at inheritedAt, for a claim that follows soon.
+	inherited   map[string]int
+	inheritedAt time.Duration
+	// isolatedAt is the uptime of the last resignation because most other entry VMs were unreachable.
+	isolatedAt time.Duration
+	// hint is the presumed limiter, until hintUntil; probes counts the entry VMs asked while none is known.
+	hint      string
+	hintUntil time.Duration
+	probes    int
 
-	// calls guards the connection to the limiter.
-	calls  sync.Mutex
-	conn   *drpcconn.Conn
-	connTo pafleet.Entry
+	// connMutex guards the connection to the limiter and its calls.
+	connMutex sync.Mutex
+	conn      *drpcconn.Conn
+	connEntry pafleet.Entry
 }
 
 func newLimiter(g *Gate) *limiter {
-	return &limiter{gate: g, name: uint32(xxhash.Sum64String(g.self.Name)), free: make(chan struct{}, 1), pools: map[string]*paquota.Pool{}, until: longAgo, alone: longAgo}
+	return &limiter{
+		gate: g, nameHash: uint32(xxhash.Sum64String(g.self.Name)), takeOver: make(chan struct{}, 1),
+		pools: map[string]*paquota.Pool{}, claimEnd: longBeforeStart, isolatedAt: longBeforeStart,
+	}
 }
 
-// run claims the pools when nobody keeps them, and keeps the claim.
+// run claims the limiter role when nobody holds it, and then holds it.
 func (l *limiter) run(ctx context.Context) {
 	g := l.gate
-	var missing time.Duration
+	var vacantSince time.Duration
 	for ctx.Err() == nil {
-		told := false
+		offered := false
 		select {
-		case <-l.free:
-			told = true
-		case <-g.config.Clock.After(limiterLook):
+		case <-l.takeOver:
+			offered = true
+		case <-g.config.Clock.After(claimPollInterval):
 		case <-ctx.Done():
 			return
 		}
 		s := g.state.Load()
 		own := s.limiter == g.self.Name
-		if !l.mayClaim(s) || s.limiter != "" && !own && !told {
-			missing = 0
+		if !l.mayClaim(s) || s.limiter != "" && !own && !offered {
+			vacantSince = 0
 			continue
 		}
-		if missing == 0 {
-			missing = max(g.uptime(), g.startedUp+limiterSettle)
+		if vacantSince == 0 {
+			vacantSince = max(g.uptime(), g.startUptime+claimStartDelay)
 		}
-		if !own && !told && g.uptime()-missing < l.turn(s) {
+		if !own && !offered && g.uptime()-vacantSince < l.claimDelay(s) {
 			continue
 		}
-		missing = 0
-		var was pafleet.Revision
+		vacantSince = 0
+		var expected pafleet.Revision
 		if own {
-			was = s.limiterAt
+			expected = s.limiterAt
 		}
-		if lease, ok := l.claim(ctx, was); ok {
-			l.keep(ctx, lease)
+		if lease, ok := l.claim(ctx, expected); ok {
+			l.holdClaim(ctx, lease)
 		} else {
-			g.sleep(ctx, limiterTurn)
+			g.sleep(ctx, claimStagger)
 		}
 	}
 }
 
-// mayClaim says whether this entry VM may be the limiter, if there is anything to limit.
+// mayClaim reports whether this entry VM may become the limiter: there are limits, it is registered and not shutting
+// down.
 func (l *limiter) mayClaim(s *state) bool {
-	return s.table != nil && s.table.HasRateLimit() && s.registered && !l.gate.leaving.Load()
+	return s.table != nil && s.table.HasRateLimit() && s.registered && !l.gate.shuttingDown.Load()
 }
 
-// byLink orders entry VMs as limiters: those with a wider link come first, as all others call the limiter.
-func byLink(a, b pafleet.Entry) int {
+// byBandwidth ranks entry VMs as limiters: those with more bandwidth come first, as all others call the limiter.
+func byBandwidth(a, b pafleet.Entry) int {
 	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(xxhash.Sum64String(a.Name), xxhash.Sum64String(b.Name)))
 }
 
-// turn returns how long this entry VM leaves pools that nobody keeps to others.
-func (l *limiter) turn(s *state) time.Duration {
-	turn := time.Duration(l.rank(s)) * limiterTurn
-	if l.wasAlone() {
-		turn += aloneTurn
+// claimDelay returns how long this entry VM leaves a vacant role to those before it.
+func (l *limiter) claimDelay(s *state) time.Duration {
+	delay := time.Duration(l.rank(s)) * claimStagger
+	if l.recentlyIsolated() {
+		delay += isolatedClaimDelay
 	}
-	return turn
+	return delay
 }
 
-// rank returns how many entry VMs come before this one.
+// rank returns how many live entry VMs rank before this one.
 func (l *limiter) rank(s *state) int {
-	all := l.gate.live(s)
-	slices.SortFunc(all, byLink)
+	all := l.gate.liveEntries(s)
+	slices.SortFunc(all, byBandwidth)
 	return slices.IndexFunc(all, func(e pafleet.Entry) bool { return e.Name == l.gate.self.Name })
 }
 
-// claim writes this entry VM into the store as the limiter.
-func (l *limiter) claim(ctx context.Context, was pafleet.Revision) (paplatform.LeaseID, bool) {
+// claim writes this entry VM into the store as the limiter, if the limiter key is still at the expected
+// revision, 0 for no key.
+func (l *limiter) claim(ctx context.Context, expected pafleet.Revision) (paplatform.LeaseID, bool) {
 	g := l.gate
-	begun := g.uptime()
-	lease, err := g.lease(ctx, max(limiterLife, g.config.Settings.MinLeaseTTL))
+	sentAt := g.uptime()
+	lease, err := g.grantLease(ctx, max(claimTTL, g.config.Settings.MinLeaseTTL))
 	if err != nil {
 		return "", false
 	}
-	var at pafleet.Revision
+	var revision pafleet.Revision
 	err = g.storeCall(ctx, "ClaimLimiter", func(ctx context.Context) (err error) {
-		at, err = g.config.Registry.ClaimLimiter(ctx, g.self.Name, was, lease)
+		revision, err = g.config.Registry.ClaimLimiter(ctx, g.self.Name, expected, lease)
 		return err
 	})
 	if err != nil {
@@ -161,59 +171,59 @@
 		return "", false
 	}
 	l.mutex.Lock()
-	l.pools, l.from = map[string]*paquota.Pool{}, g.uptime()
-	if l.from-l.leftAt > leftLife {
-		l.left = nil
+	l.pools, l.fillFrom = map[string]*paquota.Pool{}, g.uptime()
+	if l.fillFrom-l.inheritedAt > inheritedTTL {
+		l.inherited = nil
 	}
-	if was > 0 && g.uptime()-g.startedUp < limiterLife {
-		// Nobody kept them since the process started.
-		l.from = g.startedUp
+	if expected > 0 && g.uptime()-g.startUptime < claimTTL {
+		// The key still names this process's former run, so that nobody has granted tokens since the start.
+		l.fillFrom = g.startUptime
 	}
-	l.extend(begun)
+	l.extendClaim(sentAt)
 	l.mutex.Unlock()
-	g.record(paevent.LimiterClaimed{Revision: uint64(at)})
-	g.post(ctx, limiterClaimed{at: at})
+	g.record(paevent.LimiterClaimed{Revision: uint64(revision)})
+	g.post(ctx, limiterClaimed{at: revision})
 	return lease, true
 }
 
-// extend moves the end of the claim after the lease was renewed by a call that began at a time.
-func (l *limiter) extend(begun time.Duration) {
-	l.until = begun + max(limiterLife, l.gate.config.Settings.MinLeaseTTL) - limiterMargin
+// extendClaim sets the end of the claim after a claim or renewal that was sent at the uptime sentAt. The mutex must be held.
+func (l *limiter) extendClaim(sentAt time.Duration) {
+	l.claimEnd = sentAt + max(claimTTL, l.gate.config.Settings.MinLeaseTTL) - claimMargin
 }
 
-// keep renews the claim until it ends, and gives it up when the process leaves, reaches too few others, or is refused by
-// a store that serves others.
-func (l *limiter) keep(ctx context.Context, lease paplatform.LeaseID) {
+// holdClaim renews the claim until it expires. It resigns when the process shuts down, when too few other entry VMs
+// are reachable, and when the store refuses this entry VM while it serves others.
+func (l *limiter) holdClaim(ctx context.Context, lease paplatform.LeaseID) {
 	g := l.gate
-	touched, next := g.uptime(), g.uptime()+limiterRenew
-	// failedAt is when the first of the renewals failed that did since one succeeded.
-	fails, failedAt := 0, time.Duration(0)
-	for g.sleep(ctx, limiterLook) && !g.leaving.Load() {
+	reachedAt, renewAt := g.uptime(), g.uptime()+claimRenewInterval
+	// failedAt is the time of the first failed renewal since the last that succeeded.
+	failures, failedAt := 0, time.Duration(0)
+	for g.sleep(ctx, claimPollInterval) && !g.shuttingDown.Load() {
 		s, now := g.state.Load(), g.uptime()
-		if l.wasAlone() || l.inTouch(s) {
-			touched = now
+		if l.recentlyIsolated() || l.reachesHalf(s) {
+			reachedAt = now
 		}
 		switch {
-		case now-touched > touchTime:
-			l.giveUp(ctx, lease)
+		case now-reachedAt > isolationTimeout:
+			l.abandonClaim(ctx, lease)
 			return
-		case fails > 0 && s.knownAt > failedAt && l.remaining(now) < handOverTime:
-			l.offer(ctx, lease, l.end("the store serves others"))
+		case failures > 0 && s.verifiedAt > failedAt && l.remaining(now) < handOverBefore:
+			l.offerTakeOver(ctx, lease, l.endClaim("the store serves others"))
 			return
-		case now < next:
+		case now < renewAt:
 			continue
 		}
 		switch err := l.renew(ctx, lease, now); {
 		case paplatform.FaultOf(err) == paplatform.LeaseLapsed:
-			l.end("the claim lapsed")
+			l.endClaim("the claim lapsed")
 			return
 		case err == nil:
-			fails, next = 0, now+limiterRenew
+			failures, renewAt = 0, now+claimRenewInterval
 		default:
-			if fails == 0 {
+			if failures == 0 {
 				failedAt = now
 			}
-			fails, next = fails+1, now+renewAgain
+			failures, renewAt = failures+1, now+claimRenewRetry
 		}
 	}
 	if ctx.Err() == nil {
@@ -221,30 +231,30 @@
 	}
 }
 
-// remaining returns how long the claim lasts.
+// remaining returns how long the claim still lasts.
 func (l *limiter) remaining(now time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.until - now
+	return l.claimEnd - now
 }
 
-// renew renews the claim by a call that begins now.
+// renew renews the claim. now is the uptime at which the call is sent.
 func (l *limiter) renew(ctx context.Context, lease paplatform.LeaseID, now time.Duration) error {
-	ctx, cancel := l.gate.withTimeout(ctx, renewTimeout)
+	ctx, cancel := l.gate.withTimeout(ctx, claimRenewTimeout)
 	defer cancel()
 	err := l.gate.storeCall(ctx, "Renew", func(ctx context.Context) error { return l.gate.config.Registry.RenewLease(ctx, lease) })
 	if err == nil {
 		l.mutex.Lock()
-		l.extend(now)
+		l.extendClaim(now)
 		l.mutex.Unlock()
 	}
 	return err
 }
 
-// end stops giving out tokens and returns what the pools hold.
-func (l *limiter) end(reason string) (left []*pawire.Left) {
+// endClaim stops granting tokens and returns what the pools hold.
+func (l *limiter) endClaim(reason string) (left []*pawire.Left) {
 	l.mutex.Lock()
-	l.until = longAgo
+	l.claimEnd = longBeforeStart
 	for name, p := range l.pools {
 		if n := p.Drain(l.gate.uptime()); n > 0 {
 			left = append(left, &pawire.Left{Workspace: name, Tokens: uint32(n)})
@@ -255,9 +265,9 @@
 	return left
 }
 
-// follow takes an entry VM for the limiter before the store's word of it comes.
-func (l *limiter) follow(name string) {
+// setHint sets the presumed limiter before the store's notice of it arrives; "" is for unknown.
+func (l *limiter) setHint(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.hint, l.hintEnd = name, l.gate.uptime()+hintLife
+	l.hint, l.hintUntil = name, l.gate.uptime()+hintTTL
 }
--- a/pagate/loop.go
+++ b/pagate/loop.go
@@ -8,61 +8,65 @@
 	"papayahead/paroute"
 )
 
-// event is something that the control loop hears of.
-type event interface{ sealed() }
+// event is an input of the control loop.
+type event interface{ isEvent() }
 
-// storeRead is what a reading of the store gave.
-type storeRead struct {
+// storeUpdate is the result of a read of the store.
+type storeUpdate struct {
 	changes []pafleet.Change
-	// The changes are those after since and up to revision.
+	// since and revision are the range of the changes, which are after since and up to revision.
 	since, revision pafleet.Revision
-	whole           bool
-	// at is the uptime at which nothing newer was in the store.
-	at time.Duration
+	// whole says that changes is the whole content of the store.
+	whole bool
+	// verifiedAt is the uptime at which the store held nothing newer.
+	verifiedAt time.Duration
 }
 
-// storeFailed says that the store did not answer.
-type storeFailed struct{ at time.Time }
+// storeFailure says that the store did not respond.
+type storeFailure struct{ at time.Time }
 
-// peerSaid is a neighbour's delta; nil where nothing is new.
-type peerSaid struct {
-	// from is the neighbour, and since the revision that it was asked from.
+// peerUpdate is a neighbour's reply on changes in the store.
+type peerUpdate struct {
+	// from is the neighbour, and since the revision after which it was asked for changes.
 	from  pafleet.Entry
 	since pafleet.Revision
+	// delta is nil if nothing changed.
 	delta *pafleet.Delta
-	// knownAt is the uptime at which the neighbour knew that nothing newer was in the store.
-	knownAt  time.Duration
-	revision pafleet.Revision
-	// asked says that the neighbour was asked for what is new; without it, no delta means nothing.
-	asked bool
+	// verifiedAt is the uptime at which the neighbour knew that nothing newer was in the store.
+	verifiedAt time.Duration
+	revision   pafleet.Revision
+	// requested says that changes were requested; otherwise the lack of a delta does not mean that nothing
+	// changed.
+	requested bool
 }
 
 // limiterClaimed says that this entry VM became the limiter.
 type limiterClaimed struct{ at pafleet.Revision }
 
-// deltaWanted asks for what changed after a revision.
-type deltaWanted struct {
+// deltaRequest asks for the changes after a revision.
+type deltaRequest struct {
 	since pafleet.Revision
-	to    chan<- told
+	reply chan<- deltaReply
 }
 
-// told is what a neighbour is told of the changes after its revision: a delta, nil where nothing changed.
-type told struct {
+// deltaReply holds the changes for a neighbour; delta is nil if nothing changed.
+type deltaReply struct {
 	delta *pafleet.Delta
-	// noHistory says that not every removal since then is known here.
+	// noHistory says that some removals since the revision are not known here, so that there is no complete
+	// delta.
 	noHistory bool
 }
 
-func (storeRead) sealed()      {}
-func (storeFailed) sealed()    {}
-func (peerSaid) sealed()       {}
-func (deltaWanted) sealed()    {}
-func (limiterClaimed) sealed() {}
+func (storeUpdate) isEvent()    {}
+func (storeFailure) isEvent()   {}
+func (peerUpdate) isEvent()     {}
+func (deltaRequest) isEvent()   {}
+func (limiterClaimed) isEvent() {}
 
-// tickTime is how often the loop looks at what only time changes.
-const tickTime = 250 * time.Millisecond
+// tickInterval is how often the loop checks what depends on time alone.
+const tickInterval = 250 * time.Millisecond
 
-// post hands an event to the control loop.
+// post sends an event to the control loop.
 func (g *Gate) post(ctx context.Context, e event) {
 	select {
 	case g.events <- e:
@@ -70,11 +74,11 @@
 	}
 }
 
-// loop is the only goroutine that changes the view.
-func (g *Gate) loop(ctx context.Context) {
+// controlLoop is the only goroutine that changes the view.
+func (g *Gate) controlLoop(ctx context.Context) {
 	var v pafleet.View
-	knownAt := longAgo
-	tick := g.config.Clock.NewTicker(tickTime)
+	verifiedAt := longBeforeStart
+	tick := g.config.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		changed := false
@@ -85,29 +89,29 @@
 			return
 		case <-tick.Chan():
 			now = g.config.Clock.Now()
-			g.noted.source = ""
+			g.logged.source = ""
 			changed = v.ExpireLapsed(now)
-			g.pool.reap(now)
-			g.noteDropped()
-			g.noteFreshness(g.state.Load())
-			g.callers.CloseIdle(now, g.callerLimits().IdleTimeout)
+			g.conns.closeExpired(now)
+			g.logDroppedLines()
+			g.logStaleness(g.state.Load())
+			g.clientListener.CloseIdle(now, g.clientLimits().IdleTimeout)
 		case e = <-g.events:
 			now = g.config.Clock.Now()
-			changed = g.handle(&v, e, &knownAt, now)
+			changed = g.handleEvent(&v, e, &verifiedAt, now)
 		}
-		g.publish(&v, knownAt, changed, now)
-		if r, ok := e.(storeRead); ok && r.whole {
-			g.takeWarm(r.changes, now)
+		g.publish(&v, verifiedAt, changed, now)
+		if r, ok := e.(storeUpdate); ok && r.whole {
+			g.restoreWarmNotes(r.changes, now)
 		}
 	}
 }
 
-// handle takes one event and says whether the view changed.
-func (g *Gate) handle(v *pafleet.View, e event, knownAt *time.Duration, now time.Time) bool {
-	g.noted.source = ""
+// handleEvent applies an event and reports whether the view changed.
+func (g *Gate) handleEvent(v *pafleet.View, e event, verifiedAt *time.Duration, now time.Time) bool {
+	g.logged.source = ""
 	switch e := e.(type) {
-	case storeRead:
-		g.noted.source = sourceStore
+	case storeUpdate:
+		g.logged.source = sourceStore
 		changed := false
 		if e.whole {
 			changed = v.ApplyListing(e.changes, e.revision, now)
@@ -115,16 +119,16 @@
 			changed = v.ApplyRange(e.changes, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.at)
+			*verifiedAt = max(*verifiedAt, e.verifiedAt)
 		}
 		return changed
-	case storeFailed:
+	case storeFailure:
 		v.NoteOutage(e.at)
-	case peerSaid:
-		if !e.asked && e.revision != v.Revision {
+	case peerUpdate:
+		if !e.requested && e.revision != v.Revision {
 			return false
 		}
-		g.noted.source = e.from.Name
+		g.logged.source = e.from.Name
 		changed, before := false, v.Revision
 		if e.delta != nil {
 			changed = v.Merge(e.delta, now)
@@ -132,65 +136,65 @@
 			v.ApplyRange(nil, e.since, e.revision, now)
 		}
 		if e.revision == v.Revision {
-			*knownAt = max(*knownAt, e.knownAt)
+			*verifiedAt = max(*verifiedAt, e.verifiedAt)
 		}
 		if v.Revision > before {
-			g.noteFollowed(e, v.Revision, now)
+			g.logApplied(e, v.Revision, now)
 		}
 		return changed
 	case limiterClaimed:
 		return v.Apply(pafleet.LimiterUpdated{Name: g.self.Name, Revision: e.at}, now)
-	case deltaWanted:
+	case deltaRequest:
 		if !v.CoversSince(e.since) {
-			e.to <- told{noHistory: true}
+			e.reply <- deltaReply{noHistory: true}
 			break
 		}
-		e.to <- told{delta: v.Delta(e.since, now)}
+		e.reply <- deltaReply{delta: v.Delta(e.since, now)}
 	}
 	return false
 }
 
-// publish makes the view's state visible to requests.
-func (g *Gate) publish(v *pafleet.View, knownAt time.Duration, changed bool, now time.Time) {
+// publish stores a new snapshot of the view for the requests.
+func (g *Gate) publish(v *pafleet.View, verifiedAt time.Duration, changed bool, now time.Time) {
 	old := g.state.Load()
-	if !changed && old.revision == v.Revision && old.knownAt == knownAt {
+	if !changed && old.revision == v.Revision && old.verifiedAt == verifiedAt {
 		return
 	}
 	next := &state{
-		table: old.table, revision: v.Revision, knownAt: knownAt, entries: old.entries, fleet: old.fleet,
+		table: old.table, revision: v.Revision, verifiedAt: verifiedAt, entries: old.entries, fleetPeak: old.fleetPeak,
 		registered: old.registered, limiter: v.Limiter, limiterAt: v.LimiterRevision,
 	}
 	if changed {
-		g.noteChanges(v, old, now)
+		g.logChanges(v, old, now)
 		next.entries = make([]pafleet.Entry, 0, len(v.Entries))
 		for _, e := range v.Entries {
 			next.entries = append(next.entries, e)
 		}
 		_, next.registered = v.Entries[g.self.Name]
-		next.fleet = g.fleet.most(len(v.Entries), g.uptime())
+		next.fleetPeak = g.fleetPeak.observe(len(v.Entries), g.uptime())
 		if v.Config != nil && (old.table == nil || old.table.Config != v.Config) {
 			next.table = paroute.NewTable(v.Config)
-			g.noteKeys(old.table, next.table)
+			g.logKeyChanges(old.table, next.table)
 		}
-		g.steering.Lock()
-		g.steer.Update(v, now)
-		g.steering.Unlock()
-		g.pool.keepOnly(v)
+		g.balancerMutex.Lock()
+		g.balancer.Update(v, now)
+		g.balancerMutex.Unlock()
+		g.conns.closeRemoved(v)
 	}
 	g.state.Store(next)
 	if old.table == nil && next.table != nil {
-		g.limits.begin(next)
+		g.quotas.start(next)
 		close(g.firstConfig)
 	}
 	if e, ok := v.Entries[g.self.Name]; changed && (!ok || e.Front != g.self.Front) {
-		g.announceAgain()
+		g.requestRegistration()
 	}
 }
 
-// announceAgain asks for the registration to be written anew.
-func (g *Gate) announceAgain() {
+// requestRegistration has keepRegistered write the registration again, or end it at a shutdown.
+func (g *Gate) requestRegistration() {
 	select {
-	case g.announced <- struct{}{}:
+	case g.reregister <- struct{}{}:
 	default:
 	}
 }
--- a/pagate/send.go
+++ b/pagate/send.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// bufferMost is the most bytes of a request or an answer that are held whole. An answer that is
-	// held can be checked to its end before its first byte goes to the caller.
-	bufferMost = 256 << 10
-	// inlineMost is the most bytes of a request that are written before the answer is awaited; more
-	// could block on a target that answers before it reads.
-	inlineMost = 2 << 10
-	// strayMost is how many answers to other requests are skipped on a connection.
-	strayMost = 3
-	// answerSlack is how long after the deadline an answer is still awaited: the target gives its own
-	// answer at the deadline, and what is ready is delivered.
-	answerSlack = 120 * time.Millisecond
+	// maxBuffered is how many bytes of a request's or response's body are held in memory. A response that is held
+	// can be checked to its end before its first byte is sent to the client.
+	maxBuffered = 256 << 10
+	// maxInlineWrite is the largest request body that is written before the response is read; a longer write
+	// could block on a target that responds before it reads.
+	maxInlineWrite = 2 << 10
+	// maxStrayAnswers is how many responses to other requests are skipped on a connection.
+	maxStrayAnswers = 3
+	// deadlineSlack is how long after the deadline a response is still awaited: the target sends its own response
+	// at the deadline, and a complete one is delivered.
+	deadlineSlack = 120 * time.Millisecond
 )
 
-// reply is an answer of a target.
+// reply is a target's response.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is what follows the body where it is too long to hold; done ends the exchange.
+	// rest is what follows body if the response is too long to hold; done must be called at its end.
 	rest   io.Reader
 	length int64
 	done   func(whole bool)
@@ -50,88 +50,88 @@
 	gate   *Gate
 	x      *exchange
 	choice pasteer.Choice
-	conn   *conn
-	// wrote says that a byte of the request may have left.
-	wrote bool
-	sent  chan error
-	begun time.Time
+	conn   *targetConn
+	// mayHaveSent says that bytes of the request may have been sent.
+	mayHaveSent bool
+	writeErr    chan error
+	startedAt   time.Time
 }
 
-// result is how an attempt ended.
-type result struct {
+// attemptResult is the outcome of an attempt.
+type attemptResult struct {
 	reply   *reply
 	outcome pasteer.Outcome
-	// notRun says that the target certainly did not run the request.
-	notRun bool
-	err    error
-	report pasteer.Report
+	// notExecuted says that the target certainly did not execute the request.
+	notExecuted bool
+	err         error
+	report      pasteer.Report
 }
 
 // send sends the request to the chosen target, once.
-func (g *Gate) send(ctx context.Context, x *exchange, c pasteer.Choice) result {
-	a := &attempt{gate: g, x: x, choice: c, begun: g.config.Clock.Now()}
-	maxIdle := idleMost
+func (g *Gate) send(ctx context.Context, x *exchange, c pasteer.Choice) attemptResult {
+	a := &attempt{gate: g, x: x, choice: c, startedAt: g.config.Clock.Now()}
+	maxIdle := maxConnIdle
 	if !x.route.Idempotent {
-		maxIdle = proofOfLife
+		maxIdle = maxNonIdempotentIdle
 	}
 	var err error
-	a.conn, err = g.pool.take(ctx, c.Address, c.Target, c.Born, maxIdle)
+	a.conn, err = g.conns.get(ctx, c.Address, c.Target, c.Born, maxIdle)
 	if err != nil {
-		return a.failed(ctx, err)
+		return a.fail(ctx, err)
 	}
 	if !a.conn.reused {
-		g.meter.connections.Inc()
+		g.meter.targetConns.Inc()
 	}
 	stop := context.AfterFunc(ctx, func() { a.conn.Close() })
-	r := a.exchange(ctx)
+	r := a.roundTrip(ctx)
 	if r.reply == nil || r.reply.rest == nil {
 		stop()
 	}
 	return r
 }
 
-// exchange writes the request and reads the answer.
-func (a *attempt) exchange(ctx context.Context) result {
-	limit := a.x.limit.Add(answerSlack)
-	if err := a.conn.SetDeadline(limit); err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+// roundTrip writes the request and reads the response.
+func (a *attempt) roundTrip(ctx context.Context) attemptResult {
+	deadline := a.x.deadline.Add(deadlineSlack)
+	if err := a.conn.SetDeadline(deadline); err != nil {
+		return a.fail(ctx, trace.Wrap(err))
 	}
-	request := a.request()
-	a.wrote = true
-	a.sent = make(chan error, 1)
+	request := a.newRequest()
+	a.mayHaveSent = true
+	a.writeErr = make(chan error, 1)
 	if a.x.inline() {
-		err := a.write(request)
-		a.sent <- err
+		err := a.writeRequest(request)
+		a.writeErr <- err
 		if err != nil {
-			return a.failed(ctx, trace.Wrap(err))
+			return a.fail(ctx, trace.Wrap(err))
 		}
 	} else {
-		go func() { a.sent <- a.write(request) }()
+		go func() { a.writeErr <- a.writeRequest(request) }()
 	}
-	response, err := a.read(request) //nolint:bodyclose // take reads it, and the connection's end ends it
+	response, err := a.readResponse(request) //nolint:bodyclose // readReply reads it, and closing the connection ends it
 	if err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+		return a.fail(ctx, trace.Wrap(err))
 	}
-	return a.take(ctx, response)
+	return a.readReply(ctx, response)
 }
 
-func (a *attempt) write(r *http.Request) error {
-	w := bufio.NewWriterSize(a.conn, readBuffer)
+func (a *attempt) writeRequest(r *http.Request) error {
+	w := bufio.NewWriterSize(a.conn, connBufferSize)
 	if err := r.Write(w); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(w.Flush())
 }
 
-// request returns the request as the target gets it.
-func (a *attempt) request() *http.Request {
+// newRequest returns the request to send to the target.
+func (a *attempt) newRequest() *http.Request {
 	names := a.gate.config.Headers
 	h := a.x.header.Clone()
-	left := max(1, a.x.limit.Sub(a.gate.config.Clock.Now()).Milliseconds())
+	left := max(1, a.x.deadline.Sub(a.gate.config.Clock.Now()).Milliseconds())
 	h.Set(names.Deadline, strconv.FormatInt(left, 10))
 	h.Set(names.ExpectedInstance, a.choice.Target)
 	if h.Get("User-Agent") == "" {
-		// An empty value keeps net/http from naming itself in the caller's place.
+		// An empty value keeps net/http from adding its own User-Agent.
 		h["User-Agent"] = []string{""}
 	}
 	r := &http.Request{
@@ -139,24 +139,24 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: a.x.size,
 	}
 	switch {
-	case a.x.stream != nil:
-		r.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.x.body), a.x.stream))
-	case len(a.x.body) > 0:
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(a.x.body)), int64(len(a.x.body))
+	case a.x.unbuffered != nil:
+		r.Body = io.NopCloser(io.MultiReader(bytes.NewReader(a.x.buffered), a.x.unbuffered))
+	case len(a.x.buffered) > 0:
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(a.x.buffered)), int64(len(a.x.buffered))
 	default:
 		r.Body, r.ContentLength = http.NoBody, 0
 	}
 	return r
 }
 
-// errStray says that a connection holds answers to other requests only.
-var errStray = errors.New("the connection carries answers to other requests")
+// errStray says that a connection carries only responses to other requests.
+var errStray = errors.New("connection carries only responses to other requests")
 
-// read returns the answer to this request. Answers to others, which arrive late or twice, are told
-// by their identity and skipped.
-func (a *attempt) read(r *http.Request) (*http.Response, error) {
+// readResponse returns the response to this request. Responses to other requests, which arrive late or twice, are
+// detected by their request ID and skipped.
+func (a *attempt) readResponse(r *http.Request) (*http.Response, error) {
 	names := a.gate.config.Headers
-	for range strayMost {
+	for range maxStrayAnswers {
 		response, err := http.ReadResponse(a.conn.reader, r)
 		if err != nil {
 			return nil, err
@@ -168,53 +168,53 @@
 		if id == a.x.id || id == "" && !a.conn.reused {
 			return response, nil
 		}
-		a.gate.meter.strays.Inc()
+		a.gate.meter.strayAnswers.Inc()
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 			return nil, errStray
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, bufferMost)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBuffered)); err != nil {
 			return nil, err
 		}
 	}
 	return nil, errStray
 }
 
-// take reads the answer's body and says what the answer means.
-func (a *attempt) take(ctx context.Context, response *http.Response) result {
-	r := a.result(response)
+// readReply reads the body of a response and returns the outcome.
+func (a *attempt) readReply(ctx context.Context, response *http.Response) attemptResult {
+	r := a.classify(response)
 	if r.outcome == pasteer.Shed || r.outcome == pasteer.Moved {
-		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, bufferMost))
-		a.finish(response, err == nil)
+		_, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxBuffered))
+		a.releaseConn(response, err == nil)
 		return r
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, bufferMost+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered+1))
 	if err != nil {
-		return a.failed(ctx, trace.Wrap(err))
+		return a.fail(ctx, trace.Wrap(err))
 	}
 	p := &reply{status: response.StatusCode, header: paheader.EndToEnd(response.Header), body: body, length: response.ContentLength}
 	r.reply = p
-	if len(body) <= bufferMost {
-		a.finish(response, true)
+	if len(body) <= maxBuffered {
+		a.releaseConn(response, true)
 		return r
 	}
 	p.rest = response.Body
-	p.done = func(whole bool) { a.finish(response, whole) }
+	p.done = func(whole bool) { a.releaseConn(response, whole) }
 	return r
 }
 
-// result reads the answer's head.
-func (a *attempt) result(response *http.Response) result {
+// classify returns the outcome by the header of a response.
+func (a *attempt) classify(response *http.Response) attemptResult {
 	names := a.gate.config.Headers
-	r := result{outcome: pasteer.Answered, report: a.report()}
-	r.report.LoadKnown, r.report.Running, r.report.Waiting = readLoad(response.Header.Get(names.Load))
+	r := attemptResult{outcome: pasteer.Answered, report: a.report()}
+	r.report.LoadKnown, r.report.Running, r.report.Waiting = parseLoad(response.Header.Get(names.Load))
 	if n, err := strconv.ParseFloat(response.Header.Get(names.WarmUp), 64); err == nil {
 		r.report.ColdFor = time.Duration(n * float64(time.Millisecond))
 	}
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
-		r.outcome, r.notRun = pasteer.Moved, true
+		r.outcome, r.notExecuted = pasteer.Moved, true
 	case response.Header.Get(names.NotExecuted) != "":
-		r.outcome, r.notRun = pasteer.Shed, true
+		r.outcome, r.notExecuted = pasteer.Shed, true
 	case response.StatusCode >= http.StatusInternalServerError:
 		r.outcome = pasteer.Failed
 	}
@@ -224,25 +224,25 @@
 
 func (a *attempt) report() pasteer.Report {
 	return pasteer.Report{
-		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Duration: a.gate.config.Clock.Since(a.begun),
+		Target: a.choice.Target, Route: a.x.route.Name, Object: a.x.object, Duration: a.gate.config.Clock.Since(a.startedAt),
 		Warm: a.choice.Warm,
 	}
 }
 
-// readLoad reads "running,waiting,slots"; a value that cannot be read tells nothing.
-func readLoad(v string) (told bool, running, waiting int) {
+// parseLoad parses "running,waiting,slots" and ignores the slots; known is false if the value is malformed.
+func parseLoad(v string) (known bool, running, waiting int) {
 	n, err := fmt.Sscanf(v, "%d,%d", &running, &waiting)
 	return err == nil && n == 2, running, waiting
 }
 
-// finish gives the connection back if both sides are done with it, or closes it.
+// releaseConn returns the connection to the pool if request and response are complete, or closes it.
 //
-// A target may answer before it has read the whole request; what it reads on later must not be the
-// next request, so that a connection whose request is not written yet is never used again.
-func (a *attempt) finish(response *http.Response, whole bool) {
+// A target may respond before it has read the whole request. What it reads on later must not be the next request, so
+// that a connection whose request is not written completely is never reused.
+func (a *attempt) releaseConn(response *http.Response, whole bool) {
 	written := false
 	select {
-	case err := <-a.sent:
+	case err := <-a.writeErr:
 		written = err == nil
 	default:
 	}
@@ -251,14 +251,14 @@
 		a.conn.Close()
 		return
 	}
-	if life, ok := keepAlive(response.Header.Get("Keep-Alive")); ok {
-		a.conn.life = max(0, min(idleMost, life-idleMargin))
+	if timeout, ok := parseKeepAlive(response.Header.Get("Keep-Alive")); ok {
+		a.conn.idleLimit = max(0, min(maxConnIdle, timeout-idleMargin))
 	}
-	a.gate.pool.keep(a.conn)
+	a.gate.conns.put(a.conn)
 }
 
-// keepAlive reads the timeout of a Keep-Alive header.
-func keepAlive(v string) (time.Duration, bool) {
+// parseKeepAlive returns the timeout of a Keep-Alive header.
+func parseKeepAlive(v string) (time.Duration, bool) {
 	for _, p := range strings.Split(v, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(p), "=")
 		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -270,9 +270,9 @@
 	return 0, false
 }
 
-// failed closes the connection of an attempt without a whole answer.
-func (a *attempt) failed(ctx context.Context, err error) result {
-	r := result{outcome: pasteer.Lost, err: err, report: a.report(), notRun: !a.wrote}
+// fail closes the connection of an attempt that got no complete response, and returns its outcome.
+func (a *attempt) fail(ctx context.Context, err error) attemptResult {
+	r := attemptResult{outcome: pasteer.Lost, err: err, report: a.report(), notExecuted: !a.mayHaveSent}
 	if a.conn != nil {
 		a.conn.Close()
 	} else {
--- a/pagate/token.go
+++ b/pagate/token.go
@@ -13,23 +13,23 @@
 	"papayahead/pawire"
 )
 
-// Take answers an entry VM that asks for tokens.
+// Take handles an entry VM's request for tokens.
 func (l *limiter) Take(_ context.Context, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
-	return l.take(q.GetWanted(), q.GetFrom()), nil
+	return l.grant(q.GetWanted(), q.GetFrom()), nil
 }
 
-// take gives out tokens of the pools; the reply is empty where this entry VM does not keep them.
-func (l *limiter) take(all []*pawire.Wanted, from uint32) *pawire.TakeReply {
+// grant grants tokens of the pools; the reply has none if this entry VM is not the limiter.
+func (l *limiter) grant(all []*pawire.Wanted, from uint32) *pawire.TakeReply {
 	s := l.gate.state.Load()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.gate.uptime()
-	if now >= l.until || s.table == nil {
-		return &pawire.TakeReply{Limiter: l.follows(s, now)}
+	if now >= l.claimEnd || s.table == nil {
+		return &pawire.TakeReply{Limiter: l.currentLimiter(s, now)}
 	}
 	r := &pawire.TakeReply{Limiter: l.gate.self.Name}
 	for _, w := range all {
-		granted, next := 0, limiterLook
+		granted, next := 0, claimPollInterval
 		if pool := l.pool(s, w.GetWorkspace(), now); pool != nil {
 			wanted := paquota.Demand{Waiting: int(w.GetWaiting()), Spare: int(w.GetSpare()), EntryID: uint64(from)}
 			granted, next = pool.Take(wanted, now)
@@ -39,7 +39,8 @@
 	return r
 }
 
-// pool returns the pool of a workspace as the state divides its limit; nil for one that has none here.
+// pool returns the pool of a workspace, sized by the state; nil if the workspace is unknown or has no limit. The
+// mutex must be held.
 func (l *limiter) pool(s *state, name string, now time.Duration) *paquota.Pool {
 	w := s.table.Workspace(name)
 	if w == nil || !w.HasRateLimit() {
@@ -49,49 +50,49 @@
 	bucket := l.gate.division(w, s).Pool
 	p := l.pools[name]
 	if p == nil {
-		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.from)
-		p.Add(l.left[name])
-		delete(l.left, name)
+		p = paquota.NewPool(bucket, l.gate.config.Settings.Quota, l.fillFrom)
+		p.Add(l.inherited[name])
+		delete(l.inherited, name)
 		l.pools[name] = p
 	}
 	p.SetBucket(bucket, now)
 	return p
 }
 
-// follows returns whom this entry VM takes for the limiter; mutex is held. Once hintEnd is past the store's word goes
-// first, unless it names nobody, or this entry VM itself, which knows better.
-func (l *limiter) follows(s *state, now time.Duration) string {
-	if l.hint != "" && (now < l.hintEnd || s.limiter == "" || s.limiter == l.gate.self.Name) {
+// currentLimiter returns the presumed limiter. After hintUntil the limiter key in the store has priority over the hint,
+// unless it is empty, or names this entry VM, whose claim has ended. The mutex must be held.
+func (l *limiter) currentLimiter(s *state, now time.Duration) string {
+	if l.hint != "" && (now < l.hintUntil || s.limiter == "" || s.limiter == l.gate.self.Name) {
 		return l.hint
 	}
 	return s.limiter
 }
 
-// ask takes tokens from the pools, wherever they are kept.
-func (l *limiter) ask(ctx context.Context, s *state, wanted []*pawire.Wanted) ([]*pawire.Granted, error) {
+// takeTokens requests tokens from the limiter, which may be this entry VM.
+func (l *limiter) takeTokens(ctx context.Context, s *state, wanted []*pawire.Wanted) ([]*pawire.Granted, error) {
 	g := l.gate
 	l.mutex.Lock()
 	now := g.uptime()
-	here, name := now < l.until, l.follows(s, now)
+	own, name := now < l.claimEnd, l.currentLimiter(s, now)
 	l.mutex.Unlock()
-	if here {
-		return l.take(wanted, l.name).GetGranted(), nil
+	if own {
+		return l.grant(wanted, l.nameHash).GetGranted(), nil
 	}
 	if name == "" {
-		name = l.likely()
+		name = l.nextCandidate()
 	}
 	ctx, cancel := g.withTimeout(ctx, paquota.MaxCallTime)
 	defer cancel()
-	l.calls.Lock()
-	defer l.calls.Unlock()
-	e, ok := l.reach(s, name)
+	l.connMutex.Lock()
+	defer l.connMutex.Unlock()
+	e, ok := l.findEntry(s, name)
 	if !ok || name == g.self.Name {
-		return nil, trace.NotFound("no limiter")
+		return nil, trace.NotFound("no limiter known")
 	}
-	r, err := l.call(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.name})
+	r, err := l.callTake(ctx, e, &pawire.TakeRequest{Wanted: wanted, From: l.nameHash})
 	if err != nil {
 		l.disconnect()
-		l.follow("")
+		l.setHint("")
 		return nil, trace.Wrap(err)
 	}
 	if len(r.GetGranted()) != len(wanted) {
@@ -99,23 +100,23 @@
 		if other == name {
 			other = ""
 		}
-		l.follow(other)
+		l.setHint(other)
 		return nil, trace.NotFound("%s is not the limiter", name)
 	}
 	return r.GetGranted(), nil
 }
 
-// reach returns the entry VM of a name; calls is held. The one that was asked last counts also when its registration has
-// lapsed: the store may have lost its renewals.
-func (l *limiter) reach(s *state, name string) (pafleet.Entry, bool) {
+// findEntry returns the entry VM with a name. The one that is connected is found also if its registration expired, as
+// the store may have lost its renewals. connMutex must be held.
+func (l *limiter) findEntry(s *state, name string) (pafleet.Entry, bool) {
 	if i := slices.IndexFunc(s.entries, func(e pafleet.Entry) bool { return e.Name == name }); i >= 0 {
 		return s.entries[i], true
 	}
-	return l.connTo, l.conn != nil && l.connTo.Name == name
+	return l.connEntry, l.conn != nil && l.connEntry.Name == name
 }
 
-// call asks an entry VM for tokens; calls is held.
-func (l *limiter) call(ctx context.Context, e pafleet.Entry, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
+// callTake requests tokens from an entry VM. connMutex must be held.
+func (l *limiter) callTake(ctx context.Context, e pafleet.Entry, q *pawire.TakeRequest) (*pawire.TakeReply, error) {
 	c, err := l.connect(ctx, e)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -124,24 +125,25 @@
 	return r, trace.Wrap(err)
 }
 
-// likely returns, in turn, who is the limiter if anybody is: it answers, or says whom it follows.
+// nextCandidate returns one of the entry VMs that rank first, a different one at each call: it is the limiter, or
+// replies which one it presumes.
 //
-// Load: the limiter's end is known and who followed it is not yet, as the store serves few readers. Harm prevented: all
-// requests beyond the own few tokens are refused until the next word of the store, though there is a limiter.
-func (l *limiter) likely() string {
+// The end of a limiter's claim may be known here before its successor, as the store serves only few readers. If
+// nobody were asked, all requests beyond the own few tokens would be refused until the next update from the store.
+func (l *limiter) nextCandidate() string {
 	all := l.successors()
 	if len(all) == 0 {
 		return ""
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.guess++
-	return all[l.guess%len(all)].Name
+	l.probes++
+	return all[l.probes%len(all)].Name
 }
 
-// connect returns a connection to an entry VM; calls is held.
+// connect returns a connection to an entry VM. connMutex must be held.
 func (l *limiter) connect(ctx context.Context, e pafleet.Entry) (*drpcconn.Conn, error) {
-	if l.conn != nil && l.connTo.Peers == e.Peers {
+	if l.conn != nil && l.connEntry.Peers == e.Peers {
 		return l.conn, nil
 	}
 	l.disconnect()
@@ -149,17 +151,17 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	l.conn, l.connTo = drpcconn.New(raw), e
+	l.conn, l.connEntry = drpcconn.New(raw), e
 	return l.conn, nil
 }
 
-// disconnect closes the connection to the limiter; calls is held.
+// disconnect closes the connection to the limiter. connMutex must be held.
 func (l *limiter) disconnect() {
 	if l.conn == nil {
 		return
 	}
 	if err := l.conn.Close(); err != nil {
-		l.gate.meter.peerCloses.Inc()
+		l.gate.meter.peerCloseErrors.Inc()
 	}
 	l.conn = nil
 }
--- /dev/null
+++ b/pasteer/balancer.go
@@ -0,0 +1,261 @@
+package pasteer
+
+import (
+	"math"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"papayahead/pafleet"
+	"papayahead/paroute"
+)
+
+// Config is the entry VM's location and the limits that the platform sets.
+type Config struct {
+	Name   string
+	Zone   string
+	Region string
+	// Regions maps each availability zone to its region.
+	Regions map[string]string
+	// RetryRatio, RetryWindow and RetryFloor set the retry budget of a service, shared by all entry VMs: at most
+	// RetryRatio x requests + RetryFloor retries per window.
+	RetryRatio  float64
+	RetryWindow time.Duration
+	RetryFloor  float64
+	// MaxShift is the largest fraction of a region's requests that may move to another region within two seconds;
+	// 0 means no limit.
+	MaxShift float64
+	// Off lists the mechanisms that are disabled.
+	Off Off
+}
+
+// Balancer selects targets for the requests of one entry VM.
+type Balancer struct {
+	Config Config
+
+	targets  map[string]*target
+	services map[string]*service
+	splits   map[string]*paroute.Splitter
+	runTimes map[string]*runTimes
+	// lastTargets and shifts record where each object ran last and how many requests changed region.
+	lastTargets lastTargets
+	shifts      rollingCounter
+	// used contains the services that this entry VM has sent requests to.
+	used map[string]bool
+	// warmTargets lists the targets that are presumably warm for an object, by the object's key.
+	warmTargets map[uint64][]*target
+	// scratch and scratchUsable are reused by each decision, so that it allocates nothing.
+	scratch, scratchUsable []candidate
+	// notes is the log of warm objects that neighbours fetch.
+	notes noteLog
+	// startedAt is the time of the first Update.
+	startedAt time.Time
+	// entryCount is the number of entry VMs, which share the retry budget; maxEntriesPerZone is the largest number of
+	// other entry VMs in one availability zone, at least 1.
+	entryCount, maxEntriesPerZone int
+	// hash is the hash of Config.Name; regionPeers are the other entry VMs of the region.
+	hash        uint64
+	regionPeers []regionPeer
+	// coldShares holds, by zone, this entry VM's share of the rate that cold targets bear. Cold targets of zones
+	// that are missing here get no requests from it.
+	coldShares map[string]coldShare
+}
+
+// service is the state of one service. Its targets are sorted by ID.
+type service struct {
+	settings paroute.Service
+	targets  []*target
+	budget   rollingCounter
+	// byDistance and byRegion group the targets; newTargets are those that joined and may not have received a request.
+	byDistance [otherRegion + 1][]*target
+	byRegion   map[string][]*target
+	newTargets []newTarget
+	rankings   rankingCache
+	// excess is by how much runs take longer than usual, by region.
+	excess map[string]*excessTime
+	// rotation is the round-robin position for requests without an object. It starts at a different value on each
+	// entry VM.
+	rotation uint64
+}
+
+// target is the state of a target from its start to its end; a restart under the same ID makes a new one.
+type target struct {
+	// state is what the fleet view says of the target.
+	state pafleet.TargetState
+	// hash is the hash of the target's ID.
+	hash   uint64
+	region string
+	// distance is sameZone, sameRegion or otherRegion.
+	distance int
+	// excluded is set while the target drains or its availability zone is evacuated: it gets no new requests.
+	excluded bool
+
+	// joinedAt is when the target joined a service that was already in use; zero if it was there before.
+	joinedAt time.Time
+	// used is set once this entry VM or a neighbour has sent the target a request.
+	used     bool
+	inFlight int
+	// otherLoad is the number of requests that other entry VMs had at the target at otherLoadAt.
+	otherLoad   float64
+	otherLoadAt time.Time
+	// fullSince is when the target was first seen without a free slot; zero while it has one.
+	fullSince time.Time
+	// failures counts connections that were refused or lost since the last complete response; no request is sent
+	// before backoffUntil.
+	failures     int
+	backoffUntil time.Time
+	// unresponsiveAt is when the target counts as unresponsive unless it answers before; zero while no request is
+	// outstanding.
+	unresponsiveAt time.Time
+	// nextTryAt is when an unresponsive target may get the next request.
+	nextTryAt time.Time
+	// errorRate is the moving average of the fraction of this entry VM's requests that failed at the target.
+	errorRate float64
+	// suspectColdUntil is until when this entry VM presumes the target cold, whatever the target itself reports.
+	suspectColdUntil time.Time
+	coldBucket       bucket
+	warm             warmSet
+}
+
+// New returns a Balancer without targets; Update supplies them.
+func New(c Config) *Balancer {
+	return &Balancer{
+		Config: c, hash: xxhash.Sum64String(c.Name), targets: map[string]*target{}, services: map[string]*service{},
+		splits: map[string]*paroute.Splitter{}, runTimes: map[string]*runTimes{}, used: map[string]bool{},
+		warmTargets: map[uint64][]*target{}, entryCount: 1, coldShares: map[string]coldShare{},
+	}
+}
+
+// Update applies a changed view of the fleet. The state of a target is kept until it restarts or is removed.
+func (b *Balancer) Update(v *pafleet.View, now time.Time) {
+	if v.Config == nil {
+		return
+	}
+	if b.startedAt.IsZero() {
+		b.startedAt = now
+	}
+	b.updateColdShares(v)
+	b.entryCount = max(1, len(v.Entries))
+	b.updateServices(v.Config)
+	for id, t := range b.targets {
+		if v.Targets[id] == nil {
+			b.removeTarget(t)
+		}
+	}
+	for id, m := range v.Targets {
+		b.updateTarget(id, m, v, now)
+	}
+	for _, svc := range b.services {
+		sortByID(svc.targets)
+		b.groupTargets(svc)
+	}
+}
+
+// updateServices applies the services of the configuration and empties their lists of targets.
+func (b *Balancer) updateServices(c *paroute.Config) {
+	for name := range b.services {
+		if _, ok := c.Services[name]; !ok {
+			delete(b.services, name)
+		}
+	}
+	for name, settings := range c.Services {
+		svc := b.services[name]
+		if svc == nil {
+			svc = &service{excess: map[string]*excessTime{}, rotation: b.hash % math.MaxUint32}
+			b.services[name] = svc
+		}
+		svc.settings, svc.targets = settings, svc.targets[:0]
+	}
+}
+
+// groupTargets groups the service's targets by distance and region and finds those that are new.
+func (b *Balancer) groupTargets(svc *service) {
+	svc.byDistance, svc.byRegion, svc.newTargets = [otherRegion + 1][]*target{}, map[string][]*target{}, nil
+	for _, t := range svc.targets {
+		svc.byDistance[t.distance] = append(svc.byDistance[t.distance], t)
+		svc.byRegion[t.region] = append(svc.byRegion[t.region], t)
+		if !t.joinedAt.IsZero() && !t.used && t.distance < otherRegion {
+			svc.newTargets = append(svc.newTargets, b.newTargetOf(t))
+		}
+	}
+}
+
+// removeTarget drops the state of a target that restarted or is gone.
+func (b *Balancer) removeTarget(t *target) {
+	b.clearWarm(t)
+	if svc := b.services[t.state.Service]; svc != nil {
+		svc.rankings.remove(t)
+	}
+	delete(b.targets, t.state.ID)
+}
+
+// updateTarget applies what the view says of a target.
+func (b *Balancer) updateTarget(id string, m *pafleet.TargetState, v *pafleet.View, now time.Time) {
+	t := b.targets[id]
+	if t == nil || t.state.Born != m.Born || t.state.Address != m.Address || t.state.Service != m.Service ||
+		t.state.Zone != m.Zone {
+		if t != nil {
+			b.removeTarget(t)
+		}
+		t = b.addTarget(id, m, now)
+	}
+	wasCold := t.isCold(now)
+	t.state = *m
+	t.distance = b.distance(m.Zone, t.region)
+	_, evacuated := v.Evacuated[m.Zone]
+	t.excluded = m.Draining || evacuated
+	if at, ok := v.RestoredAt[m.Zone]; ok && now.Sub(at) < coldAfterEvacuation {
+		// Targets may have turned cold while their availability zone was evacuated. Their own report of that takes
+		// a heartbeat and a read of the store to arrive, and full traffic before then crashes them.
+		t.suspectColdUntil = later(t.suspectColdUntil, at.Add(coldAfterEvacuation))
+	}
+	if svc := b.services[m.Service]; svc != nil {
+		svc.targets = append(svc.targets, t)
+		if !wasCold && t.isCold(now) {
+			b.delayFirstCold(t, now)
+		}
+	}
+}
+
+// addTarget creates the state of a target that is new or restarted.
+func (b *Balancer) addTarget(id string, m *pafleet.TargetState, now time.Time) *target {
+	t := &target{hash: xxhash.Sum64String(id), region: b.Config.Regions[m.Zone]}
+	b.targets[id] = t
+	if b.used[m.Service] {
+		t.joinedAt = now
+	}
+	if svc := b.services[m.Service]; svc != nil {
+		svc.rankings.add(t)
+	}
+	return t
+}
+
+// coldAfterEvacuation is how long targets count as cold after the end of an evacuation: a heartbeat takes 1.5 s and a
+// read of the store 1 s.
+const coldAfterEvacuation = 2500 * time.Millisecond
+
+// distance returns the distance of a target in the given zone and region.
+func (b *Balancer) distance(zone, region string) int {
+	switch {
+	case zone == b.Config.Zone:
+		return sameZone
+	case region == b.Config.Region:
+		return sameRegion
+	}
+	return otherRegion
+}
+
+// The distances of a target from this entry VM.
+const (
+	sameZone = iota
+	sameRegion
+	otherRegion
+)
+
+// later returns the later of two times.
+func later(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
+}
--- a/pasteer/budget.go
+++ b/pasteer/budget.go
@@ -2,60 +2,64 @@
 
 import "time"
 
-// budgetShare is the part of the retry budget that is used. The rest covers windows that differ from
-// the platform's and an entry VM more or less than is known.
+// budgetShare is the fraction of the retry budget that is used. The rest allows for windows that are not aligned with the
+// platform's and for a count of entry VMs that is off by one.
 const budgetShare = 0.75
 
-// windowSlots is the number of parts of a window.
-const windowSlots = 10
+// windowBuckets is the number of buckets of a rollingCounter.
+const windowBuckets = 10
 
-// window counts requests and further attempts over the last RetryWindow.
-type window struct {
-	start   [windowSlots]int64
-	first   [windowSlots]int
-	further [windowSlots]int
+// rollingCounter counts, over a rolling window, requests and the retries or region shifts among them. The zero value is
+// ready for use.
+type rollingCounter struct {
+	// ticks holds the bucket number that each bucket was last reset for.
+	ticks    [windowBuckets]int64
+	requests [windowBuckets]int
+	events   [windowBuckets]int
 }
 
-func (w *window) slot(now time.Time, length time.Duration) int {
-	tick := now.UnixNano() / int64(length/windowSlots)
-	i := int(tick % windowSlots)
-	if w.start[i] != tick {
-		w.start[i], w.first[i], w.further[i] = tick, 0, 0
+// bucketAt returns the index of the current bucket, after resetting it if it is from an earlier window.
+func (c *rollingCounter) bucketAt(now time.Time, length time.Duration) int {
+	tick := now.UnixNano() / int64(length/windowBuckets)
+	i := int(tick % windowBuckets)
+	if c.ticks[i] != tick {
+		c.ticks[i], c.requests[i], c.events[i] = tick, 0, 0
 	}
 	return i
 }
 
-func (w *window) sums(now time.Time, length time.Duration) (first, further int) {
-	tick := now.UnixNano() / int64(length/windowSlots)
-	for i := range w.start {
-		if w.start[i] > tick-windowSlots {
-			first += w.first[i]
-			further += w.further[i]
+// totals returns the sums over the window of the given length that ends now.
+func (c *rollingCounter) totals(now time.Time, length time.Duration) (requests, events int) {
+	tick := now.UnixNano() / int64(length/windowBuckets)
+	for i := range c.ticks {
+		if c.ticks[i] > tick-windowBuckets {
+			requests += c.requests[i]
+			events += c.events[i]
 		}
 	}
-	return first, further
+	return requests, events
 }
 
-// countFirst counts a request for the service.
-func (s *Balancer) countFirst(g *service, now time.Time) {
-	g.budget.first[g.budget.slot(now, s.Config.RetryWindow)]++
+// countRequest adds a request to those that the service's retry budget is computed from.
+func (b *Balancer) countRequest(svc *service, now time.Time) {
+	svc.budget.requests[svc.budget.bucketAt(now, b.Config.RetryWindow)]++
 }
 
-// TakeRetry spends one further attempt of the service's budget and says whether there was one.
+// TakeRetry takes one retry from the service's budget and reports whether there was one.
 //
-// Load: many targets fail or shed at once. Harm prevented: further attempts take slots from first
-// ones when there are none to spare. The floor is shared evenly among entry VMs, so that no message
-// is needed to keep their sum within it.
-func (s *Balancer) TakeRetry(name string, now time.Time) bool {
-	g := s.services[name]
-	if g == nil {
+// Retries are bounded because they compete with first attempts for slots. When many targets fail or shed requests at once,
+// no slots are to spare, and unbounded retries would add to the overload. RetryFloor is divided evenly among the entry VMs,
+// so that all of them together stay within it without exchanging messages.
+func (b *Balancer) TakeRetry(service string, now time.Time) bool {
+	svc := b.services[service]
+	if svc == nil {
 		return false
 	}
-	first, further := g.budget.sums(now, s.Config.RetryWindow)
-	most := budgetShare * (s.Config.RetryRatio*float64(first) + s.Config.RetryFloor/float64(s.entries))
-	if s.Config.Off.SecondSends || float64(further+1) > most && !s.Config.Off.RetryBudget {
+	requests, retries := svc.budget.totals(now, b.Config.RetryWindow)
+	limit := budgetShare * (b.Config.RetryRatio*float64(requests) + b.Config.RetryFloor/float64(b.entryCount))
+	if b.Config.Off.SecondSends || float64(retries+1) > limit && !b.Config.Off.RetryBudget {
 		return false
 	}
-	g.budget.further[g.budget.slot(now, s.Config.RetryWindow)]++
+	svc.budget.events[svc.budget.bucketAt(now, b.Config.RetryWindow)]++
 	return true
 }
--- a/pasteer/cold.go
+++ b/pasteer/cold.go
@@ -8,124 +8,127 @@
 	"papayahead/pafleet"
 )
 
-// bucket is a token bucket of one request.
+// bucket is a token bucket with a capacity of one request. The zero value is full.
 //
-// Load: a target that came back cold while its share of traffic waits. Harm prevented: it crashes at
-// a rate well above what it bears. The burst of one keeps the sum over all entry VMs that feed the
-// target within what the platform tolerates in one second.
+// A target that comes back cold while its share of the traffic waits would crash under a rate well above what it bears.
+// The capacity of one keeps the requests of all entry VMs together within what the platform tolerates in one second.
 type bucket struct {
-	full time.Time
+	// refilledAt is when the token is available again.
+	refilledAt time.Time
 }
 
-// take takes a token that comes back at the rate, and says whether there was one.
+// take takes the token, which is refilled at the given rate per second, and reports whether there was one.
 func (b *bucket) take(now time.Time, rate float64) bool {
-	if now.Before(b.full) || rate <= 0 {
+	if now.Before(b.refilledAt) || rate <= 0 {
 		return false
 	}
-	b.full = now.Add(time.Duration(float64(time.Second) / rate))
+	b.refilledAt = now.Add(time.Duration(float64(time.Second) / rate))
 	return true
 }
 
-// isCold says whether the target may take only what a cold one bears.
+// isCold reports whether the target reports that it is cold, or is presumed cold.
 func (t *target) isCold(now time.Time) bool {
-	return now.Before(t.member.ColdUntil) || now.Before(t.coldUntil)
+	return now.Before(t.state.ColdUntil) || now.Before(t.suspectColdUntil)
 }
 
-// feeder is the share of an entry VM in what the cold targets of an availability zone may get: it is one of
-// n that send to them, in an order that all agree on.
-type feeder struct{ rank, n int }
+// coldShare is the share of this entry VM in the rate that each cold target of an availability zone bears: a number of entry
+// VMs, the senders, send to these targets in turn, and index is this entry VM's position among them. All entry VMs compute
+// the same order.
+type coldShare struct{ index, senders int }
 
 const (
-	// feedersMost is how many entry VMs of other zones send to the cold targets of a zone without any.
-	feedersMost = 3
-	// settleTime is how long after its start an entry VM may know only some of the others that start with it:
-	// a registration, and a reading of the store by a neighbour that is asked for it.
-	settleTime = 2 * time.Second
+	// maxColdSenders is how many entry VMs of other zones send to the cold targets of a zone that has no entry VM.
+	maxColdSenders = 3
+	// startupGrace is how long after its start an entry VM may not know all others that started with it. They have to
+	// register, and a neighbour that this entry VM asks has to read the store.
+	startupGrace = 2 * time.Second
 )
 
-// feed computes for each availability zone whether this entry VM sends to its cold targets.
+// updateColdShares computes this entry VM's share of the rate of the cold targets, for each availability zone to whose
+// cold targets it sends.
 //
-// Load: a region comes back from a loss of power, and all of its targets are cold while its traffic waits.
-// Harm prevented: entry VMs that start with it and do not know of each other yet, and all those elsewhere that
-// took its traffic over, each send a request at once, several times what a cold target bears. So a zone has few
-// feeders; each waits its turn; and one that has just started sends only to targets of its own zone, and counts
-// as many in it as the largest other zone has.
-func (s *Balancer) feed(v *pafleet.View) {
+// When a region comes back from a power failure, all its targets are cold while its traffic waits. The entry VMs that
+// start with it, which do not know each other yet, and all those elsewhere that took over its traffic would each send a
+// request at once, several times what a cold target bears. So only few entry VMs send to the cold targets of a zone, and
+// they take turns. One that has just started sends only to targets of its own zone, and assumes as many senders there as
+// the largest zone has.
+func (b *Balancer) updateColdShares(v *pafleet.View) {
 	zones, regions := map[string][]string{}, map[string][]string{}
 	var all []string
-	s.mates = s.mates[:0]
+	b.regionPeers = b.regionPeers[:0]
 	for name, e := range v.Entries {
-		if name == s.Config.Name {
+		if name == b.Config.Name {
 			continue
 		}
-		if e.Region == s.Config.Region {
-			s.mates = append(s.mates, mate{e.Zone, xxhash.Sum64String(name)})
+		if e.Region == b.Config.Region {
+			b.regionPeers = append(b.regionPeers, regionPeer{e.Zone, xxhash.Sum64String(name)})
 		}
 		zones[e.Zone] = append(zones[e.Zone], name)
 		regions[e.Region] = append(regions[e.Region], name)
 		all = append(all, name)
 	}
-	s.mostPerZone = 1
+	b.maxEntriesPerZone = 1
 	for _, names := range zones {
-		s.mostPerZone = max(s.mostPerZone, len(names))
+		b.maxEntriesPerZone = max(b.maxEntriesPerZone, len(names))
 	}
-	s.feeders = map[string]feeder{}
-	for zone, region := range s.Config.Regions {
+	b.coldShares = map[string]coldShare{}
+	for zone, region := range b.Config.Regions {
 		names := zones[zone]
 		switch {
-		case zone == s.Config.Zone:
+		case zone == b.Config.Zone:
 		case len(names) > 0:
 			continue
-		case region == s.Config.Region:
+		case region == b.Config.Region:
 			names = regions[region]
 		case len(regions[region]) == 0:
 			names = all
 		default:
 			continue
 		}
-		f := feeder{n: len(names) + 1}
-		own := hashOf(zone, s.Config.Name)
+		share := coldShare{senders: len(names) + 1}
+		ownHash := hashPair(zone, b.Config.Name)
 		for _, name := range names {
-			if hashOf(zone, name) > own {
-				f.rank++
+			if hashPair(zone, name) > ownHash {
+				share.index++
 			}
 		}
-		if zone != s.Config.Zone {
-			f.n = min(f.n, feedersMost)
+		if zone != b.Config.Zone {
+			share.senders = min(share.senders, maxColdSenders)
 		}
-		if f.rank < f.n {
-			s.feeders[zone] = f
+		if share.index < share.senders {
+			b.coldShares[zone] = share
 		}
 	}
 }
 
-// feederOf returns the share of this entry VM in what the target's zone may get, and whether it has one.
-func (s *Balancer) feederOf(t *target, now time.Time) (feeder, bool) {
-	f, ok := s.feeders[t.member.Zone]
-	if ok && now.Sub(s.startedAt) < settleTime {
-		f.n = max(f.n, s.mostPerZone)
-		ok = t.near == nearZone
+// coldShareOf returns the share of this entry VM in the rate of the target's zone, and whether it has one.
+func (b *Balancer) coldShareOf(t *target, now time.Time) (coldShare, bool) {
+	share, ok := b.coldShares[t.state.Zone]
+	if ok && now.Sub(b.startedAt) < startupGrace {
+		share.senders = max(share.senders, b.maxEntriesPerZone)
+		ok = t.distance == sameZone
 	}
-	return f, ok
+	return share, ok
 }
 
-// coldRate returns how many requests a second this entry VM may send to the cold target. Only the
-// entry VMs of its availability zone do, or some others where the zone has none: the fewer
-// they are, the more each may send, and none needs to ask the others.
-func (s *Balancer) coldRate(t *target, now time.Time) float64 {
-	f, ok := s.feederOf(t, now)
-	g := s.services[t.member.Service]
-	if !ok || g == nil {
+// coldRate returns how many requests a second this entry VM may send to a cold target. Only the entry VMs of the target's
+// availability zone send to it, or a few others if the zone has none. They divide the rate that the target bears evenly,
+// without asking each other.
+func (b *Balancer) coldRate(t *target, now time.Time) float64 {
+	share, ok := b.coldShareOf(t, now)
+	svc := b.services[t.state.Service]
+	if !ok || svc == nil {
 		return 0
 	}
-	return g.settings.ColdRate / float64(f.n)
+	return svc.settings.ColdRate / float64(share.senders)
 }
 
-// beginCold makes the first request to a target that has just turned cold wait for this entry VM's turn.
-func (s *Balancer) beginCold(t *target, now time.Time) {
-	f, ok := s.feederOf(t, now)
-	if rate := s.coldRate(t, now); ok && rate > 0 {
-		turn := float64(f.rank) / float64(f.n)
-		t.cold.full = later(t.cold.full, now.Add(time.Duration(turn/rate*float64(time.Second))))
+// delayFirstCold delays the first request to a target that has just turned cold. The delays spread the first requests of
+// the senders over the interval that each of them waits between two requests.
+func (b *Balancer) delayFirstCold(t *target, now time.Time) {
+	share, ok := b.coldShareOf(t, now)
+	if rate := b.coldRate(t, now); ok && rate > 0 {
+		offset := float64(share.index) / float64(share.senders)
+		t.coldBucket.refilledAt = later(t.coldBucket.refilledAt, now.Add(time.Duration(offset/rate*float64(time.Second))))
 	}
 }
--- a/pasteer/doc.go
+++ b/pasteer/doc.go
@@ -1,6 +1,18 @@
-// Package pasteer decides where each request goes, or that it is refused at once.
+// Package pasteer is the load balancer of an entry VM: it selects the target of each request or refuses the request at once.
 //
-// A Balancer holds what one entry VM knows of the load and health of targets, from its own requests and
-// from what targets tell in their answers. It does no I/O and reads no clock; callers serialize the
-// calls and pass the time in.
+// A Balancer knows the load and health of the targets from the entry VM's own requests and from the load that targets
+// report in their responses. It does no I/O and reads no clock: callers pass the time and serialize all calls.
+//
+// The following terms are used throughout:
+//
+//   - A route divides its requests among one or more services by weight; each of these shares is a part of the route.
+//   - A run is the processing of one request by a target. It occupies one of the target's slots. Requests that find no free
+//     slot wait in the target's queue, and a target with a full queue sheds further ones.
+//   - An object is what a request is about, and the key of its affinity. A target that handled an object lately is warm for
+//     it, since it holds the object in its cache. A run there is a warm run. At any other target it is a cold run, which
+//     takes about three times as long and evicts another object.
+//   - The ranking of an object is the order in which rendezvous hashing sorts the targets of a service for it. Its home is
+//     the target at which it runs while it is warm nowhere: usually the first of its ranking.
+//   - A target itself is cold for some time after its start, whatever the objects. It then bears only a low request rate and
+//     crashes above it.
 package pasteer
