--- a/paproxy/body.go
+++ b/paproxy/body.go
@@ -9,40 +9,40 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// errBodyClosed ends reads of an attempt that has been given up.
-var errBodyClosed = trace.Errorf("the attempt that read this body has ended")
+// errBodyClosed is returned by reads of an attempt that has ended.
+var errBodyClosed = trace.Errorf("read of a request body after its attempt ended")
 
-// errBodyTooLarge ends a request whose body passes Limits.MaxBody.
-var errBodyTooLarge = trace.LimitExceeded("the request's body is too large")
+// errBodyTooLarge is returned when a request's body exceeds Limits.MaxBody.
+var errBodyTooLarge = trace.LimitExceeded("request body exceeds the size limit")
 
-// requestBody is a request's body on its way to its one send. It is read by at most one attempt:
-// once touched, no other attempt is made.
+// requestBody streams a request's body to a target or peer. At most one attempt reads it: no
+// further attempt is made once reading has started.
 type requestBody struct {
 	source io.Reader
 	clock  clockwork.Clock
-	// idle bounds one read; max bounds all of them, 0 does not.
-	idle time.Duration
-	max  int64
-	// interrupt makes a read in progress return; it ends the source for good.
+	// idleTimeout limits each read; maxBytes limits the total, 0 means no limit.
+	idleTimeout time.Duration
+	maxBytes    int64
+	// interrupt unblocks a read in progress; the source can't be read afterwards.
 	interrupt func()
-	// pace is asked before bytes are passed on.
+	// pace is called with the size of each chunk before it is passed on; it may block.
 	pace func(bytes int) error
 
-	mutex   sync.Mutex
-	readers sync.WaitGroup
-	reading bool
-	touched bool
-	ended   bool
-	atEnd   bool
-	count   int64
-	failure error
+	mutex     sync.Mutex
+	readers   sync.WaitGroup
+	reading   bool
+	started   bool
+	ended     bool
+	atEnd     bool
+	bytesRead int64
+	readError error
 }
 
-// attempt returns a reader for one attempt, which ends when it is closed.
-func (b *requestBody) attempt() *attemptBody { return &attemptBody{body: b} }
+// newReader returns a reader for one attempt. It ends when it is closed.
+func (b *requestBody) newReader() *bodyReader { return &bodyReader{body: b} }
 
-// finish ends all reading and returns when no read is in progress, so that the source can be given
-// back to the server it belongs to.
+// finish ends all reading and waits for a read in progress, so that the source can be returned to
+// the server that owns it.
 func (b *requestBody) finish() {
 	b.mutex.Lock()
 	b.ended = true
@@ -54,49 +54,50 @@
 	b.readers.Wait()
 }
 
-// drain reads on for no one, up to the limit and the time.
+// drain reads and discards up to limit bytes, for at most d.
 func (b *requestBody) drain(limit int64, d time.Duration) {
-	a := b.attempt()
+	r := b.newReader()
 	timer := b.clock.AfterFunc(d, b.interrupt)
 	defer timer.Stop()
-	_, _ = io.CopyN(io.Discard, a, limit)
-	a.stop()
+	_, _ = io.CopyN(io.Discard, r, limit)
+	r.stop()
 }
 
-// whole says that the body was read to its end.
-func (b *requestBody) whole() bool {
+// complete reports whether the body was read to its end.
+func (b *requestBody) complete() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.atEnd
 }
 
-// state returns whether any attempt has read, the bytes read, and the failure of the source.
-func (b *requestBody) state() (touched bool, count int64, failure error) {
+// state reports whether an attempt has started to read, the number of bytes read, and the read
+// error of the source.
+func (b *requestBody) state() (started bool, bytesRead int64, readError error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.touched, b.count, b.failure
+	return b.started, b.bytesRead, b.readError
 }
 
-// read reads for an attempt.
-func (b *requestBody) read(a *attemptBody, p []byte) (int, error) {
+// read reads from the source on behalf of an attempt.
+func (b *requestBody) read(r *bodyReader, p []byte) (int, error) {
 	b.mutex.Lock()
-	if b.ended || a.closed {
+	if b.ended || r.closed {
 		b.mutex.Unlock()
 		return 0, errBodyClosed
 	}
-	b.touched, b.reading = true, true
+	b.started, b.reading = true, true
 	b.readers.Add(1)
 	b.mutex.Unlock()
 	n, err := b.readSource(p)
 	b.mutex.Lock()
 	b.reading = false
 	b.atEnd = err == io.EOF
-	b.count += int64(n)
-	if b.max > 0 && b.count > b.max {
+	b.bytesRead += int64(n)
+	if b.maxBytes > 0 && b.bytesRead > b.maxBytes {
 		n, err = 0, errBodyTooLarge
 	}
-	if err != nil && err != io.EOF && b.failure == nil {
-		b.failure = err
+	if err != nil && err != io.EOF && b.readError == nil {
+		b.readError = err
 	}
 	b.mutex.Unlock()
 	b.readers.Done()
@@ -108,34 +109,34 @@
 	return n, err
 }
 
-// readSource reads once, within the idle time.
+// readSource reads once from the source, within the idle timeout.
 func (b *requestBody) readSource(p []byte) (int, error) {
-	timer := b.clock.AfterFunc(b.idle, b.interrupt)
+	timer := b.clock.AfterFunc(b.idleTimeout, b.interrupt)
 	defer timer.Stop()
 	return b.source.Read(p)
 }
 
-// attemptBody is the body as one attempt reads it.
-type attemptBody struct {
+// bodyReader reads a request's body for one attempt.
+type bodyReader struct {
 	body   *requestBody
 	closed bool
 }
 
-// Read reads from the body unless the attempt has ended.
-func (a *attemptBody) Read(p []byte) (int, error) { return a.body.read(a, p) }
+// Read returns errBodyClosed after the attempt has ended.
+func (r *bodyReader) Read(p []byte) (int, error) { return r.body.read(r, p) }
 
-// Close keeps this attempt from reading on; the body stays as it is.
-func (a *attemptBody) Close() error {
-	a.stop()
+// Close ends reading by this attempt. It doesn't close the body's source.
+func (r *bodyReader) Close() error {
+	r.stop()
 	return nil
 }
 
-// stop is Close; a nil attempt has nothing to stop.
-func (a *attemptBody) stop() {
-	if a == nil {
+// stop is Close without an error. It accepts a nil reader.
+func (r *bodyReader) stop() {
+	if r == nil {
 		return
 	}
-	a.body.mutex.Lock()
-	defer a.body.mutex.Unlock()
-	a.closed = true
+	r.body.mutex.Lock()
+	defer r.body.mutex.Unlock()
+	r.closed = true
 }
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -14,130 +14,134 @@
 	"papayahead/pawire"
 )
 
-// call is one request forwarded on one connection, at its origin.
-type call struct {
-	peers *Peers
+// peerCall is a request forwarded to a peer, at the entry VM that forwards it. It occupies one
+// connection.
+type peerCall struct {
+	peers *PeerClient
 	to    Forward
 	x     *exchange
 	conn  *peerConn
 	id    string
 	sent  time.Time
 
-	stream pawire.DRPCForwarding_ForwardClient
-	cancel context.CancelCauseFunc
-	body   *attemptBody
-	pump   sync.Once
-	end    *pawire.ForwardEnd
+	stream   pawire.DRPCForwarding_ForwardClient
+	cancel   context.CancelCauseFunc
+	body     *bodyReader
+	bodyOnce sync.Once
+	end      *pawire.ForwardEnd
 }
 
-// peerError is an end of a forwarded answer before its whole body.
+// peerError is the failure of a forwarded request before its response was complete.
 type peerError struct {
 	error
 	reason Reason
 	fault  Fault
 }
 
-func peerLost(err error) peerError { return peerError{noEOF(err), ReasonPeerLost, FaultPeer} }
+func peerLostError(err error) peerError {
+	return peerError{unexpectedEOF(err), ReasonPeerLost, FaultPeer}
+}
 
-func peerFault(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
+func peerProtocolError(err error) peerError { return peerError{err, ReasonPeerProtocol, FaultPeer} }
 
-// run makes the call up to the answer's head.
-func (k *call) run(ctx context.Context) (*answer, Result) {
+// run makes the call and returns once the response's header has arrived.
+func (c *peerCall) run(ctx context.Context) (*response, Result) {
 	callCtx, cancel := context.WithCancelCause(ctx)
-	k.cancel = cancel
-	stream, err := pawire.NewDRPCForwardingClient(k.conn).Forward(callCtx)
+	c.cancel = cancel
+	stream, err := pawire.NewDRPCForwardingClient(c.conn).Forward(callCtx)
 	if err != nil {
-		// The call's first frame is not sent yet, and without it a peer starts nothing.
-		k.drop()
+		// The call's first frame has not been sent, and the peer starts nothing without it.
+		c.abort()
 		return nil, Result{Outcome: NotRun, Reason: ReasonPeerLost, Fault: FaultPeer}
 	}
-	k.stream = stream
-	h, err := k.open(ctx)
+	c.stream = stream
+	h, err := c.open(ctx)
 	if err != nil {
-		return nil, k.lost(ctx, err)
+		return nil, c.resolveLost(ctx, err)
 	}
 	if h == nil {
-		return nil, k.ended(ctx)
+		return nil, c.endResult(ctx)
 	}
-	return k.answer(h), Result{Status: int(h.GetStatus())}
+	return c.newResponse(h), Result{Status: int(h.GetStatus())}
 }
 
-// open sends the first frame and receives up to the answer's head; nil is an end without one.
-func (k *call) open(ctx context.Context) (*pawire.ForwardHead, error) {
-	left := k.x.request.Deadline.Sub(k.peers.Clock.Now())
+// open sends the first frame and receives frames up to the response's header. It returns nil
+// without an error if the peer ended the call without a response.
+func (c *peerCall) open(ctx context.Context) (*pawire.ForwardHead, error) {
+	left := c.x.request.Deadline.Sub(c.peers.Clock.Now())
 	left -= min(left/4, maxDeadlineMargin)
-	silence := k.peers.Clock.AfterFunc(orDefault(k.peers.AcceptTime, DefaultAcceptTime), func() { k.cancel(errSilent) })
+	silence := c.peers.Clock.AfterFunc(orDefault(c.peers.AcceptTimeout, DefaultAcceptTimeout), func() { c.cancel(errSilent) })
 	defer silence.Stop()
-	open := openOf(k.x, k.to, k.id, k.peers.Self, left)
-	open.Stamp = k.peers.Stamps.Text()
-	if err := k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
-		return nil, peerLost(err)
+	open := newForwardOpen(c.x, c.to, c.id, c.peers.Self, left)
+	open.Stamp = c.peers.Stamps.Text()
+	if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
+		return nil, peerLostError(err)
 	}
 	for {
-		f, err := k.stream.Recv()
+		f, err := c.stream.Recv()
 		if err != nil {
-			return nil, peerLost(err)
+			return nil, peerLostError(err)
 		}
 		switch s := f.GetStep().(type) {
 		case *pawire.ForwardFrame_Accepted:
 			silence.Stop()
 		case *pawire.ForwardFrame_Continue:
-			k.startBody(ctx)
+			c.startBody(ctx)
 		case *pawire.ForwardFrame_Head:
 			if s.Head.GetStatus() >= http.StatusOK {
 				return s.Head, nil
 			}
-			k.x.inform(int(s.Head.GetStatus()), headerOf(s.Head.GetHeader()))
+			c.x.writeInterim(int(s.Head.GetStatus()), fromFields(s.Head.GetHeader()))
 		case *pawire.ForwardFrame_End:
-			k.peers.Stamps.Heard(s.End.GetStamp())
-			k.end = s.End
+			c.peers.Stamps.Heard(s.End.GetStamp())
+			c.end = s.End
 			return nil, nil
 		default:
-			return nil, peerFault(trace.BadParameter("unexpected frame before the answer"))
+			return nil, peerProtocolError(trace.BadParameter("unexpected frame before the response"))
 		}
 	}
 }
 
-// startBody begins to send the request's body beside the receiving of the answer.
-func (k *call) startBody(ctx context.Context) {
-	if k.x.body == nil {
+// startBody starts to send the request's body, concurrently with receiving the response.
+func (c *peerCall) startBody(ctx context.Context) {
+	if c.x.body == nil {
 		return
 	}
-	k.pump.Do(func() {
-		k.body = k.x.body.attempt()
-		pace := k.x.pacing(ctx, flowTo(k.x, k.to.Entry, true))
+	c.bodyOnce.Do(func() {
+		c.body = c.x.body.newReader()
+		pace := c.x.newPacer(ctx, flowTo(c.x, c.to.Entry, true))
 		go func() {
-			if err := k.sendBody(pace); err != nil {
-				// The peer must not take what it got for a whole body.
-				k.cancel(err)
+			if err := c.sendBody(pace); err != nil {
+				// The peer must not mistake the part it received for the whole body.
+				c.cancel(err)
 			}
 		}()
 	})
 }
 
-// sendBody sends the body to its end.
-func (k *call) sendBody(pace func(int) error) error {
-	chunk := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(chunk)
+// sendBody sends the request's body and its trailer.
+func (c *peerCall) sendBody(pace func(int) error) error {
+	chunk := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(chunk)
 	var offset int64
 	for {
-		n, err := k.body.Read(chunk[:])
+		n, err := c.body.Read(chunk[:])
 		if n > 0 {
 			if err := pace(n); err != nil {
 				return err
 			}
-			piece := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
-			if err := k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: piece}}); err != nil {
+			body := &pawire.ForwardBody{Offset: offset, Data: chunk[:n]}
+			if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Body{Body: body}}); err != nil {
 				return ignoreEnd(err)
 			}
 			offset += int64(n)
 		}
 		if err == io.EOF {
 			end := &pawire.ForwardBodyEnd{Length: offset}
-			if k.x.trailer != nil {
-				end.Trailer = fieldsOf(k.x.trailer())
+			if c.x.trailer != nil {
+				end.Trailer = toFields(c.x.trailer())
 			}
-			return ignoreEnd(k.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_BodyEnd{BodyEnd: end}}))
+			return ignoreEnd(c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_BodyEnd{BodyEnd: end}}))
 		}
 		if err != nil {
 			return ignoreClosed(err)
@@ -145,7 +149,7 @@
 	}
 }
 
-// ignoreEnd drops the error of a send that the peer's end of the call overtook.
+// ignoreEnd drops the error of a send after the peer has already ended the call.
 func ignoreEnd(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -161,126 +165,131 @@
 	return err
 }
 
-// lost ends a call without an answer, and asks the peer whether it ran.
-func (k *call) lost(ctx context.Context, err error) Result {
-	k.drop()
+// resolveLost returns the result of a call that failed without a response. It asks the peer whether
+// the call started, and keeps it from starting if it did not.
+func (c *peerCall) resolveLost(ctx context.Context, err error) Result {
+	c.abort()
 	r := Result{Outcome: Unknown, Reason: ReasonPeerLost, Fault: FaultPeer}
 	var peer peerError
 	if errors.As(err, &peer) {
 		r.Reason, r.Fault = peer.reason, peer.fault
 	}
 	switch {
-	case k.x.callerFailed() != nil:
+	case c.x.bodyError() != nil:
 		r.Reason, r.Fault = ReasonCallerGone, FaultCaller
 		return r
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 		if r.Fault == FaultCaller {
 			return r
 		}
 	}
-	r.Outcome = k.peers.fence(ctx, k.to, k.id, k.sent)
-	record(k.peers.Events, paevent.CallLost{
-		Subject: about(k.x.request), Call: k.id, Peer: string(k.to.Entry), Outcome: r.Outcome.String(),
+	r.Outcome = c.peers.fence(ctx, c.to, c.id, c.sent)
+	record(c.peers.Events, paevent.CallLost{
+		Subject: eventSubject(c.x.request), Call: c.id, Peer: string(c.to.Entry), Outcome: r.Outcome.String(),
 	})
 	return r
 }
 
-// ended returns the peer's own word on a call without an answer.
-func (k *call) ended(ctx context.Context) Result {
-	k.finish(true)
-	e := k.end
+// endResult returns the result that the peer reported for a call without a response.
+func (c *peerCall) endResult(ctx context.Context) Result {
+	c.finish(true)
+	e := c.end
 	r := Result{
 		Outcome: Unknown, Reason: Reason(e.GetReason()), Fault: Fault(e.GetFault()),
-		Draining: e.GetDraining(),
-		ComeBack: time.Duration(max(e.GetComeBackMicroseconds(), 0)) * time.Microsecond,
+		Draining:   e.GetDraining(),
+		RetryAfter: time.Duration(max(e.GetComeBackMicroseconds(), 0)) * time.Microsecond,
 	}
 	if Outcome(e.GetOutcome()) == NotRun {
 		r.Outcome = NotRun
 	}
 	if r.Fault == FaultRefused {
-		// The refusal is the peer's decision; the own Placer may know another place.
+		// The refusal is the peer's decision; the Placer here may find another target or entry VM.
 		r.Fault = FaultShed
 	}
 	if ctx.Err() != nil {
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 	}
 	return r
 }
 
-// answer returns the answer whose body the peer sends.
-func (k *call) answer(h *pawire.ForwardHead) *answer {
+// newResponse returns the response whose body is received from the peer.
+func (c *peerCall) newResponse(h *pawire.ForwardHead) *response {
 	declared := h.GetLength()
-	if bodiless(k.x.request.Method, int(h.GetStatus())) {
+	if bodiless(c.x.request.Method, int(h.GetStatus())) {
 		declared = 0
 	}
-	body := &frameReader{pieces: pieces{declared: declared}, next: k.next, last: k.last}
-	return &answer{
-		head: head{
-			status: int(h.GetStatus()), header: headerOf(h.GetHeader()),
+	body := &frameReader{checker: chunkChecker{declared: declared}, next: c.next, checkEnd: c.checkEnd}
+	return &response{
+		responseHead: responseHead{
+			status: int(h.GetStatus()), header: fromFields(h.GetHeader()),
 			length: h.GetLength(), trailerNames: h.GetTrailer(),
 		},
 		body:    body,
-		peer:    k.to.Entry,
-		trailer: func() http.Header { return headerOf(k.end.GetTrailer()) },
-		close:   func() { k.finish(body.err == io.EOF) },
+		peer:    c.to.Entry,
+		trailer: func() http.Header { return fromFields(c.end.GetTrailer()) },
+		close:   func() { c.finish(body.err == io.EOF) },
 	}
 }
 
-// next returns the next frame of the answer.
-func (k *call) next() (*pawire.ForwardFrame, error) {
-	f, err := k.stream.Recv()
+// next returns the next frame of the response.
+func (c *peerCall) next() (*pawire.ForwardFrame, error) {
+	f, err := c.stream.Recv()
 	if err != nil {
-		return nil, peerLost(err)
+		return nil, peerLostError(err)
 	}
-	k.peers.Stamps.Heard(f.GetEnd().GetStamp())
+	c.peers.Stamps.Heard(f.GetEnd().GetStamp())
 	return f, nil
 }
 
-// last checks the frame after the body.
-func (k *call) last(f *pawire.ForwardFrame, p *pieces) error {
+// checkEnd checks the frame that follows the response's body.
+func (c *peerCall) checkEnd(f *pawire.ForwardFrame, checker *chunkChecker) error {
 	e := f.GetEnd()
 	if e == nil {
-		return peerFault(trace.BadParameter("unexpected frame in the answer's body"))
+		return peerProtocolError(trace.BadParameter("unexpected frame in the response body"))
 	}
-	k.end = e
+	c.end = e
 	if Outcome(e.GetOutcome()) != Answered {
-		return peerError{trace.ConnectionProblem(nil, "the peer's answer was cut"), Reason(e.GetReason()), Fault(e.GetFault())}
+		return peerError{
+			trace.ConnectionProblem(nil, "the peer ended the response before its body was complete"),
+			Reason(e.GetReason()), Fault(e.GetFault()),
+		}
 	}
-	if err := p.end(e.GetLength()); err != nil {
-		return peerFault(err)
+	if err := checker.end(e.GetLength()); err != nil {
+		return peerProtocolError(err)
 	}
 	return io.EOF
 }
 
-// finish gives the connection back after a call that ended in good order, or closes it.
-func (k *call) finish(whole bool) {
-	k.body.stop()
-	untaken := k.body != nil && !k.end.GetBodyTaken()
-	if !whole || untaken || k.stream.CloseSend() != nil {
-		k.drop()
+// finish returns the connection to the pool if the call is complete on both sides, and closes it
+// otherwise.
+func (c *peerCall) finish(complete bool) {
+	c.body.stop()
+	bodyUnread := c.body != nil && !c.end.GetBodyTaken()
+	if !complete || bodyUnread || c.stream.CloseSend() != nil {
+		c.abort()
 		return
 	}
-	if _, err := k.stream.Recv(); !errors.Is(err, io.EOF) {
-		k.drop()
+	if _, err := c.stream.Recv(); !errors.Is(err, io.EOF) {
+		c.abort()
 		return
 	}
-	if k.stream.Close() != nil {
-		k.drop()
+	if c.stream.Close() != nil {
+		c.abort()
 		return
 	}
-	k.cancel(nil)
-	k.peers.keep(k.conn)
+	c.cancel(nil)
+	c.peers.put(c.conn)
 }
 
-// drop closes the connection: nothing of this call can be read by another.
-func (k *call) drop() {
-	k.body.stop()
-	k.cancel(nil)
-	k.conn.shut()
+// abort closes the connection, so that no later call reads the rest of this one.
+func (c *peerCall) abort() {
+	c.body.stop()
+	c.cancel(nil)
+	c.conn.discard()
 }
 
-// bodiless says that an answer has no body, whatever length it declares.
+// bodiless reports whether a response has no body, whatever Content-Length it declares.
 func bodiless(method string, status int) bool {
 	return method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
--- a/paproxy/callbody.go
+++ b/paproxy/callbody.go
@@ -11,42 +11,42 @@
 	"papayahead/pawire"
 )
 
-// callBody is a forwarded request's body at the owner. A goroutine of its own receives the frames,
-// one ahead, so that giving the body up does not wait for a peer that sends nothing.
+// callBody is the body of a forwarded request at the owner. A separate goroutine receives the
+// frames, one ahead, so that abandoning the body doesn't wait for a peer that sends nothing.
 type callBody struct {
-	out     *peerResponder
-	frames  chan *pawire.ForwardFrame
-	failed  chan error
-	done    chan struct{}
-	begin   sync.Once
-	stopped sync.Once
-	trailer http.Header
+	out         *peerResponder
+	frames      chan *pawire.ForwardFrame
+	failed      chan error
+	done        chan struct{}
+	receiveOnce sync.Once
+	stopOnce    sync.Once
+	trailer     http.Header
 }
 
-// receiveBody lets the exchange read its body from the call's frames.
-func (f *Front) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
+// receiveBody sets the exchange's body to be read from the call's frames.
+func (p *Proxy) receiveBody(ctx context.Context, out *peerResponder, x *exchange) *callBody {
 	b := &callBody{
 		out:    out,
 		frames: make(chan *pawire.ForwardFrame),
 		failed: make(chan error, 1),
 		done:   make(chan struct{}),
 	}
-	limits := f.Limits.filled()
+	limits := p.Limits.withDefaults()
 	x.body = &requestBody{
-		source: &frameReader{pieces: pieces{declared: x.request.Size}, next: b.next, last: b.last},
-		clock:  f.Clock, idle: limits.BodyIdle, max: limits.MaxBody, interrupt: b.stop,
-		pace: f.pacing(ctx, flowTo(x, x.request.Origin, false)),
+		source: &frameReader{checker: chunkChecker{declared: x.request.Size}, next: b.next, checkEnd: b.checkEnd},
+		clock:  p.Clock, idleTimeout: limits.BodyIdleTimeout, maxBytes: limits.MaxBody, interrupt: b.stop,
+		pace: p.pacing(ctx, flowTo(x, x.request.Origin, false)),
 	}
 	x.trailer = func() http.Header { return b.trailer }
 	return b
 }
 
-// stop ends the receiving.
-func (b *callBody) stop() { b.stopped.Do(func() { close(b.done) }) }
+// stop makes reads fail and lets the receiving goroutine exit.
+func (b *callBody) stop() { b.stopOnce.Do(func() { close(b.done) }) }
 
-// next returns the next frame; the first call asks the origin for the body.
+// next returns the next frame. The first call asks the origin to send the body.
 func (b *callBody) next() (*pawire.ForwardFrame, error) {
-	b.begin.Do(func() {
+	b.receiveOnce.Do(func() {
 		ready := &pawire.ForwardFrame{Step: &pawire.ForwardFrame_Continue{Continue: &pawire.ForwardContinue{}}}
 		_ = b.out.stream.Send(ready)
 		go b.receive()
@@ -61,7 +61,7 @@
 	}
 }
 
-// receive hands the frames over up to the body's end; it ends with the call at the latest.
+// receive passes frames to next until the body's end. It returns when the call ends at the latest.
 func (b *callBody) receive() {
 	for {
 		f, err := b.out.stream.Recv()
@@ -80,16 +80,16 @@
 	}
 }
 
-// last checks the frame after the body.
-func (b *callBody) last(f *pawire.ForwardFrame, p *pieces) error {
+// checkEnd checks the frame that follows the body.
+func (b *callBody) checkEnd(f *pawire.ForwardFrame, c *chunkChecker) error {
 	end := f.GetBodyEnd()
 	if end == nil {
-		return trace.BadParameter("unexpected frame in a request's body")
+		return trace.BadParameter("unexpected frame in the request body")
 	}
-	if err := p.end(end.GetLength()); err != nil {
+	if err := c.end(end.GetLength()); err != nil {
 		return err
 	}
-	b.trailer = headerOf(end.GetTrailer())
-	b.out.taken.Store(true)
+	b.trailer = fromFields(end.GetTrailer())
+	b.out.bodyReceived.Store(true)
 	return io.EOF
 }
--- a/paproxy/frame.go
+++ b/paproxy/frame.go
@@ -13,16 +13,16 @@
 	"papayahead/pawire"
 )
 
-// Bounds of what a peer may send; a message beyond them ends the call.
+// Limits on what a peer may send; a message beyond them ends the call.
 const (
-	// maxFrame bounds a message between entry VMs: a header and its overhead.
+	// maxFrame limits a message between entry VMs, in bytes: a header and its overhead.
 	maxFrame = 256 << 10
-	// maxFields bounds the values of a forwarded header.
+	// maxFields limits the number of values in a forwarded header.
 	maxFields = 1000
 )
 
-// fieldsOf returns the header as the wire carries it.
-func fieldsOf(h http.Header) []*pawire.ForwardField {
+// toFields converts a header to wire fields.
+func toFields(h http.Header) []*pawire.ForwardField {
 	var fields []*pawire.ForwardField
 	for name, values := range h {
 		for _, v := range values {
@@ -32,8 +32,8 @@
 	return fields
 }
 
-// headerOf returns the fields as a header of end-to-end fields.
-func headerOf(fields []*pawire.ForwardField) http.Header {
+// fromFields converts wire fields to a header with only end-to-end fields.
+func fromFields(fields []*pawire.ForwardField) http.Header {
 	h := http.Header{}
 	for _, f := range fields[:min(len(fields), maxFields)] {
 		h.Add(f.GetName(), f.GetValue())
@@ -41,14 +41,14 @@
 	return endToEnd(h)
 }
 
-// openOf returns the first frame of a call.
-func openOf(x *exchange, to Forward, call string, origin pabundle.EntryName, left time.Duration) *pawire.ForwardOpen {
+// newForwardOpen returns the first frame of a call.
+func newForwardOpen(x *exchange, to Forward, call string, origin pabundle.EntryName, left time.Duration) *pawire.ForwardOpen {
 	o := &pawire.ForwardOpen{
 		Call: call, Origin: string(origin), Incarnation: to.Incarnation,
 		Request: string(x.request.ID), Service: string(x.request.Service), Key: x.request.Key,
 		Attempt: int32(x.request.Attempt), Credit: to.Credit, Target: string(to.Target),
 		LeftMicroseconds: left.Microseconds(), Method: x.request.Method, Uri: x.uri, Host: x.host,
-		Header: fieldsOf(x.header), Expect: x.expect, PatienceMicroseconds: to.Patience.Microseconds(),
+		Header: toFields(x.header), Expect: x.expect, PatienceMicroseconds: to.MaxQueueWait.Microseconds(),
 	}
 	if x.body != nil {
 		o.Length = x.request.Size
@@ -60,29 +60,30 @@
 	return o
 }
 
-// exchangeOf reads a call's first frame, or says what is wrong with it.
-func exchangeOf(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
+// exchangeFromOpen validates a call's first frame and returns its exchange. The error names the
+// invalid field.
+func exchangeFromOpen(o *pawire.ForwardOpen, now time.Time) (*exchange, error) {
 	left := o.GetLeftMicroseconds()
 	switch {
 	case o.GetCall() == "" || len(o.GetCall()) > 2*maxIDLength:
-		return nil, trace.BadParameter("call identity of %d bytes", len(o.GetCall()))
+		return nil, trace.BadParameter("call ID of %d bytes is empty or too long", len(o.GetCall()))
 	case o.GetOrigin() == "":
-		return nil, trace.BadParameter("no origin")
+		return nil, trace.BadParameter("origin is missing")
 	case o.GetRequest() == "" || len(o.GetRequest()) > maxIDLength || !isToken(o.GetRequest()):
-		return nil, trace.BadParameter("malformed request identity")
+		return nil, trace.BadParameter("malformed request ID")
 	case len(o.GetKey()) > maxKeyLength || !isVisible(o.GetKey()):
 		return nil, trace.BadParameter("malformed idempotency key")
 	case left <= 0 || left > maxDeadline.Microseconds():
-		return nil, trace.BadParameter("deadline of %d microseconds", left)
+		return nil, trace.BadParameter("deadline of %d microseconds is out of range", left)
 	case o.GetPatienceMicroseconds() < 0 || o.GetPatienceMicroseconds() > maxDeadline.Microseconds():
-		return nil, trace.BadParameter("patience of %d microseconds", o.GetPatienceMicroseconds())
+		return nil, trace.BadParameter("maximum queue wait of %d microseconds is out of range", o.GetPatienceMicroseconds())
 	case o.GetLength() < -1:
-		return nil, trace.BadParameter("length %d", o.GetLength())
+		return nil, trace.BadParameter("invalid body length %d", o.GetLength())
 	case o.GetMethod() == "" || !isToken(o.GetMethod()) || len(o.GetHeader()) > maxFields:
-		return nil, trace.BadParameter("malformed method or header")
+		return nil, trace.BadParameter("malformed method or too many header fields")
 	}
 	if _, err := url.ParseRequestURI(o.GetUri()); err != nil || o.GetUri()[0] != '/' {
-		return nil, trace.BadParameter("malformed target path")
+		return nil, trace.BadParameter("malformed request URI")
 	}
 	caller, _ := netip.ParseAddr(o.GetCaller())
 	x := &exchange{
@@ -92,9 +93,9 @@
 			Deadline: now.Add(time.Duration(left) * time.Microsecond),
 			Size:     o.GetLength(), Caller: caller, Origin: pabundle.EntryName(o.GetOrigin()),
 			Credit: o.GetCredit(), Target: pabundle.TargetName(o.GetTarget()),
-			Patience: time.Duration(o.GetPatienceMicroseconds()) * time.Microsecond,
+			MaxQueueWait: time.Duration(o.GetPatienceMicroseconds()) * time.Microsecond,
 		},
-		header: headerOf(o.GetHeader()), uri: o.GetUri(), host: o.GetHost(),
+		header: fromFields(o.GetHeader()), uri: o.GetUri(), host: o.GetHost(),
 		trailerNames: o.GetTrailer(), expect: o.GetExpect(),
 	}
 	x.header.Del("Content-Length")
@@ -102,80 +103,80 @@
 	return x, nil
 }
 
-// pieces checks that the pieces of a body leave no gap and keep to its declared length.
-type pieces struct {
-	// declared is the length that was announced; -1 is none.
+// chunkChecker checks that a body's chunks are contiguous and match its declared length.
+type chunkChecker struct {
+	// declared is the length announced in the header; -1 means none.
 	declared int64
 	count    int64
 }
 
-// add takes the next piece.
-func (p *pieces) add(b *pawire.ForwardBody) error {
+// add checks the next chunk.
+func (c *chunkChecker) add(b *pawire.ForwardBody) error {
 	n := int64(len(b.GetData()))
-	if b.GetOffset() != p.count {
-		return trace.BadParameter("piece at %d where %d follows", b.GetOffset(), p.count)
+	if b.GetOffset() != c.count {
+		return trace.BadParameter("body chunk at offset %d, expected offset %d", b.GetOffset(), c.count)
 	}
 	if n > chunkSize {
-		return trace.BadParameter("piece of %d bytes", n)
+		return trace.BadParameter("body chunk of %d bytes is too large", n)
 	}
-	p.count += n
-	if p.declared >= 0 && p.count > p.declared {
-		return trace.BadParameter("%d bytes of %d declared", p.count, p.declared)
+	c.count += n
+	if c.declared >= 0 && c.count > c.declared {
+		return trace.BadParameter("body has at least %d bytes but declares %d", c.count, c.declared)
 	}
 	return nil
 }
 
-// end checks the length at the end.
-func (p *pieces) end(length int64) error {
-	if p.count != length || p.declared >= 0 && p.count != p.declared {
-		return trace.BadParameter("%d bytes where %d were sent and %d declared", p.count, length, p.declared)
+// end checks the length reported at the end.
+func (c *chunkChecker) end(length int64) error {
+	if c.count != length || c.declared >= 0 && c.count != c.declared {
+		return trace.BadParameter("received %d body bytes; the sender reports %d and declares %d", c.count, length, c.declared)
 	}
 	return nil
 }
 
-// frameReader reads a body from frames. next returns the following frame; bodies end at the frame
-// for which last says so.
+// frameReader reads a body from frames. next returns the next frame; checkEnd is called with the
+// first frame that is not part of the body.
 type frameReader struct {
-	pieces pieces
-	next   func() (*pawire.ForwardFrame, error)
-	// last checks the frame that follows the body and returns io.EOF for a whole one.
-	last func(f *pawire.ForwardFrame, p *pieces) error
-	rest []byte
-	err  error
+	checker chunkChecker
+	next    func() (*pawire.ForwardFrame, error)
+	// checkEnd checks the frame that follows the body. It returns io.EOF if the body is complete.
+	checkEnd func(f *pawire.ForwardFrame, c *chunkChecker) error
+	unread   []byte
+	err      error
 }
 
-// Read reads from the frames.
+// Read returns io.EOF only if the body is complete.
 func (r *frameReader) Read(p []byte) (int, error) {
-	for len(r.rest) == 0 {
+	for len(r.unread) == 0 {
 		if r.err != nil {
 			return 0, r.err
 		}
 		r.fill()
 	}
-	n := copy(p, r.rest)
-	r.rest = r.rest[n:]
+	n := copy(p, r.unread)
+	r.unread = r.unread[n:]
 	return n, nil
 }
 
-// fill takes the next frame.
+// fill receives the next frame.
 func (r *frameReader) fill() {
 	f, err := r.next()
 	if err != nil {
-		r.err = noEOF(err)
+		r.err = unexpectedEOF(err)
 		return
 	}
 	b := f.GetBody()
 	if b == nil {
-		r.err = r.last(f, &r.pieces)
+		r.err = r.checkEnd(f, &r.checker)
 		return
 	}
-	if r.err = r.pieces.add(b); r.err == nil {
-		r.rest = b.GetData()
+	if r.err = r.checker.add(b); r.err == nil {
+		r.unread = b.GetData()
 	}
 }
 
-// noEOF keeps the end of a stream from passing for the end of a body.
-func noEOF(err error) error {
+// unexpectedEOF keeps the end of a stream from being mistaken for the end of a body.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/paproxy/framing.go
+++ b/paproxy/framing.go
@@ -8,73 +8,75 @@
 	"sync"
 )
 
-// watchSize bounds the bytes that are kept of a connection, and so the header that a chunked request
-// may have. 8 KiB is twice net/http's read buffer and costs 8 MB for 1,000 connections.
-const watchSize = 8 << 10
+// maxRecordedBytes limits the bytes recorded per connection, and therefore the header size of a
+// chunked request. 8 KiB is twice net/http's read buffer and takes 8 MB for 1,000 connections.
+const maxRecordedBytes = 8 << 10
 
-// Watch returns a listener whose connections remember the last bytes read.
+// NewFramingListener returns a listener whose connections record the last bytes read, so that
+// requests with ambiguous framing can be detected.
 //
-// The failure it guards against is request smuggling: a request with both Transfer-Encoding and
-// Content-Length, of which another reader takes the second. net/http takes the first and deletes the
-// second without a trace, so that a Handler can't refuse; the bytes as they came can tell.
-func Watch(l net.Listener) net.Listener { return &watchedListener{l} }
+// This guards against request smuggling: a request has both Transfer-Encoding and Content-Length,
+// and another HTTP implementation uses the latter. net/http uses the former and removes the latter
+// from the header, so that a Handler can't detect the conflict; the bytes as received show it.
+func NewFramingListener(l net.Listener) net.Listener { return &framingListener{l} }
 
-type watchedListener struct{ net.Listener }
+type framingListener struct{ net.Listener }
 
-// Accept returns the next connection.
-func (l *watchedListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, which records what it reads.
+func (l *framingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &watchedConn{Conn: c}, nil
+	return &recordingConn{Conn: c}, nil
 }
 
-// watchedConn keeps the last bytes read.
-type watchedConn struct {
+// recordingConn records the last bytes read from a connection.
+type recordingConn struct {
 	net.Conn
-	mutex sync.Mutex
-	tail  []byte
+	mutex    sync.Mutex
+	recorded []byte
 }
 
-// Read reads and remembers.
-func (c *watchedConn) Read(p []byte) (int, error) {
+// Read reads from the connection and records the bytes.
+func (c *recordingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.tail = append(c.tail, p[:n]...)
-	if over := len(c.tail) - watchSize; over > watchSize {
-		c.tail = append(c.tail[:0], c.tail[over:]...)
+	c.recorded = append(c.recorded, p[:n]...)
+	if over := len(c.recorded) - maxRecordedBytes; over > maxRecordedBytes {
+		c.recorded = append(c.recorded[:0], c.recorded[over:]...)
 	}
 	return n, err
 }
 
-// take returns the bytes remembered and forgets them.
-func (c *watchedConn) take() []byte {
+// take returns the recorded bytes and clears the record.
+func (c *recordingConn) take() []byte {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	tail := c.tail
-	c.tail = nil
+	tail := c.recorded
+	c.recorded = nil
 	return tail
 }
 
-type watchKey struct{}
+type recordingConnKey struct{}
 
-// watchContext lets a Handler find the connection of its request.
-func watchContext(ctx context.Context, c net.Conn) context.Context {
-	w, ok := c.(*watchedConn)
+// recordingContext stores the connection in the context of its requests, for use as
+// http.Server.ConnContext.
+func recordingContext(ctx context.Context, c net.Conn) context.Context {
+	w, ok := c.(*recordingConn)
 	if !ok {
 		return ctx
 	}
-	return context.WithValue(ctx, watchKey{}, w)
+	return context.WithValue(ctx, recordingConnKey{}, w)
 }
 
-// ambiguous says that two readers of the request could disagree on where it ends. Of the bytes
-// remembered every block that begins with this request's line counts: bytes of a body that look like
-// it can only bring a caller's own request down. A chunked request whose header is not among the
-// bytes is refused too, because nothing is known of it.
-func ambiguous(r *http.Request) bool {
-	c, ok := r.Context().Value(watchKey{}).(*watchedConn)
+// hasAmbiguousFraming reports whether two HTTP implementations could disagree on where the request
+// ends. It checks every recorded header block that starts with this request's line: body bytes that
+// look like a header can only get the caller's own request refused. A chunked request whose header
+// is not among the recorded bytes is refused too, because its framing can't be checked.
+func hasAmbiguousFraming(r *http.Request) bool {
+	c, ok := r.Context().Value(recordingConnKey{}).(*recordingConn)
 	if !ok {
 		return false
 	}
@@ -97,7 +99,7 @@
 	}
 }
 
-// declaresLength says that the header block at the start of the bytes has a Content-Length.
+// declaresLength reports whether the header block at the start of the bytes has a Content-Length.
 func declaresLength(b []byte) bool {
 	block, _, _ := bytes.Cut(b, []byte("\r\n\r\n"))
 	block, _, _ = bytes.Cut(block, []byte("\n\n"))
--- a/paproxy/parse.go
+++ b/paproxy/parse.go
@@ -15,44 +15,45 @@
 // PathPrefix is followed by the service's name and the path at the target.
 const PathPrefix = "/Services/"
 
-// Bounds of what a caller may send as a name; they keep logs and ledgers small.
+// Limits on IDs and keys sent by callers; they bound the size of logs and ledgers.
 const (
 	maxIDLength  = 128
 	maxKeyLength = 255
-	// maxDeadline is the longest deadline that can be asked for; the service's MaxTimeout is less.
+	// maxDeadline is the longest deadline that can be requested; a service's maximum is shorter.
 	maxDeadline = 24 * time.Hour
 )
 
-// parse reads a caller's request, or says why it is refused.
-func (f *Front) parse(r *http.Request) (*exchange, *refusal) {
-	now := f.Clock.Now()
+// parse validates a caller's request, or returns the refusal for it.
+func (p *Proxy) parse(r *http.Request) (*exchange, *refusal) {
+	now := p.Clock.Now()
 	service, uri, ok := splitPath(r)
 	if !ok {
-		return nil, bad(ReasonNoService)
+		return nil, reject(ReasonNoService)
 	}
-	terms, ok := f.Services.Terms(service)
+	timeouts, ok := p.Services.Timeouts(service)
 	if !ok {
-		return nil, bad(ReasonNoService)
+		return nil, reject(ReasonNoService)
 	}
 	if r.Method == http.MethodConnect || r.Method == http.MethodTrace {
-		return nil, bad(ReasonMethod)
+		return nil, reject(ReasonMethod)
 	}
 	if !r.ProtoAtLeast(1, 1) {
-		// An HTTP/1.0 caller can't tell a truncated answer of unknown length from a whole one.
-		return nil, bad(ReasonBadRequest)
+		// An HTTP/1.0 caller can't distinguish a truncated response of unknown length from a complete
+		// one.
+		return nil, reject(ReasonBadRequest)
 	}
-	if ambiguous(r) {
-		return nil, bad(ReasonFraming)
+	if hasAmbiguousFraming(r) {
+		return nil, reject(ReasonFraming)
 	}
-	if limit := f.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
-		return nil, bad(ReasonTooLarge)
+	if limit := p.Limits.MaxBody; limit > 0 && r.ContentLength > limit {
+		return nil, reject(ReasonTooLarge)
 	}
-	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: addressOf(r)}
-	if !readNames(r.Header, &request) || !readDeadline(r.Header, terms, &request) {
-		return nil, bad(ReasonBadRequest)
+	request := Request{Service: service, Method: r.Method, Arrived: now, Size: r.ContentLength, Caller: callerAddress(r)}
+	if !parseIdentity(r.Header, &request) || !parseDeadline(r.Header, timeouts, &request) {
+		return nil, reject(ReasonBadRequest)
 	}
 	if request.ID == "" {
-		request.ID = f.NewID()
+		request.ID = p.NewID()
 	}
 	request.Digest = requestDigest(r.Method, uri, r.ContentLength)
 	request.Safe, request.Idempotent = semantics(r.Method)
@@ -75,9 +76,9 @@
 	return x
 }
 
-func bad(reason Reason) *refusal { return &refusal{outcome: NotRun, reason: reason} }
+func reject(reason Reason) *refusal { return &refusal{outcome: NotRun, reason: reason} }
 
-// splitPath reads the service's name from the path and returns path and query for the target.
+// splitPath returns the service's name and the path and query for the target.
 func splitPath(r *http.Request) (pabundle.ServiceName, string, bool) {
 	path := r.URL.EscapedPath()
 	rest, ok := strings.CutPrefix(path, PathPrefix)
@@ -95,23 +96,25 @@
 	return pabundle.ServiceName(name), uri, true
 }
 
-// readNames reads the request's identity and key; false says that one is malformed or given twice.
-func readNames(h http.Header, r *Request) bool {
-	id, ok := single(h, RequestIDHeader)
+// parseIdentity parses the request's ID and idempotency key. It returns false if one is malformed
+// or repeated.
+func parseIdentity(h http.Header, r *Request) bool {
+	id, ok := singleValue(h, RequestIDHeader)
 	if !ok || len(id) > maxIDLength || !isToken(id) {
 		return false
 	}
-	key, ok := single(h, KeyHeader)
+	key, ok := singleValue(h, KeyHeader)
 	if !ok || len(key) > maxKeyLength || !isVisible(key) {
 		return false
 	}
 	r.ID, r.Key = RequestID(id), key
-	return readCopies(h, r)
+	return parseCopyHeaders(h, r)
 }
 
-// readCopies reads what the caller says of earlier copies of a keyed request.
-func readCopies(h http.Header, r *Request) bool {
-	sent, ok := single(h, FirstSentHeader)
+// parseCopyHeaders parses the headers about earlier copies of a keyed request. It returns false if
+// one is malformed or repeated.
+func parseCopyHeaders(h http.Header, r *Request) bool {
+	sent, ok := singleValue(h, FirstSentHeader)
 	if !ok {
 		return false
 	}
@@ -122,25 +125,26 @@
 		}
 		r.FirstSent = time.UnixMilli(ms)
 	}
-	repeat, ok := single(h, RepeatHeader)
+	repeat, ok := singleValue(h, RepeatHeader)
 	r.Repeat = repeat == "true"
 	return ok && (repeat == "" || r.Repeat)
 }
 
-// requestDigest tells two requests under one key apart.
+// requestDigest returns a digest that distinguishes different requests with the same key.
 func requestDigest(method, uri string, length int64) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(method + " " + uri + " " + strconv.FormatInt(length, 10))
 	return d.Sum64()
 }
 
-// readDeadline sets the deadline: the caller's, within the service's terms.
-func readDeadline(h http.Header, t Terms, r *Request) bool {
-	text, ok := single(h, DeadlineHeader)
+// parseDeadline sets the deadline: the caller's, limited by the service's maximum, or the service's
+// default. It returns false if the field is malformed or repeated.
+func parseDeadline(h http.Header, t Timeouts, r *Request) bool {
+	text, ok := singleValue(h, DeadlineHeader)
 	if !ok {
 		return false
 	}
-	left := t.Timeout
+	left := t.Default
 	if text != "" {
 		ms, err := strconv.ParseUint(text, 10, 63)
 		if err != nil || ms == 0 {
@@ -151,15 +155,16 @@
 			left = time.Duration(ms) * time.Millisecond
 		}
 	}
-	if t.MaxTimeout > 0 {
-		left = min(left, t.MaxTimeout)
+	if t.Max > 0 {
+		left = min(left, t.Max)
 	}
 	r.Deadline = r.Arrived.Add(left)
 	return true
 }
 
-// single returns the field's only value; false says that there are more.
-func single(h http.Header, name string) (string, bool) {
+// singleValue returns the field's value, or "" if it is absent. It returns false if there are
+// several values.
+func singleValue(h http.Header, name string) (string, bool) {
 	values := h.Values(name)
 	switch len(values) {
 	case 0:
@@ -171,8 +176,8 @@
 	}
 }
 
-// isToken says that all bytes are letters, digits or one of "-._:", so that they need no escaping
-// in headers, paths and logs.
+// isToken reports whether all bytes are letters, digits or one of "-._:", which need no escaping in
+// headers, paths and logs.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -184,7 +189,7 @@
 	return true
 }
 
-// isVisible says that all bytes are visible ASCII.
+// isVisible reports whether all bytes are visible ASCII.
 func isVisible(s string) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
@@ -194,7 +199,7 @@
 	return true
 }
 
-// semantics says whether a method is safe and whether it is idempotent (RFC 9110, 9.2).
+// semantics reports whether a method is safe and whether it is idempotent (RFC 9110, section 9.2).
 func semantics(method string) (safe, idempotent bool) {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -206,8 +211,8 @@
 	}
 }
 
-// addressOf returns the caller's address; the zero value where the connection has none.
-func addressOf(r *http.Request) netip.Addr {
+// callerAddress returns the caller's address; zero if the connection has none.
+func callerAddress(r *http.Request) netip.Addr {
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
--- a/paproxy/pool.go
+++ b/paproxy/pool.go
@@ -15,96 +15,101 @@
 	"papayahead/paevent"
 )
 
-// The limits of connections to targets where Targets leaves them zero.
+// Defaults and limits of connections to targets.
 const (
-	// DefaultProofOfLife is how long after its last answer a connection may carry a request that is
-	// not idempotent. A middlebox that forgets a connection swallows the request without an error;
-	// such boxes forget after minutes of silence or on their own restart. A second of trust keeps
-	// reuse under load, where answers come every few ms, and a new connection costs about 1 ms.
-	DefaultProofOfLife = time.Second
-	// DefaultSilence is how long a reused connection without proof of life may hold an idempotent
-	// request before it is closed and the request sent on a new one. It is above the run time of
-	// ordinary work, so that a slow target's work is rarely cut.
-	DefaultSilence = 2 * time.Second
-	// DefaultTargetIdle closes unused connections, so that a target's 330 are left to who needs them.
-	DefaultTargetIdle = 30 * time.Second
-	// DefaultDialTime bounds opening a connection, which takes about 1 ms.
-	DefaultDialTime = time.Second
-	// continueTime is how long a target may leave an expected 100-continue out.
-	continueTime = time.Second
-	// maxAnswerHeader bounds the header of a target's answer.
-	maxAnswerHeader = 64 << 10
+	// DefaultMaxReuseAge is how long after its last response a connection may carry a request that is
+	// not idempotent. A middlebox that drops its connection state loses the request without an error;
+	// this happens after minutes of silence or when the middlebox restarts. One second preserves reuse
+	// under load, where responses arrive every few ms, and a new connection takes about 1 ms.
+	DefaultMaxReuseAge = time.Second
+	// DefaultSilenceTimeout is how long an idempotent request may stay unanswered on a reused
+	// connection older than MaxReuseAge before the connection is closed and the request sent on a new
+	// one. It exceeds the usual run time, so that a slow target's work is rarely interrupted.
+	DefaultSilenceTimeout = 2 * time.Second
+	// DefaultTargetIdleTimeout closes unused connections, so that other entry VMs can use the target's
+	// limit of 330.
+	DefaultTargetIdleTimeout = 30 * time.Second
+	// DefaultDialTimeout limits opening a connection, which takes about 1 ms.
+	DefaultDialTimeout = time.Second
+	// continueTimeout is how long to wait for a target's 100 Continue before the body is sent without
+	// it.
+	continueTimeout = time.Second
+	// maxResponseHeader limits the header of a target's response, in bytes.
+	maxResponseHeader = 64 << 10
 )
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Targets sends requests to targets, each at most once on a connection that this entry VM keeps for
-// the target. Set the fields before the first request.
-type Targets struct {
+// TargetClient sends requests to targets over pooled connections, each request at most once. Set
+// the fields before the first request.
+type TargetClient struct {
 	Dial  DialFunc
 	Clock clockwork.Clock
-	// Events hears of silent connections and crossed answers; nil is nobody.
+	// Events receives events about silent connections and responses with a wrong request ID; nil
+	// disables them.
 	Events Events
-	// Stamps is this process's hybrid logical clock; nil leaves requests without stamps.
+	// Stamps is this process's hybrid logical clock; requests carry no timestamps if it is nil.
 	Stamps *paevent.Stamper
-	// ProofOfLife, Silence, Idle and DialTime are as their defaults say; zero takes the default.
-	ProofOfLife, Silence, Idle, DialTime time.Duration
-	// TrustOrder reuses connections of targets that do not repeat the request's identity in their
-	// answers. Without it these get a new connection for each request, because a late or surplus
-	// answer on a reused one would pass for the answer to the next request.
-	TrustOrder bool
+	// MaxReuseAge, SilenceTimeout, IdleTimeout and DialTimeout are described at their defaults, which
+	// replace zeros.
+	MaxReuseAge, SilenceTimeout, IdleTimeout, DialTimeout time.Duration
+	// TrustResponseOrder allows reusing connections of targets that don't repeat the request ID in
+	// their responses. By default each of their requests gets a new connection, because a late or
+	// surplus response on a reused one would be taken for the response to the next request.
+	TrustResponseOrder bool
 
 	mutex sync.Mutex
 	pools map[netip.AddrPort]*pool
 }
 
-// pool holds the connections to one target, the least recently used first.
+// pool holds the connections to one target. Idle connections are ordered from the least to the most
+// recently used.
 type pool struct {
 	idle []*targetConn
 	open int
 }
 
-// targetConn is one connection to a target, under an http.Transport of its own.
+// targetConn is a connection to a target, with its own http.Transport.
 //
-// The failure that this guards against is a second run: a shared http.Transport sends a request
-// again when a reused connection died, for each idempotent method and for every request with an
-// Idempotency-Key. This Transport can dial once; when its connection is gone, there is nothing left
-// to send on.
+// A shared http.Transport resends a request if a reused connection fails, for every idempotent
+// method and for every request with an Idempotency-Key, which could run the request twice. This
+// Transport can dial only once; after its connection has failed it has none to resend on.
 type targetConn struct {
 	transport *http.Transport
-	wire      *wireConn
+	tracked   *trackedConn
 	address   netip.AddrPort
-	// aliveAt is the time of the last whole answer, or of the dial.
-	aliveAt time.Time
-	// reused and proven describe the connection as it was taken.
-	reused, proven bool
+	// respondedAt is the time of the last complete response, or of the dial.
+	respondedAt time.Time
+	// reused and recent describe the connection when it was taken from the pool; recent reports that
+	// its last response is at most MaxReuseAge old.
+	reused, recent bool
 }
 
-// errBudget says that all of this entry VM's connections to the target are in use.
-var errBudget = trace.LimitExceeded("all connections to the target are in use")
+// errConnectionBudget is returned when this entry VM's share of the target's connections is in use.
+var errConnectionBudget = trace.LimitExceeded("this entry VM's connections to the target are all in use")
 
-// errSpent says that a connection's transport wanted a second connection.
-var errSpent = trace.ConnectionProblem(nil, "the connection is gone")
+// errSecondDial is returned when a connection's transport tries to open a second connection.
+var errSecondDial = trace.ConnectionProblem(nil, "the connection to the target is closed")
 
-// connect returns a connection: an idle one with an answer less than maxAge ago, or a new one.
-func (t *Targets) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
-	c, err := t.reserve(to, maxAge)
+// connect returns an idle connection with a response less than maxAge ago, or a new one.
+func (t *TargetClient) connect(ctx context.Context, to Local, maxAge time.Duration) (*targetConn, error) {
+	c, err := t.acquire(to, maxAge)
 	if c != nil || err != nil {
 		return c, err
 	}
-	ctx, cancel := paclock.WithTimeout(ctx, t.Clock, orDefault(t.DialTime, DefaultDialTime))
+	ctx, cancel := paclock.WithTimeout(ctx, t.Clock, orDefault(t.DialTimeout, DefaultDialTimeout))
 	defer cancel()
 	raw, err := t.Dial(ctx, "tcp", to.Address.String())
 	if err != nil {
-		t.release(to.Address)
+		t.releaseSlot(to.Address)
 		return nil, trace.Wrap(err)
 	}
 	return newTargetConn(raw, to.Address, t.Clock.Now()), nil
 }
 
 func newTargetConn(raw net.Conn, address netip.AddrPort, now time.Time) *targetConn {
-	wire := &wireConn{Conn: raw}
+	wire := &trackedConn{Conn: raw}
 	unused := make(chan net.Conn, 1)
 	unused <- wire
 	transport := &http.Transport{
@@ -113,19 +118,20 @@
 			case c := <-unused:
 				return c, nil
 			default:
-				return nil, errSpent
+				return nil, errSecondDial
 			}
 		},
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    1,
-		ExpectContinueTimeout:  continueTime,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		ExpectContinueTimeout:  continueTimeout,
+		MaxResponseHeaderBytes: maxResponseHeader,
 	}
-	return &targetConn{transport: transport, wire: wire, address: address, aliveAt: now, proven: true}
+	return &targetConn{transport: transport, tracked: wire, address: address, respondedAt: now, recent: true}
 }
 
-// reserve takes an idle connection, or room for a new one.
-func (t *Targets) reserve(to Local, maxAge time.Duration) (*targetConn, error) {
+// acquire takes an idle connection. If there is none it counts a new one and returns nil, or
+// errConnectionBudget if the limit is reached.
+func (t *TargetClient) acquire(to Local, maxAge time.Duration) (*targetConn, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.pools == nil {
@@ -137,11 +143,11 @@
 		t.pools[to.Address] = p
 	}
 	now := t.Clock.Now()
-	t.reap(p, now)
-	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].aliveAt) <= maxAge {
+	t.closeExpired(p, now)
+	if last := len(p.idle) - 1; last >= 0 && now.Sub(p.idle[last].respondedAt) <= maxAge {
 		c := p.idle[last]
 		p.idle = p.idle[:last]
-		c.reused, c.proven = true, now.Sub(c.aliveAt) <= orDefault(t.ProofOfLife, DefaultProofOfLife)
+		c.reused, c.recent = true, now.Sub(c.respondedAt) <= orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 		return c, nil
 	}
 	if to.MaxConnections > 0 && p.open >= to.MaxConnections && len(p.idle) > 0 {
@@ -149,17 +155,17 @@
 		p.idle = p.idle[1:]
 	}
 	if to.MaxConnections > 0 && p.open >= to.MaxConnections {
-		return nil, errBudget
+		return nil, errConnectionBudget
 	}
 	p.open++
 	return nil, nil
 }
 
-// reap closes idle connections that died or are too old; the caller holds the lock.
-func (t *Targets) reap(p *pool, now time.Time) {
+// closeExpired closes idle connections that failed or are too old; the caller holds the lock.
+func (t *TargetClient) closeExpired(p *pool, now time.Time) {
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if c.wire.alive() && now.Sub(c.aliveAt) < orDefault(t.Idle, DefaultTargetIdle) {
+		if c.tracked.usable() && now.Sub(c.respondedAt) < orDefault(t.IdleTimeout, DefaultTargetIdleTimeout) {
 			kept = append(kept, c)
 			continue
 		}
@@ -169,41 +175,42 @@
 	p.idle = kept
 }
 
-// discard closes a connection of the pool; the caller holds the lock.
-func (t *Targets) discard(p *pool, c *targetConn) {
+// discard closes a connection and stops counting it; the caller holds the lock.
+func (t *TargetClient) discard(p *pool, c *targetConn) {
 	p.open--
-	c.wire.seal()
+	c.tracked.seal()
 	c.transport.CloseIdleConnections()
 }
 
-// release gives the room of a connection back that was not opened.
-func (t *Targets) release(address netip.AddrPort) {
+// releaseSlot stops counting a connection that could not be opened.
+func (t *TargetClient) releaseSlot(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pools[address].open--
 }
 
-// drop closes a connection in use and returns the number of writes that started on it.
-func (t *Targets) drop(c *targetConn) int {
-	n := c.wire.seal()
+// closeUsed closes a connection in use and returns the number of writes started on it.
+func (t *TargetClient) closeUsed(c *targetConn) int {
+	n := c.tracked.seal()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.discard(t.pools[c.address], c)
 	return n
 }
 
-// keep makes a connection idle after a whole answer.
-func (t *Targets) keep(c *targetConn) {
+// put returns a connection to the pool after a complete response.
+func (t *TargetClient) put(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	c.aliveAt = t.Clock.Now()
+	c.respondedAt = t.Clock.Now()
 	p := t.pools[c.address]
 	p.idle = append(p.idle, c)
 }
 
-// Forget closes the target's idle connections after one of them was silent: a middlebox that lost
-// track of one has lost track of others, and new ones cost about 1 ms each.
-func (t *Targets) Forget(address netip.AddrPort) {
+// CloseIdle closes the target's idle connections. Call it after one connection was silent: a
+// middlebox that dropped the state of one has probably dropped others, and new ones take about 1 ms
+// each.
+func (t *TargetClient) CloseIdle(address netip.AddrPort) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p := t.pools[address]
@@ -216,21 +223,21 @@
 	p.idle = nil
 }
 
-// Reap closes idle connections that are too old; call it now and then.
-func (t *Targets) Reap() {
+// CloseExpired closes idle connections that are too old; call it periodically.
+func (t *TargetClient) CloseExpired() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.Clock.Now()
 	for address, p := range t.pools {
-		t.reap(p, now)
+		t.closeExpired(p, now)
 		if p.open == 0 {
 			delete(t.pools, address)
 		}
 	}
 }
 
-// Close closes all idle connections; those in use close with their requests.
-func (t *Targets) Close() {
+// Close closes all idle connections; those in use are closed with their requests.
+func (t *TargetClient) Close() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, p := range t.pools {
--- a/paproxy/respond.go
+++ b/paproxy/respond.go
@@ -11,27 +11,27 @@
 type Refusal struct {
 	Outcome string
 	Reason  Reason
-	// ComeBack is the number of milliseconds after which to come back.
+	// ComeBack is the number of milliseconds after which to retry.
 	ComeBack int64     `json:",omitempty"`
 	Request  RequestID `json:",omitempty"`
-	// Status is the HTTP status that an earlier copy under the same key was answered with.
+	// Status is the HTTP status of the response to an earlier copy with the same key.
 	Status int `json:",omitempty"`
 }
 
-// httpResponder answers a caller.
+// httpResponder writes to a caller.
 type httpResponder struct {
 	writer  http.ResponseWriter
 	control *http.ResponseController
 	id      RequestID
-	// flush sends each piece at once, because the length is not known.
-	flush   bool
-	begun   bool
-	aborted bool
-	// expect says that reading the body would ask the caller for it.
+	// flushEach flushes every chunk, because the length is unknown.
+	flushEach   bool
+	headWritten bool
+	aborted     bool
+	// expect reports that reading the body would send 100 Continue to the caller.
 	expect bool
 }
 
-func (w *httpResponder) inform(status int, h http.Header) {
+func (w *httpResponder) writeInterim(status int, h http.Header) {
 	addAll(w.writer.Header(), h)
 	w.writer.WriteHeader(status)
 	for name := range h {
@@ -39,22 +39,22 @@
 	}
 }
 
-func (w *httpResponder) begin(a head) error {
-	w.begun = true
+func (w *httpResponder) writeHead(head responseHead) error {
+	w.headWritten = true
 	h := w.writer.Header()
-	addAll(h, a.header)
+	addAll(h, head.header)
 	h.Set(OutcomeHeader, Answered.String())
 	h.Set(RequestIDHeader, string(w.id))
 	h.Del("Content-Length")
-	if a.length >= 0 {
-		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
+	if head.length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(head.length, 10))
 	}
-	for _, name := range a.trailerNames {
+	for _, name := range head.trailerNames {
 		h.Add("Trailer", name)
 	}
-	w.writer.WriteHeader(a.status)
-	w.flush = a.length < 0
-	if w.flush {
+	w.writer.WriteHeader(head.status)
+	w.flushEach = head.length < 0
+	if w.flushEach {
 		return w.control.Flush()
 	}
 	return nil
@@ -64,29 +64,29 @@
 	if _, err := w.writer.Write(p); err != nil {
 		return err
 	}
-	if w.flush {
+	if w.flushEach {
 		return w.control.Flush()
 	}
 	return nil
 }
 
-func (w *httpResponder) end(trailer http.Header) error {
+func (w *httpResponder) finish(trailer http.Header) error {
 	for name, values := range trailer {
 		for _, v := range values {
 			w.writer.Header().Add(http.TrailerPrefix+name, v)
 		}
 	}
-	if w.flush {
-		// The last chunk and the trailer are net/http's to send, after the handler returned.
+	if w.flushEach {
+		// net/http sends the last chunk and the trailer after the handler has returned.
 		return nil
 	}
-	// A process that stops when its last request has ended must not stop before the answer left.
+	// A process that exits when its last request has ended must have sent the response by then.
 	return w.control.Flush()
 }
 
 func (w *httpResponder) abort(Result) { w.aborted = true }
 
-func (w *httpResponder) interrupt() { _ = w.control.SetWriteDeadline(past) }
+func (w *httpResponder) interrupt() { _ = w.control.SetWriteDeadline(pastDeadline) }
 
 func (w *httpResponder) refuse(r refusal) {
 	h := w.writer.Header()
@@ -99,11 +99,11 @@
 	body := Refusal{Outcome: r.outcome.String(), Reason: r.reason, Request: w.id}
 	if r.result.concluded {
 		body.Status = r.result.Status
-		body.ComeBack = r.comeBack.Milliseconds()
+		body.ComeBack = r.retryAfter.Milliseconds()
 	}
-	status := statusOf(r)
+	status := refusalStatus(r)
 	if status == http.StatusServiceUnavailable {
-		wait := max(r.comeBack, MinComeBack)
+		wait := max(r.retryAfter, MinRetryAfter)
 		h.Set("Retry-After", strconv.FormatInt(int64((wait+time.Second-1)/time.Second), 10))
 		body.ComeBack = wait.Milliseconds()
 		h.Set(ComeBackHeader, strconv.FormatInt(body.ComeBack, 10))
@@ -115,12 +115,12 @@
 	_ = json.NewEncoder(w.writer).Encode(body)
 }
 
-// MinComeBack is the least time to come back: a caller that knew of no wait would return at once
-// and add its retries to the load that refused it.
-const MinComeBack = 50 * time.Millisecond
+// MinRetryAfter is the shortest delay given to a refused caller. Without it the caller could retry
+// at once and add to the load that caused the refusal.
+const MinRetryAfter = 50 * time.Millisecond
 
-// statusOf returns the HTTP status of a refusal.
-func statusOf(r refusal) int {
+// refusalStatus returns the HTTP status of a refusal.
+func refusalStatus(r refusal) int {
 	switch r.reason {
 	case ReasonBadRequest, ReasonFraming:
 		return http.StatusBadRequest
@@ -143,30 +143,30 @@
 	}
 }
 
-// After an answer or refusal that left the body unread, this much of it is read for this long. A
-// connection that closes on a caller who still sends may take the answer with it (a TCP reset); a
-// caller who sends on and on, or nothing, must not hold the connection.
+// Limits on reading the rest of a request's body after a response or refusal. Closing the
+// connection while the caller still sends may lose the response (TCP reset), but a caller that
+// sends endlessly, or nothing, must not hold the connection.
 const (
-	maxDrain  = 1 << 20
-	drainTime = 500 * time.Millisecond
+	maxDrainBytes = 1 << 20
+	drainTimeout  = 500 * time.Millisecond
 )
 
-// leaveBody ends the reading of the caller's body. One that waits for 100-continue is not read, since
-// reading would ask for it.
-func (w *httpResponder) leaveBody(b *requestBody) {
+// finishBody ends the reading of the caller's body. If the caller waits for 100 Continue the body
+// is not read, since reading would send it.
+func (w *httpResponder) finishBody(b *requestBody) {
 	if b == nil {
 		return
 	}
 	defer b.finish()
-	if w.aborted || b.whole() {
+	if w.aborted || b.complete() {
 		return
 	}
 	_ = w.control.Flush()
-	if touched, _, _ := b.state(); touched || !w.expect {
-		b.drain(maxDrain, drainTime)
+	if started, _, _ := b.state(); started || !w.expect {
+		b.drain(maxDrainBytes, drainTimeout)
 	}
-	if !b.whole() {
-		// net/http would read on without a bound of time.
+	if !b.complete() {
+		// net/http would read the rest without a time limit.
 		b.interrupt()
 	}
 }
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -18,127 +18,129 @@
 	"papayahead/paevent"
 )
 
-// errSilent is the cause of a send that was given up because its connection is silent.
-var errSilent = trace.ConnectionProblem(nil, "the connection is silent")
+// errSilent is the cause of a send that was cancelled because its connection was silent.
+var errSilent = trace.ConnectionProblem(nil, "no data on the connection within the timeout")
 
-// sending is one request on one connection.
-type sending struct {
-	targets *Targets
-	conn    *targetConn
-	body    *attemptBody
-	cancel  context.CancelCauseFunc
-	mark    int
-	// heard is set with the answer's first byte.
-	heard atomic.Bool
-	// informing guards over, which ends interim answers: net/http may still deliver one after
-	// RoundTrip returned, when the caller's ResponseWriter belongs to its handler again.
-	informing sync.Mutex
-	over      bool
-	interims  int
+// targetSend is one request on one connection to a target.
+type targetSend struct {
+	targets      *TargetClient
+	conn         *targetConn
+	body         *bodyReader
+	cancel       context.CancelCauseFunc
+	writesBefore int
+	// responseStarted is set at the response's first byte.
+	responseStarted atomic.Bool
+	// interimMutex guards interimEnded, which stops interim responses: net/http may deliver one after
+	// RoundTrip has returned, when the caller's ResponseWriter must no longer be used here.
+	interimMutex sync.Mutex
+	interimEnded bool
+	interims     int
 }
 
-// send sends the request to the target, once. With no answer the result says why; it is NotRun only
-// if no write of the request started.
+// send sends the request to the target, once. If it returns no response, the result states why; it
+// is NotRun only if no write of the request was started.
 //
-// A connection that turns out to be gone before a write started, or to be silent under an idempotent
-// request, is replaced by another to the same target; that is the connection's fault, and no new
-// attempt: the Placer does not hear of it.
-func (t *Targets) send(ctx context.Context, x *exchange, to Local) (*answer, Result) {
-	maxAge := orDefault(t.ProofOfLife, DefaultProofOfLife)
+// A connection that was found closed before a write was started, or silent under an idempotent
+// request, is replaced by another one to the same target. The connection is at fault, so this
+// doesn't count as a new attempt and the Placer is not told.
+func (t *TargetClient) send(ctx context.Context, x *exchange, to Local) (*response, Result) {
+	maxAge := orDefault(t.MaxReuseAge, DefaultMaxReuseAge)
 	if x.request.Idempotent {
-		maxAge = orDefault(t.Idle, DefaultTargetIdle)
+		maxAge = orDefault(t.IdleTimeout, DefaultTargetIdleTimeout)
 	}
 	for {
 		c, err := t.connect(ctx, to, maxAge)
 		if err != nil {
-			return nil, dialResult(ctx, err)
+			return nil, connectFailed(ctx, err)
 		}
-		if !x.start() {
-			t.giveBack(c)
+		if !x.tryStart() {
+			t.putUnused(c)
 			return nil, notStarted(ctx, t.Clock.Now(), x)
 		}
-		a, result, again := t.sendOn(ctx, x, c)
-		if !again {
-			return a, result
+		resp, result, retry := t.sendOn(ctx, x, c)
+		if !retry {
+			return resp, result
 		}
-		maxAge = t.nextAge(c, maxAge, result)
+		maxAge = t.nextMaxAge(c, maxAge, result)
 	}
 }
 
-// notStarted is the end of an attempt that came too late to start.
+// notStarted returns the result of an attempt that was not allowed to start: fenced, past its
+// deadline, or cancelled.
 func notStarted(ctx context.Context, now time.Time, x *exchange) Result {
 	r := Result{Outcome: NotRun, Reason: ReasonFenced, Fault: FaultPeer}
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
+		r.Reason, r.Fault = contextEndReason(ctx)
 	case !now.Before(x.request.Deadline):
 		r.Reason, r.Fault = ReasonDeadline, FaultDeadline
 	}
 	return r
 }
 
-// nextAge returns the age of connections to use after one failed. After a silent one, only a new one
-// will do.
-func (t *Targets) nextAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
+// nextMaxAge returns the maximum age of the connection to try after one failed. After a silent one
+// only a new connection is used.
+func (t *TargetClient) nextMaxAge(c *targetConn, maxAge time.Duration, r Result) time.Duration {
 	if r.Outcome == Unknown {
-		t.Forget(c.address)
+		t.CloseIdle(c.address)
 		return -1
 	}
 	return maxAge
 }
 
-// giveBack returns a connection that was not used.
-func (t *Targets) giveBack(c *targetConn) {
+// putUnused returns a connection to the pool that carried no request.
+func (t *TargetClient) putUnused(c *targetConn) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	p := t.pools[c.address]
 	p.idle = append(p.idle, c)
 }
 
-// dialResult is the end of an attempt that found no connection.
-func dialResult(ctx context.Context, err error) Result {
+// connectFailed returns the result of an attempt that got no connection.
+func connectFailed(ctx context.Context, err error) Result {
 	r := Result{Outcome: NotRun, Reason: ReasonNoConnection, Fault: FaultTarget}
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
-	case errors.Is(err, errBudget):
+		r.Reason, r.Fault = contextEndReason(ctx)
+	case errors.Is(err, errConnectionBudget):
 		r.Reason, r.Fault = ReasonConnectionBudget, FaultConnection
 	}
 	return r
 }
 
-// sendOn sends the request on the connection; again says that another connection may be tried.
-func (t *Targets) sendOn(ctx context.Context, x *exchange, c *targetConn) (*answer, Result, bool) {
-	begun := t.Clock.Now()
+// sendOn sends the request on the connection. The last result reports whether another connection
+// may be tried.
+func (t *TargetClient) sendOn(ctx context.Context, x *exchange, c *targetConn) (*response, Result, bool) {
+	start := t.Clock.Now()
 	sendCtx, cancel := context.WithCancelCause(ctx)
-	s := &sending{targets: t, conn: c, cancel: cancel, mark: c.wire.started()}
+	s := &targetSend{targets: t, conn: c, cancel: cancel, writesBefore: c.tracked.writesStarted()}
 	r := s.request(sendCtx, x)
-	stop := s.watch(x)
-	response, err := c.transport.RoundTrip(r) //nolint:bodyclose // the answer closes it
+	stop := s.watchSilence(x)
+	httpResp, err := c.transport.RoundTrip(r) //nolint:bodyclose // closed by response.close
 	stop()
 	s.endInterim()
 	if err != nil {
-		result, again := s.failed(ctx, sendCtx, x, err)
-		result.ToHead = t.Clock.Since(begun)
+		result, retry := s.failed(ctx, sendCtx, x, err)
+		result.TimeToHeader = t.Clock.Since(start)
 		cancel(nil)
-		return nil, result, again
+		return nil, result, retry
 	}
-	a := s.answer(x, response)
-	a.result.ToHead = t.Clock.Since(begun)
-	if r, refused := s.check(x, response); refused {
+	resp := s.newResponse(x, httpResp)
+	resp.result.TimeToHeader = t.Clock.Since(start)
+	if r, refused := s.rejectResponse(x, httpResp); refused {
 		if r.Outcome == NotRun {
-			// A short refusal is read to its end, so that its connection can be used again.
-			_, _ = io.CopyN(io.Discard, a.body, chunkSize)
+			// Read a short refusal to its end, so that the connection can be reused.
+			_, _ = io.CopyN(io.Discard, resp.body, chunkSize)
 		}
-		a.close()
-		r.ToHead = a.result.ToHead
+		resp.close()
+		r.TimeToHeader = resp.result.TimeToHeader
 		return nil, r, false
 	}
-	return a, a.result, false
+	return resp, resp.result, false
 }
 
-// request returns the request as the target gets it.
-func (s *sending) request(ctx context.Context, x *exchange) *http.Request {
+// request returns the request for the target.
+func (s *targetSend) request(ctx context.Context, x *exchange) *http.Request {
 	u, err := url.ParseRequestURI(x.uri)
 	if err != nil {
 		u = &url.URL{Path: "/"}
@@ -153,13 +155,13 @@
 	left := x.request.Deadline.Sub(s.targets.Clock.Now()).Milliseconds()
 	h.Set(DeadlineHeader, strconv.FormatInt(max(left, 1), 10))
 	if h.Get("User-Agent") == "" {
-		// An empty value keeps net/http from naming itself in the caller's place.
+		// An empty value keeps net/http from adding its own User-Agent.
 		h["User-Agent"] = []string{""}
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotFirstResponseByte: func() { s.heard.Store(true) },
+		GotFirstResponseByte: func() { s.responseStarted.Store(true) },
 		Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-			return s.interim(x, code, http.Header(h))
+			return s.forwardInterim(x, code, http.Header(h))
 		},
 	})
 	r := &http.Request{
@@ -167,42 +169,43 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if x.body != nil {
-		s.attach(x, r)
+		s.attachBody(x, r)
 	}
 	return r.WithContext(ctx)
 }
 
-// maxInterim bounds the interim answers to a request; net/http leaves that to who listens to them. A
-// target has a few hints to give, and one without end would never answer.
+// maxInterim limits the interim responses to a request, because net/http doesn't if there is a
+// Got1xxResponse hook. A few are legitimate hints; a target that sends them endlessly would never
+// respond.
 const maxInterim = 16
 
-// errInterim ends a request whose target sends interim answers without end.
-var errInterim = trace.LimitExceeded("more than %d interim answers", maxInterim)
+// errInterim is returned when a target exceeds maxInterim.
+var errInterim = trace.LimitExceeded("more than %d interim responses", maxInterim)
 
-// interim passes an interim answer on while the request waits for its final one.
-func (s *sending) interim(x *exchange, code int, h http.Header) error {
-	s.informing.Lock()
-	defer s.informing.Unlock()
+// forwardInterim passes an interim response on while the request waits for its final one.
+func (s *targetSend) forwardInterim(x *exchange, code int, h http.Header) error {
+	s.interimMutex.Lock()
+	defer s.interimMutex.Unlock()
 	s.interims++
 	if s.interims > maxInterim {
 		return errInterim
 	}
-	if !s.over && code != http.StatusContinue {
-		x.inform(code, endToEnd(h))
+	if !s.interimEnded && code != http.StatusContinue {
+		x.writeInterim(code, endToEnd(h))
 	}
 	return nil
 }
 
-// endInterim ends interim answers.
-func (s *sending) endInterim() {
-	s.informing.Lock()
-	defer s.informing.Unlock()
-	s.over = true
+// endInterim stops passing on interim responses.
+func (s *targetSend) endInterim() {
+	s.interimMutex.Lock()
+	defer s.interimMutex.Unlock()
+	s.interimEnded = true
 }
 
-// attach gives the request its body.
-func (s *sending) attach(x *exchange, r *http.Request) {
-	s.body = x.body.attempt()
+// attachBody sets the request's body and trailer.
+func (s *targetSend) attachBody(x *exchange, r *http.Request) {
+	s.body = x.body.newReader()
 	r.ContentLength = x.request.Size
 	r.Body = s.body
 	if x.expect {
@@ -215,19 +218,19 @@
 	for _, name := range x.trailerNames {
 		r.Trailer[name] = nil
 	}
-	r.Body = &trailedBody{attemptBody: s.body, to: r.Trailer, from: x.trailer}
+	r.Body = &trailerBody{bodyReader: s.body, to: r.Trailer, from: x.trailer}
 }
 
-// trailedBody fills the trailer in when the body has ended.
-type trailedBody struct {
-	*attemptBody
+// trailerBody sets the request's trailer at the end of its body.
+type trailerBody struct {
+	*bodyReader
 	to   http.Header
 	from func() http.Header
 }
 
 // Read reads from the body.
-func (b *trailedBody) Read(p []byte) (int, error) {
-	n, err := b.attemptBody.Read(p)
+func (b *trailerBody) Read(p []byte) (int, error) {
+	n, err := b.bodyReader.Read(p)
 	if err == io.EOF {
 		for name, values := range b.from() {
 			b.to[name] = values
@@ -236,100 +239,105 @@
 	return n, err
 }
 
-// watch gives the send up when a connection without proof of life stays silent.
+// watchSilence cancels the send if a connection that is not recent stays silent. stop ends the
+// watch.
 //
-// The failure it guards against is a middlebox that lost track of an open connection: the request is
-// swallowed and no error comes. It shows as a request that runs into its deadline while the target
-// answers others. Only an idempotent request whose body is not on its way may be sent again.
-func (s *sending) watch(x *exchange) (stop func()) {
+// A middlebox may drop the state of an open connection and lose the request without an error, so
+// that it runs into its deadline while the target responds to others. Only an idempotent request
+// without a body is sent again.
+func (s *targetSend) watchSilence(x *exchange) (stop func()) {
 	t := s.targets
-	if s.conn.proven || !x.request.Idempotent || x.body != nil {
+	if s.conn.recent || !x.request.Idempotent || x.body != nil {
 		return func() {}
 	}
-	timer := t.Clock.AfterFunc(orDefault(t.Silence, DefaultSilence), func() {
-		if !s.heard.Load() {
+	timer := t.Clock.AfterFunc(orDefault(t.SilenceTimeout, DefaultSilenceTimeout), func() {
+		if !s.responseStarted.Load() {
 			s.cancel(errSilent)
 		}
 	})
 	return func() { timer.Stop() }
 }
 
-// failed closes the connection and returns what became of the request.
-func (s *sending) failed(ctx, sendCtx context.Context, x *exchange, err error) (Result, bool) {
+// failed closes the connection and returns the result. The last result reports whether another
+// connection may be tried.
+func (s *targetSend) failed(ctx, sendCtx context.Context, x *exchange, err error) (Result, bool) {
 	s.body.stop()
-	wrote := s.targets.drop(s.conn) > s.mark
+	wrote := s.targets.closeUsed(s.conn) > s.writesBefore
 	r := Result{Outcome: NotRun, Reason: ReasonNoConnection, Fault: FaultConnection, NewConnection: !s.conn.reused}
 	if wrote {
 		r.Outcome, r.Reason, r.Fault = Unknown, ReasonTargetLost, FaultTarget
 	}
-	replaceable := s.conn.reused && ctx.Err() == nil && !x.touched()
+	replaceable := s.conn.reused && ctx.Err() == nil && !x.bodyRead()
 	switch {
 	case ctx.Err() != nil:
-		r.Reason, r.Fault = reasonOf(ctx)
-		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.heard.Load() {
-			s.targets.Forget(s.conn.address)
-			if !s.conn.proven {
-				// The connection may have been silent all along: that is not held against the target.
+		r.Reason, r.Fault = contextEndReason(ctx)
+		if s.conn.reused && wrote && r.Fault == FaultDeadline && !s.responseStarted.Load() {
+			s.targets.CloseIdle(s.conn.address)
+			if !s.conn.recent {
+				// The connection may have been silent from the start, so don't count it against the target.
 				r.Fault = FaultConnection
 			}
 		}
 		return r, false
 	case errors.Is(context.Cause(sendCtx), errSilent):
 		r.Fault = FaultConnection
-		record(s.targets.Events, paevent.ConnectionSilent{Subject: about(x.request), Target: s.conn.address.String()})
+		record(s.targets.Events, paevent.ConnectionSilent{Subject: eventSubject(x.request), Target: s.conn.address.String()})
 		return r, replaceable
-	case x.callerFailed() != nil:
+	case x.bodyError() != nil:
 		r.Reason, r.Fault = ReasonCallerGone, FaultCaller
-		if errors.Is(x.callerFailed(), errBodyTooLarge) {
+		if errors.Is(x.bodyError(), errBodyTooLarge) {
 			r.Reason = ReasonTooLarge
 		}
 		return r, false
 	case s.conn.reused && wrote:
-		// A reused connection that the target closed meanwhile is no sign of a broken target.
+		// The target may close an idle connection at any time; don't count it against the target.
 		r.Fault = FaultConnection
 	}
 	return r, replaceable && !wrote
 }
 
-// check returns the end of an attempt whose response is not an answer to this request.
-func (s *sending) check(x *exchange, response *http.Response) (Result, bool) {
+// rejectResponse returns the result for a response that must not be relayed; false means that it
+// may be.
+func (s *targetSend) rejectResponse(x *exchange, httpResp *http.Response) (Result, bool) {
 	r := Result{
-		Outcome: Unknown, Fault: FaultTarget, Status: response.StatusCode,
-		NewConnection: !s.conn.reused, Draining: response.Header.Get(DrainingHeader) == "true",
+		Outcome: Unknown, Fault: FaultTarget, Status: httpResp.StatusCode,
+		NewConnection: !s.conn.reused, Draining: httpResp.Header.Get(DrainingHeader) == "true",
 	}
-	s.targets.Stamps.Heard(response.Header.Get(StampHeader))
-	said := response.Header.Get(RequestIDHeader)
-	strict := s.conn.reused && !s.targets.TrustOrder
+	s.targets.Stamps.Heard(httpResp.Header.Get(StampHeader))
+	gotID := httpResp.Header.Get(RequestIDHeader)
+	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
-	case said != string(x.request.ID) && (said != "" || strict):
-		// An answer to another request: late, surplus or crossed. Matching by order would hand it out.
+	case gotID != string(x.request.ID) && (gotID != "" || strict):
+		// The response to another request: late, surplus or mismatched. Matching by order would deliver
+		// it to the wrong caller.
 		r.Reason = ReasonWrongIdentity
 		record(s.targets.Events, paevent.IdentityMismatch{
-			Subject: about(x.request), Target: s.conn.address.String(), Said: said,
+			Subject: eventSubject(x.request), Target: s.conn.address.String(), Said: gotID,
 		})
-	case response.StatusCode == http.StatusSwitchingProtocols:
+	case httpResp.StatusCode == http.StatusSwitchingProtocols:
 		r.Reason = ReasonUnframedAnswer
-	case unframed(x.request.Method, response):
+	case closeDelimited(x.request.Method, httpResp):
 		r.Reason = ReasonUnframedAnswer
-	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(OutcomeHeader) == NotRun.String():
+	case httpResp.StatusCode == http.StatusServiceUnavailable && httpResp.Header.Get(OutcomeHeader) == NotRun.String():
 		r.Outcome, r.Reason, r.Fault = NotRun, ReasonShed, FaultShed
-		r.ComeBack = retryAfter(response.Header)
+		r.RetryAfter = retryAfter(httpResp.Header)
 	default:
 		return Result{}, false
 	}
 	return r, true
 }
 
-// unframed says that the answer ends with its connection, so that a truncated one looks whole.
-func unframed(method string, r *http.Response) bool {
-	none := bodiless(method, r.StatusCode)
-	return !none && r.ContentLength < 0 && len(r.TransferEncoding) == 0
+// closeDelimited reports whether the end of the response is marked only by the end of its
+// connection, so that a truncated response looks complete.
+func closeDelimited(method string, r *http.Response) bool {
+	empty := bodiless(method, r.StatusCode)
+	return !empty && r.ContentLength < 0 && len(r.TransferEncoding) == 0
 }
 
-// maxRetryAfter bounds what a target may say of its time to come back.
+// maxRetryAfter limits the Retry-After of a target.
 const maxRetryAfter = 60 * time.Second
 
-// retryAfter reads the seconds of a Retry-After field.
+// retryAfter parses a Retry-After field in seconds; 0 if it is absent or malformed.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(h.Get("Retry-After"), 10, 16)
 	if err != nil {
@@ -338,51 +346,51 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// answer returns the response as an answer on its way.
-func (s *sending) answer(x *exchange, response *http.Response) *answer {
-	a := &answer{
-		head: head{status: response.StatusCode, header: endToEnd(response.Header), length: response.ContentLength},
-		body: response.Body,
+// newResponse returns the target's response, ready to be relayed.
+func (s *targetSend) newResponse(x *exchange, httpResp *http.Response) *response {
+	resp := &response{
+		responseHead: responseHead{status: httpResp.StatusCode, header: endToEnd(httpResp.Header), length: httpResp.ContentLength},
+		body:         httpResp.Body,
 		result: Result{
-			Status: response.StatusCode, NewConnection: !s.conn.reused,
-			Draining: response.Header.Get(DrainingHeader) == "true",
+			Status: httpResp.StatusCode, NewConnection: !s.conn.reused,
+			Draining: httpResp.Header.Get(DrainingHeader) == "true",
 		},
-		trailer: func() http.Header { return endToEnd(response.Trailer) },
+		trailer: func() http.Header { return endToEnd(httpResp.Trailer) },
 	}
-	for name := range response.Trailer {
-		a.trailerNames = append(a.trailerNames, name)
+	for name := range httpResp.Trailer {
+		resp.trailerNames = append(resp.trailerNames, name)
 	}
-	identified := response.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustOrder
-	end := &endReader{source: response.Body}
-	a.body = end
-	a.close = func() { s.finish(end.ended && identified && !response.Close, response) }
-	return a
+	identified := httpResp.Header.Get(RequestIDHeader) == string(x.request.ID) || s.targets.TrustResponseOrder
+	body := &eofReader{source: httpResp.Body}
+	resp.body = body
+	resp.close = func() { s.finish(body.atEOF && identified && !httpResp.Close, httpResp) }
+	return resp
 }
 
-// finish gives the connection back after a whole answer, or closes it. A connection whose answer was
-// given up is never used again, so that the late rest can't be read by another request.
-func (s *sending) finish(whole bool, response *http.Response) {
+// finish returns the connection to the pool after a complete response, or closes it. A connection
+// whose response was abandoned is never reused, because the next request could read the rest of it.
+func (s *targetSend) finish(complete bool, httpResp *http.Response) {
 	defer s.cancel(nil)
 	s.body.stop()
-	response.Body.Close()
-	if whole && s.conn.wire.alive() {
-		s.targets.keep(s.conn)
+	httpResp.Body.Close()
+	if complete && s.conn.tracked.usable() {
+		s.targets.put(s.conn)
 		return
 	}
-	s.targets.drop(s.conn)
+	s.targets.closeUsed(s.conn)
 }
 
-// endReader notes the end of a body.
-type endReader struct {
+// eofReader records whether the source was read to its end.
+type eofReader struct {
 	source io.Reader
-	ended  bool
+	atEOF  bool
 }
 
 // Read reads from the source.
-func (r *endReader) Read(p []byte) (int, error) {
+func (r *eofReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	if err == io.EOF {
-		r.ended = true
+		r.atEOF = true
 	}
 	return n, err
 }
