--- a/pacapacity/capacity_test.go
+++ b/pacapacity/capacity_test.go
@@ -112,8 +112,8 @@
 func setFacts(f *Fleet, i int) {
 	for _, n := range f.Nodes {
 		if !n.Down {
-			f.Do(n, pamember.SetFacts{Facts: pamember.Facts{
-				Sequence: 1, Room: uint8(i), Free: []uint8{1, 2, 3, 4}, Slots: []uint8{9, 9, 9, 9}, Waiting: []uint8{0, 0, 0, uint8(i)},
+			f.Do(n, pamember.SetLoadReport{Report: pamember.LoadReport{
+				Sequence: 1, Headroom: uint8(i), Free: []uint8{1, 2, 3, 4}, Slots: []uint8{9, 9, 9, 9}, Waiting: []uint8{0, 0, 0, uint8(i)},
 			}})
 		}
 	}
--- a/pacapacity/event_test.go
+++ b/pacapacity/event_test.go
@@ -130,7 +130,7 @@
 		roll(f, 15*time.Second)
 		watches := 0
 		for _, n := range f.Nodes {
-			if paspread.Watches(n.View(f.Now)) {
+			if paspread.IsWatcher(n.View(f.Now)) {
 				watches++
 			}
 		}
--- a/pacapacity/fleet.go
+++ b/pacapacity/fleet.go
@@ -31,7 +31,7 @@
 	// Sent and Received count encoded bytes, Messages those sent.
 	Sent, Received, Messages int
 	// Spread is set if the Fleet spreads configuration; InForce is when each sequence was adopted.
-	Spread  *paspread.Spread
+	Spread  *paspread.Replicator
 	InForce map[pabundle.Sequence]time.Time
 	// Changes collects what the node's Step reported, when the Fleet keeps them.
 	Changes []pamember.Change
@@ -211,8 +211,8 @@
 		if f.OnChange != nil {
 			f.OnChange(n, c)
 		}
-		if a, ok := c.(pamember.AdvertSeen); ok && n.Spread != nil {
-			f.doSpread(n, paspread.Seen{Peer: a.From.Name, Sequence: a.Advert.Sequence})
+		if a, ok := c.(pamember.NewerConfigSeen); ok && n.Spread != nil {
+			f.doSpread(n, paspread.NewerSequenceSeen{Peer: a.From.Name, Sequence: a.Config.Sequence})
 		}
 	}
 	for _, e := range out.Send {
--- a/pacapacity/spread.go
+++ b/pacapacity/spread.go
@@ -66,16 +66,16 @@
 	if v := n.View(f.Now); v.Version != n.view || !n.booted {
 		n.view = v.Version
 		near, far := n.Peers()
-		f.doSpread(n, paspread.Peers{Near: near, Far: far})
+		f.doSpread(n, paspread.Peers{SameRegion: near, OtherRegions: far})
 	}
 	if !n.booted {
 		n.booted = true
 		f.doSpread(n, paspread.Boot{})
 	}
 	f.doSpread(n, paspread.Tick{})
-	if !f.Store.Down && n.Spread.Booted() && f.Store.Head.Sequence > n.Spread.Head().Sequence && paspread.Watches(n.View(f.Now)) {
+	if !f.Store.Down && n.Spread.Booted() && f.Store.Head.Sequence > n.Spread.Head().Sequence && paspread.IsWatcher(n.View(f.Now)) {
 		if f.Cut == nil || !f.Cut(pamember.Identity{}, n.Identity) {
-			f.doSpread(n, paspread.Found{Head: f.Store.Head})
+			f.doSpread(n, paspread.StoreHeadRead{Head: f.Store.Head})
 		}
 	}
 }
@@ -90,7 +90,7 @@
 			f.fetch(n, c)
 		case paspread.Adopted:
 			n.InForce[c.Head.Sequence] = f.Now
-			f.Do(n, pamember.SetAdvert{Advert: pamember.Advert{Sequence: c.Head.Sequence, Digest: c.Head.Digest}})
+			f.Do(n, pamember.SetConfigVersion{Config: pamember.ConfigVersion{Sequence: c.Head.Sequence, Digest: c.Head.Digest}})
 		}
 	}
 }
@@ -98,9 +98,9 @@
 func (f *Fleet) offer(n *Node, c paspread.Offer) {
 	size := func(from *Node, h pabundle.Head) int { return proto.Size(paspread.ToWire(from.Identity.Name, h)) }
 	f.carry(n, f.byName[c.To], size(n, c.Head), letter{spread: func(to *Node) {
-		f.doSpread(to, paspread.Offered{Peer: n.Identity.Name, Head: c.Head})
+		f.doSpread(to, paspread.HeadReceived{Peer: n.Identity.Name, Head: c.Head})
 		h := to.Spread.Head()
-		f.carry(to, n, size(to, h), letter{spread: func(n *Node) { f.doSpread(n, paspread.Offered{Peer: to.Identity.Name, Head: h}) }})
+		f.carry(to, n, size(to, h), letter{spread: func(n *Node) { f.doSpread(n, paspread.HeadReceived{Peer: to.Identity.Name, Head: h}) }})
 	}})
 }
 
@@ -109,7 +109,7 @@
 
 func (f *Fleet) fetch(n *Node, c paspread.Fetch) {
 	if c.From.Store {
-		answer := paspread.Fetched{From: c.From, Digest: c.Digest}
+		answer := paspread.FetchResult{From: c.From, Digest: c.Digest}
 		if !f.Store.Down {
 			f.Store.Reads++
 			answer.Data = f.Store.Pieces[c.Digest]
@@ -121,7 +121,7 @@
 	f.carry(n, f.byName[c.From.Peer], digestBytes, letter{spread: func(to *Node) {
 		data, _ := to.Spread.Piece(c.Digest)
 		f.carry(to, n, len(data), letter{spread: func(n *Node) {
-			f.doSpread(n, paspread.Fetched{From: c.From, Digest: c.Digest, Data: data})
+			f.doSpread(n, paspread.FetchResult{From: c.From, Digest: c.Digest, Data: data})
 		}})
 	}})
 }
--- a/pacapacity/table_test.go
+++ b/pacapacity/table_test.go
@@ -122,7 +122,7 @@
 		members = append(members, pamember.MemberView{Identity: pamember.Identity{
 			Name: pabundle.EntryName(fmt.Sprintf("entry-%04d", i)), Zone: pabundle.ZoneName(fmt.Sprintf("zone-%02d", i%83)), Region: pabundle.RegionName(fmt.Sprintf("region-%02d", i%83%26)),
 			CallerAddress: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 8080),
-		}, Facts: pamember.Facts{Stamp: 1, Room: uint8(i)}})
+		}, Load: pamember.LoadReport{Stamp: 1, Headroom: uint8(i)}})
 	}
 	return members
 }
--- a/pacontrol/bundle.go
+++ b/pacontrol/bundle.go
@@ -24,7 +24,7 @@
 // each other region, so that a change crosses regions without the store.
 func (k *Control) setPeers(now time.Time) {
 	near, far := k.member.Peers()
-	k.spreadStep(now, paspread.Peers{Near: near, Far: far})
+	k.spreadStep(now, paspread.Peers{SameRegion: near, OtherRegions: far})
 }
 
 // spreadStep lets the spreading of configuration take an event, and acts on its commands.
@@ -70,7 +70,7 @@
 	}
 	k.adoptLimits(now)
 	k.decisions = k.owner.Configure(now, b.Policy, b.Services, k.decisions)
-	k.hear(now, pamember.SetAdvert{Advert: pamember.Advert{Sequence: a.Head.Sequence, Digest: a.Head.Digest}})
+	k.hear(now, pamember.SetConfigVersion{Config: pamember.ConfigVersion{Sequence: a.Head.Sequence, Digest: a.Head.Digest}})
 	k.note(paevent.BundleInForce{
 		Subject: sequence(a.Head), Digest: string(a.Head.Digest), RollID: a.Head.RollID, Operator: a.Head.Operator,
 		DelayMilliseconds: now.Sub(a.Head.RolledAt).Milliseconds(),
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -40,7 +40,7 @@
 	config Config
 	member *pamember.Member
 	owner  *paowner.Owner
-	spread *paspread.Spread
+	spread *paspread.Replicator
 	// booted says that the spreading has begun.
 	booted  bool
 	planner palookup.Planner
@@ -175,13 +175,13 @@
 		k.list(now, v.VMs)
 	case HeadFound:
 		k.compareStore(v.Head)
-		k.spreadStep(now, paspread.Found{Head: v.Head})
+		k.spreadStep(now, paspread.StoreHeadRead{Head: v.Head})
 	case HeadOffered:
-		k.spreadStep(now, paspread.Offered{Peer: v.Peer, Head: v.Head})
+		k.spreadStep(now, paspread.HeadReceived{Peer: v.Peer, Head: v.Head})
 	case PieceFetched:
-		k.spreadStep(now, paspread.Fetched{From: v.From, Digest: v.Digest, Data: v.Data})
+		k.spreadStep(now, paspread.FetchResult{From: v.From, Digest: v.Digest, Data: v.Data})
 	case PeerSaid:
-		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Advert.Sequence)
+		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Config.Sequence)
 		k.hear(now, pamember.Received{Message: v.Message})
 	case Offered:
 		k.offer(now, v)
@@ -216,7 +216,7 @@
 	case StopAsked:
 		k.stop(now)
 	case Departed:
-		k.hear(now, pamember.Depart{})
+		k.hear(now, pamember.FinishLeave{})
 	}
 	k.carryOut()
 	return k.output(now)
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -49,14 +49,14 @@
 	case pamember.ZoneFound:
 		k.note(paevent.ZoneFound{Zone: string(v.Zone)})
 		return true
-	case pamember.Thawed:
+	case pamember.PauseDetected:
 		k.note(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
 		k.holder.VoidAll()
 		k.note(paevent.CreditsVoided{Reason: "this process stood still"})
 	case pamember.Refuted:
-		k.note(paevent.SuspicionRefuted{Said: v.Said.String()})
-	case pamember.AdvertSeen:
-		k.spreadStep(now, paspread.Seen{Peer: v.From.Name, Sequence: v.Advert.Sequence})
+		k.note(paevent.SuspicionRefuted{Said: v.Claimed.String()})
+	case pamember.NewerConfigSeen:
+		k.spreadStep(now, paspread.NewerSequenceSeen{Peer: v.From.Name, Sequence: v.Config.Sequence})
 	}
 	return false
 }
@@ -113,13 +113,13 @@
 	if k.bundle == nil {
 		return
 	}
-	f := pamember.Facts{Sequence: k.head.Sequence, Room: uint8(k.room.Weight() * 255)}
+	f := pamember.LoadReport{Sequence: k.head.Sequence, Headroom: uint8(k.room.Weight() * 255)}
 	for _, s := range k.bundle.Services {
 		f.Free = append(f.Free, saturated(k.owner.FreeSlots(now, s.Name)))
 		f.Slots = append(f.Slots, saturated(k.owner.Slots(now, s.Name)))
 		f.Waiting = append(f.Waiting, saturated(k.owner.Waiting(s.Name)))
 	}
-	k.hear(now, pamember.SetFacts{Facts: f})
+	k.hear(now, pamember.SetLoadReport{Report: f})
 }
 
 // saturated is a count as facts carry it: 255 means that or more.
@@ -128,8 +128,8 @@
 // observeFacts notes when each member's facts changed, because their age decides what they count.
 func (k *Control) observeFacts(now time.Time) {
 	for _, m := range k.view.Members {
-		if r, ok := k.reports[m.Name]; !ok || r.stamp != m.Facts.Stamp {
-			k.reports[m.Name] = report{stamp: m.Facts.Stamp, at: now}
+		if r, ok := k.reports[m.Name]; !ok || r.stamp != m.Load.Stamp {
+			k.reports[m.Name] = report{stamp: m.Load.Stamp, at: now}
 		}
 	}
 	if len(k.reports) > 2*len(k.view.Members) {
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -98,13 +98,13 @@
 		if m.Name == k.config.Self.Name || m.Region != k.config.Self.Region || !m.Live() {
 			continue
 		}
-		if m.Facts.Sequence != k.head.Sequence || n >= len(m.Facts.Free) || n >= len(m.Facts.Slots) || n >= len(m.Facts.Waiting) {
+		if m.Load.Sequence != k.head.Sequence || n >= len(m.Load.Free) || n >= len(m.Load.Slots) || n >= len(m.Load.Waiting) {
 			continue
 		}
 		into = append(into, paplacement.Candidate{
 			Distance: paplacement.SameRegion, Entry: m.Name, Region: m.Region,
-			Slots: int(m.Facts.Slots[n]), Free: int(m.Facts.Free[n]),
-			Wait: k.waitOf(s, int(m.Facts.Waiting[n]), int(m.Facts.Slots[n])),
+			Slots: int(m.Load.Slots[n]), Free: int(m.Load.Free[n]),
+			Wait: k.waitOf(s, int(m.Load.Waiting[n]), int(m.Load.Slots[n])),
 			Age:  now.Sub(k.reports[m.Name].at), Delay: neighbourDelay,
 		})
 	}
--- a/pacontrol/region.go
+++ b/pacontrol/region.go
@@ -51,7 +51,7 @@
 	slots, busy := k.owner.Slots(now, s), k.owner.InFlight(s)+k.owner.Waiting(s)
 	unheard := false
 	for _, m := range k.view.Members {
-		f := m.Facts
+		f := m.Load
 		if m.Name == k.config.Self.Name || m.Region != k.config.Self.Region || !m.Live() {
 			continue
 		}
--- a/paentry/links.go
+++ b/paentry/links.go
@@ -66,7 +66,7 @@
 			b = &palink.Budget{}
 			l.budgets[x.To] = b
 		}
-		d := palink.Division{Capacity: x.Capacity, Reserve: s.Bundle.Policy.Reserve, Members: s.Members}
+		d := palink.LinkShare{Capacity: x.Capacity, Reserve: s.Bundle.Policy.Reserve, Members: s.Members}
 		b.SetRate(now, d.Rate())
 	}
 }
@@ -94,7 +94,7 @@
 		return true
 	}
 	f.Done(paproxy.Result{
-		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, ComeBack: max(linkComeBack, k.ComeBack),
+		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, ComeBack: max(linkComeBack, k.RetryAfter),
 	})
 	return false
 }
@@ -146,7 +146,7 @@
 		}
 	}
 	n = min(n, palink.MaxChunk)
-	wait, ok := b.Pace(now, n)
+	wait, ok := b.PaceChunk(now, n)
 	if !ok {
 		return 0, noRatePause
 	}
--- a/paentry/metrics.go
+++ b/paentry/metrics.go
@@ -108,7 +108,7 @@
 	}
 	for _, x := range s.Bundle.Links {
 		if x.From == from {
-			d := palink.Division{Capacity: x.Capacity, Reserve: s.Bundle.Policy.Reserve, Members: s.Members}
+			d := palink.LinkShare{Capacity: x.Capacity, Reserve: s.Bundle.Policy.Reserve, Members: s.Members}
 			vm.WriteGaugeFloat64(w, fmt.Sprintf("papayahead_link_budget_bytes_per_second{to=%q}", x.To), float64(d.Rate()))
 		}
 	}
--- a/palink/budget.go
+++ b/palink/budget.go
@@ -36,8 +36,8 @@
 // The load is a narrow link filled by restores. The harm is a slot check behind them that comes too
 // late, and a queue inside the link that nobody sees. A short message waits for maxShortWait at
 // most or is refused at once, while its caller has time for another way.
-func (b *Budget) Reserve(now time.Time, c Class, n Bytes) Booking {
-	k := Booking{Class: c, Bytes: n}
+func (b *Budget) Reserve(now time.Time, c Class, n Bytes) Reservation {
+	k := Reservation{Class: c, Bytes: n}
 	if b.rate <= 0 {
 		return refuse(k, minComeBack)
 	}
@@ -58,14 +58,14 @@
 	return k
 }
 
-// Expect books an answer whose size is guessed (Estimate) and that will be sent about within from
+// ReserveAnswer books an answer whose size is guessed (Estimate) and that will be sent about within from
 // now; a request whose answer finds no room is refused before it runs. Call Spend when the answer
 // is there, or with 0 bytes when there will be none.
 //
 // The load is requests that are small and answers that are not. The harm is work that has run and
 // whose answer then waits for the link. What is due may not pass what the link carries until then.
-func (b *Budget) Expect(now time.Time, n Bytes, within time.Duration) Booking {
-	k := Booking{Bytes: min(n, MaxShort), expected: true}
+func (b *Budget) ReserveAnswer(now time.Time, n Bytes, within time.Duration) Reservation {
+	k := Reservation{Bytes: min(n, MaxShort), expected: true}
 	room := Bytes(float64(b.rate) * max(within, minWithin).Seconds())
 	if b.rate <= 0 || b.due+k.Bytes > room {
 		return refuse(k, minComeBack)
@@ -74,13 +74,13 @@
 	return k
 }
 
-// Spend books an expected answer when its size is known: a short one goes after wait, and pace is
+// CommitAnswer books an expected answer when its size is known: a short one goes after wait, and pace is
 // what is left to be paced as a long transfer.
 //
 // Guards against an answer that counts when it was expected and is sent later, together with others:
 // it shows as bursts beyond the link. The guard holds because only the bytes that are ready to be
 // sent are on the lines.
-func (b *Budget) Spend(now time.Time, k Booking, actual Bytes) (wait time.Duration, pace Bytes) {
+func (b *Budget) CommitAnswer(now time.Time, k Reservation, actual Bytes) (wait time.Duration, pace Bytes) {
 	if k.expected && k.Decision != Refuse {
 		b.due -= k.Bytes
 	}
@@ -91,10 +91,10 @@
 	return l.book(now, d), 0
 }
 
-// Pace books the next chunk of a long transfer, at most MaxChunk, and returns how long to wait
+// PaceChunk books the next chunk of a long transfer, at most MaxChunk, and returns how long to wait
 // before sending it. Each transfer asks for its next chunk after it has sent the last, so that the
 // transfers take turns. Without a rate it returns false: ask again later.
-func (b *Budget) Pace(now time.Time, n Bytes) (time.Duration, bool) {
+func (b *Budget) PaceChunk(now time.Time, n Bytes) (time.Duration, bool) {
 	if b.rate <= 0 || n > MaxChunk {
 		return 0, false
 	}
@@ -135,7 +135,7 @@
 	l.next = now.Add(time.Duration(float64(l.ahead(now)) * by))
 }
 
-func refuse(k Booking, comeBack time.Duration) Booking {
-	k.Decision, k.Bytes, k.ComeBack = Refuse, 0, comeBack
+func refuse(k Reservation, comeBack time.Duration) Reservation {
+	k.Decision, k.Bytes, k.RetryAfter = Refuse, 0, comeBack
 	return k
 }
--- a/palink/link.go
+++ b/palink/link.go
@@ -59,8 +59,8 @@
 // Rate is a budget in bytes a second.
 type Rate float64
 
-// Division says which part of a link's direction this entry VM may use.
-type Division struct {
+// LinkShare says which part of a link's direction this entry VM may use.
+type LinkShare struct {
 	// Capacity is the link's, Reserve the share of it that stays free.
 	Capacity pabundle.BitRate
 	Reserve  float64
@@ -71,7 +71,7 @@
 
 // Rate returns this entry VM's part. Without an agreed view it is 0: a part taken by guess is what
 // another entry VM is using.
-func (d Division) Rate() Rate {
+func (d LinkShare) Rate() Rate {
 	if d.Members <= 0 || d.Capacity <= 0 {
 		return 0
 	}
@@ -96,13 +96,13 @@
 	return [...]string{"Admit", "Wait", "Refuse"}[d]
 }
 
-// Booking is the answer to Reserve or Expect; that of Expect is handed back to Spend.
-type Booking struct {
+// Reservation is the answer to Reserve or Expect; that of Expect is handed back to Spend.
+type Reservation struct {
 	Decision Decision
 	// Wait is how long to wait before sending.
 	Wait time.Duration
-	// ComeBack is when to ask again after a refusal, without jitter.
-	ComeBack time.Duration
+	// RetryAfter is when to ask again after a refusal, without jitter.
+	RetryAfter time.Duration
 	// Bytes is what was booked.
 	Bytes    Bytes
 	Class    Class
--- a/palink/link_test.go
+++ b/palink/link_test.go
@@ -24,7 +24,7 @@
 }
 
 // rate is what one of three entry VMs has of 280 Mbit/s with a tenth in reserve: 10.5 MB/s.
-var rate = Division{Capacity: 280_000_000, Reserve: 0.1, Members: 3}.Rate()
+var rate = LinkShare{Capacity: 280_000_000, Reserve: 0.1, Members: 3}.Rate()
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
@@ -43,7 +43,7 @@
 		b, now := &Budget{}, epoch
 		b.SetRate(now, rate)
 		var sent []sending
-		var expected []Booking
+		var expected []Reservation
 		var ready []time.Time
 		var due Bytes
 		t.Repeat(map[string]func(*rapid.T){
@@ -63,7 +63,7 @@
 			},
 			"expect": func(t *rapid.T) {
 				for range rapid.IntRange(1, 200).Draw(t, "count") {
-					k := b.Expect(now, Bytes(rapid.IntRange(1, MaxShort).Draw(t, "bytes")), minWithin)
+					k := b.ReserveAnswer(now, Bytes(rapid.IntRange(1, MaxShort).Draw(t, "bytes")), minWithin)
 					if k.Decision != Refuse {
 						expected, due = append(expected, k), due+k.Bytes
 					}
@@ -75,7 +75,7 @@
 			"answers": func(t *rapid.T) {
 				for _, k := range expected {
 					actual := Bytes(rapid.IntRange(0, 2*MaxShort).Draw(t, "actual"))
-					wait, rest := b.Spend(now, k, actual)
+					wait, rest := b.CommitAnswer(now, k, actual)
 					sent = append(sent, sending{now.Add(wait), actual - rest})
 					if rest > 0 {
 						ready = append(ready, now)
@@ -91,7 +91,7 @@
 			"chunk": func(t *rapid.T) {
 				for i := range ready {
 					if !now.Before(ready[i]) {
-						if wait, ok := b.Pace(now, MaxChunk); ok {
+						if wait, ok := b.PaceChunk(now, MaxChunk); ok {
 							ready[i] = now.Add(wait)
 							sent = append(sent, sending{ready[i], MaxChunk})
 						}
@@ -134,7 +134,7 @@
 		now := epoch.Add(time.Duration(n) * time.Millisecond)
 		for i := range ready {
 			for !now.Before(ready[i]) {
-				wait, ok := b.Pace(now, MaxChunk)
+				wait, ok := b.PaceChunk(now, MaxChunk)
 				if !ok {
 					t.Fatal("a chunk was refused")
 				}
@@ -208,7 +208,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		l.Spend(now, l.Expect(now, 8<<10, minWithin), 4<<10)
+		l.CommitAnswer(now, l.ReserveAnswer(now, 8<<10, minWithin), 4<<10)
 	}
 }
 
@@ -218,6 +218,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(2 * time.Millisecond)
-		l.Pace(now, MaxChunk)
+		l.PaceChunk(now, MaxChunk)
 	}
 }
--- a/palookup/example_test.go
+++ b/palookup/example_test.go
@@ -22,7 +22,7 @@
 		fmt.Println(err)
 	}
 	member := func(name pabundle.EntryName, zone pabundle.ZoneName, region pabundle.RegionName) pamember.MemberView {
-		return pamember.MemberView{Identity: pamember.Identity{Name: name, Zone: zone, Region: region}, Facts: pamember.Facts{Stamp: 1, Room: 200}}
+		return pamember.MemberView{Identity: pamember.Identity{Name: name, Zone: zone, Region: region}, Load: pamember.LoadReport{Stamp: 1, Headroom: 200}}
 	}
 	view := &pamember.View{Members: []pamember.MemberView{
 		member("entry-1", "centro-a", "centro"), member("entry-2", "centro-b", "centro"), member("entry-3", "norte-a", "norte"),
--- a/palookup/lookup_test.go
+++ b/palookup/lookup_test.go
@@ -34,7 +34,7 @@
 
 func entry(region, zone string, n int) pamember.MemberView {
 	d := pamember.Identity{Name: pabundle.EntryName(fmt.Sprintf("%s-%s-%d", region, zone, n)), Region: pabundle.RegionName(region), Zone: pabundle.ZoneName(region + "-" + zone)}
-	return pamember.MemberView{Identity: d, Facts: pamember.Facts{Stamp: 1, Room: 128}}
+	return pamember.MemberView{Identity: d, Load: pamember.LoadReport{Stamp: 1, Headroom: 128}}
 }
 
 func caller(n int) netip.Addr {
@@ -108,7 +108,7 @@
 func TestCallersFollowSharesAndRooms(t *testing.T) {
 	const callers = 20000
 	small := entry("r0", "b", 0)
-	small.Facts.Room = 64
+	small.Load.Headroom = 64
 	v := view(entry("r0", "a", 0), small, entry("r1", "a", 0))
 	q := Query{Service: "archive", Region: "r0", Shares: []pabundle.Share{{From: "r0", To: "r0", Share: 0.75}, {From: "r0", To: "r1", Share: 0.25}}}
 	var p Planner
@@ -119,7 +119,7 @@
 			t.Errorf("%s has %.3f of the callers, want %.2f", name, got, want)
 		}
 	}
-	v.Members[0].Facts.Room = 134
+	v.Members[0].Load.Headroom = 134
 	after := p.Update(epoch.Add(time.Hour), v)
 	moved := 0
 	for i := range callers {
@@ -201,7 +201,7 @@
 		}
 		seen := history[max(0, len(history)-lag)]
 		for i := range live {
-			live[i].Facts.Room = uint8(255 * min(1, max(0, steep*(1-seen[live[i].Name]))))
+			live[i].Load.Headroom = uint8(255 * min(1, max(0, steep*(1-seen[live[i].Name]))))
 		}
 		now = now.Add(time.Second + skip)
 		plan := p.Update(now, view(live...))
--- a/palookup/plan.go
+++ b/palookup/plan.go
@@ -94,8 +94,8 @@
 // is not sent its full part at once.
 func (p *Planner) follow(m pamember.MemberView, step float64) float64 {
 	aim := unknownWeight
-	if m.Facts.Stamp > 0 {
-		aim = max(float64(m.Facts.Room)/math.MaxUint8, leastWeight)
+	if m.Load.Stamp > 0 {
+		aim = max(float64(m.Load.Headroom)/math.MaxUint8, leastWeight)
 	}
 	old, known := p.weights[m.Name]
 	if !known {
--- a/pamember/beat.go
+++ b/pamember/beat.go
@@ -44,12 +44,12 @@
 }
 
 // hear takes in a value that a peer knows.
-func (f *freshness) hear(now time.Time, g GroupBeat) {
+func (f *freshness) hear(now time.Time, g GroupHeartbeat) {
 	b := f.items[g.Group]
-	if b == nil || g.Beat <= b.value || g.Beat > uint64(MaxIncarnation) {
+	if b == nil || g.Counter <= b.value || g.Counter > uint64(MaxIncarnation) {
 		return
 	}
-	b.value = g.Beat
+	b.value = g.Counter
 	b.advanced = now
 }
 
@@ -57,7 +57,7 @@
 // the death of one with a fast clock, does not make the number stand still.
 func (f *freshness) raise(now time.Time, g uint32) {
 	b := f.items[g]
-	f.hear(now, GroupBeat{Group: g, Beat: max(b.value+1, uint64(now.Unix()))})
+	f.hear(now, GroupHeartbeat{Group: g, Counter: max(b.value+1, uint64(now.Unix()))})
 }
 
 // check moves a beat between lost and found, and reports whether it did and whether it fell silent or was heard again.
@@ -95,11 +95,11 @@
 }
 
 // list returns the values that are known of groups with at most a limit: nearStale for the zones of the own region.
-func (f *freshness) list(limit time.Duration) []GroupBeat {
-	all := make([]GroupBeat, 0, len(f.order))
+func (f *freshness) list(limit time.Duration) []GroupHeartbeat {
+	all := make([]GroupHeartbeat, 0, len(f.order))
 	for _, b := range f.order {
 		if b.value > 0 && b.limit <= limit {
-			all = append(all, GroupBeat{Group: b.group, Beat: b.value})
+			all = append(all, GroupHeartbeat{Group: b.group, Counter: b.value})
 		}
 	}
 	return all[:min(len(all), maxGroups)]
--- a/pamember/check.go
+++ b/pamember/check.go
@@ -12,14 +12,14 @@
 	if err := v.From.check(); err != nil {
 		return trace.Wrap(err, "sender")
 	}
-	if len(v.Subject) > maxNameBytes || len(v.Advert.Digest) > maxNameBytes {
+	if len(v.Subject) > maxNameBytes || len(v.Config.Digest) > maxNameBytes {
 		return trace.BadParameter("message of %s: a name of more than %d bytes", v.From.Name, maxNameBytes)
 	}
 	// A member's record may be put in front of a full message.
-	if len(v.Records) > maxSyncRecords+1 || len(v.Facts) > maxFacts {
-		return trace.BadParameter("message of %s: %d records, %d facts: want at most %d, %d", v.From.Name, len(v.Records), len(v.Facts), maxSyncRecords+1, maxFacts)
+	if len(v.Records) > maxSyncRecords+1 || len(v.LoadReports) > maxFacts {
+		return trace.BadParameter("message of %s: %d records, %d facts: want at most %d, %d", v.From.Name, len(v.Records), len(v.LoadReports), maxSyncRecords+1, maxFacts)
 	}
-	if max(len(v.Beats), len(v.Contacts), len(v.Digests), len(v.Want)) > maxGroups {
+	if max(len(v.Heartbeats), len(v.Contacts), len(v.Digests), len(v.WantedGroups)) > maxGroups {
 		return trace.BadParameter("message of %s: more than %d groups", v.From.Name, maxGroups)
 	}
 	for _, r := range v.Records {
@@ -27,8 +27,8 @@
 			return trace.Wrap(err, "record in a message of %s", v.From.Name)
 		}
 	}
-	for _, f := range v.Facts {
-		if len(f.Name) > maxNameBytes || len(f.Facts.Free) > MaxServices || len(f.Facts.Slots) > MaxServices || len(f.Facts.Waiting) > MaxServices {
+	for _, f := range v.LoadReports {
+		if len(f.Name) > maxNameBytes || len(f.Report.Free) > MaxServices || len(f.Report.Slots) > MaxServices || len(f.Report.Waiting) > MaxServices {
 			return trace.BadParameter("facts in a message of %s: too long", v.From.Name)
 		}
 	}
--- a/pamember/event.go
+++ b/pamember/event.go
@@ -18,25 +18,25 @@
 // Seeds is the platform's VM list, in whole.
 type Seeds struct{ List []Seed }
 
-// SetFacts replaces the member's own facts; the Member sets the stamp.
-type SetFacts struct{ Facts Facts }
+// SetLoadReport replaces the member's own facts; the Member sets the stamp.
+type SetLoadReport struct{ Report LoadReport }
 
-// SetAdvert says which configuration the daemon has in force.
-type SetAdvert struct{ Advert Advert }
+// SetConfigVersion says which configuration the daemon has in force.
+type SetConfigVersion struct{ Config ConfigVersion }
 
 // Leave announces a planned stop; the member keeps answering and is Leaving.
 type Leave struct{}
 
-// Depart ends the membership for good after Leave, when nothing runs any more.
-type Depart struct{}
+// FinishLeave ends the membership for good after Leave, when nothing runs any more.
+type FinishLeave struct{}
 
-func (Tick) event()      {}
-func (Received) event()  {}
-func (Seeds) event()     {}
-func (SetFacts) event()  {}
-func (SetAdvert) event() {}
-func (Leave) event()     {}
-func (Depart) event()    {}
+func (Tick) event()             {}
+func (Received) event()         {}
+func (Seeds) event()            {}
+func (SetLoadReport) event()    {}
+func (SetConfigVersion) event() {}
+func (Leave) event()            {}
+func (FinishLeave) event()      {}
 
 // Change is something that the caller of Step has to know of.
 type Change interface{ change() }
@@ -54,24 +54,24 @@
 // ZoneFound says that a lost zone is back, after a probation.
 type ZoneFound struct{ Zone pabundle.ZoneName }
 
-// Thawed says that the process stood still for Gap: leases, credits and readings from before are void.
-type Thawed struct{ Gap time.Duration }
+// PauseDetected says that the process stood still for Gap: leases, credits and readings from before are void.
+type PauseDetected struct{ Gap time.Duration }
 
 // Refuted says that the member contradicted others who took it for dead or suspected it.
-type Refuted struct{ Said State }
+type Refuted struct{ Claimed State }
 
-// AdvertSeen says that a peer has a configuration with a higher sequence than the one set.
-type AdvertSeen struct {
+// NewerConfigSeen says that a peer has a configuration with a higher sequence than the one set.
+type NewerConfigSeen struct {
 	From   Identity
-	Advert Advert
+	Config ConfigVersion
 }
 
-func (StateChanged) change() {}
-func (ZoneLost) change()     {}
-func (ZoneFound) change()    {}
-func (Thawed) change()       {}
-func (Refuted) change()      {}
-func (AdvertSeen) change()   {}
+func (StateChanged) change()    {}
+func (ZoneLost) change()        {}
+func (ZoneFound) change()       {}
+func (PauseDetected) change()   {}
+func (Refuted) change()         {}
+func (NewerConfigSeen) change() {}
 
 // Output is what a Step decided.
 type Output struct {
--- a/pamember/failure_test.go
+++ b/pamember/failure_test.go
@@ -45,7 +45,7 @@
 	f.Run(20 * time.Second)
 	thawed := 0
 	for _, c := range n.Changes {
-		if g, ok := c.(pamember.Thawed); ok && g.Gap > 9*time.Second {
+		if g, ok := c.(pamember.PauseDetected); ok && g.Gap > 9*time.Second {
 			thawed++
 		}
 	}
@@ -89,7 +89,7 @@
 	f.Run(10 * time.Second)
 	n := f.Nodes[0]
 	f.Do(n, pamember.Leave{})
-	f.Do(n, pamember.Depart{})
+	f.Do(n, pamember.FinishLeave{})
 	own := n.Self()
 	own.State, own.Incarnation = pamember.Dead, own.Incarnation+5
 	out := n.Step(f.Now, pamember.Received{Message: pamember.Message{Kind: pamember.Ping, From: f.Nodes[1].Self(), Records: []pamember.Record{own}}})
--- a/pamember/fuzz_test.go
+++ b/pamember/fuzz_test.go
@@ -144,7 +144,7 @@
 				n := w.pick(t, running)
 				w.fleet.Do(n, pamember.Leave{})
 				w.fleet.Run(2 * time.Second)
-				w.fleet.Do(n, pamember.Depart{})
+				w.fleet.Do(n, pamember.FinishLeave{})
 				w.left[n.Identity.Name] = n.Self().Incarnation
 				n.Down = true
 			},
@@ -163,8 +163,8 @@
 	for k := pamember.Ping; k <= pamember.SyncRecords; k++ {
 		from := pamember.Record{Identity: fleet.Nodes[1].Identity}
 		m := pamember.Message{
-			Kind: k, Nonce: 1, From: from, Subject: "x", Records: []pamember.Record{from}, Want: []uint32{1},
-			Beats: []pamember.GroupBeat{{Group: 1, Beat: 2}}, Digests: []pamember.GroupDigest{{Group: 1, Digest: 2}}, More: true,
+			Kind: k, Nonce: 1, From: from, Subject: "x", Records: []pamember.Record{from}, WantedGroups: []uint32{1},
+			Heartbeats: []pamember.GroupHeartbeat{{Group: 1, Counter: 2}}, Digests: []pamember.GroupDigest{{Group: 1, Digest: 2}}, Truncated: true,
 		}
 		b, err := proto.Marshal(pamember.ToWire([]pamember.Message{m}))
 		if err != nil {
--- a/pamember/gossip.go
+++ b/pamember/gossip.go
@@ -7,28 +7,28 @@
 
 // message returns a message with the news that travel on all of them.
 func (m *Member) message(k Kind, nonce uint64) Message {
-	v := Message{Kind: k, Nonce: nonce, From: m.self, Advert: Advert{Sequence: m.advert.Sequence}}
-	v.Beats = m.zones.list(nearStale)
+	v := Message{Kind: k, Nonce: nonce, From: m.self, Config: ConfigVersion{Sequence: m.advert.Sequence}}
+	v.Heartbeats = m.zones.list(nearStale)
 	m.near.take(maxRumours, func(e *entry) { v.Records = append(v.Records, e.record) })
 	m.facts.take(maxFacts, func(e *entry) {
-		v.Facts = append(v.Facts, MemberFacts{Name: e.record.Name, Facts: e.facts})
+		v.LoadReports = append(v.LoadReports, MemberLoadReport{Name: e.record.Name, Report: e.facts})
 	})
 	return v
 }
 
 // gossipMessage returns a Gossip with the rumours of a queue; nil stands for none, for seeds that may not exist.
 func (m *Member) gossipMessage(q *queue) Message {
-	v := Message{Kind: Gossip, From: m.self, Advert: m.advert, Root: m.digests.root}
+	v := Message{Kind: Gossip, From: m.self, Config: m.advert, Root: m.digests.root}
 	if q == &m.near {
 		v = m.message(Gossip, 0)
-		v.Root, v.Advert = m.digests.root, m.advert
+		v.Root, v.Config = m.digests.root, m.advert
 	}
 	if q == &m.far {
 		q.take(maxRumours, func(e *entry) { v.Records = append(v.Records, e.record) })
 	}
 	// Beats of other regions make up most of a gossip at 83 zones, and stand for 15 s: every second one is enough.
 	if q != &m.near || m.random.IntN(2) == 0 {
-		v.Beats, v.Contacts = m.zones.list(farStale), m.contacts.list(contactStale)
+		v.Heartbeats, v.Contacts = m.zones.list(farStale), m.contacts.list(contactStale)
 	}
 	return v
 }
@@ -120,10 +120,10 @@
 // hearFrom takes in what a message says beside its kind.
 func (m *Member) hearFrom(now time.Time, e *entry, v Message, out *Output) {
 	e.heard = now
-	for _, f := range v.Facts {
+	for _, f := range v.LoadReports {
 		m.mergeFacts(f)
 	}
-	for _, b := range v.Beats {
+	for _, b := range v.Heartbeats {
 		m.zones.hear(now, b)
 	}
 	if e.record.Region == m.self.Region {
@@ -133,8 +133,8 @@
 	} else if m.contacts.items[group(string(e.record.Region))] != nil {
 		m.contacts.raise(now, group(string(e.record.Region)))
 	}
-	if v.Advert.Sequence > m.advert.Sequence {
-		out.changed(AdvertSeen{From: v.From.Identity, Advert: v.Advert})
+	if v.Config.Sequence > m.advert.Sequence {
+		out.changed(NewerConfigSeen{From: v.From.Identity, Config: v.Config})
 	}
 }
 
@@ -188,7 +188,7 @@
 	m.digests.replace(old, r)
 	e.record = r
 	if r.Incarnation > old.Incarnation {
-		e.suspicion, e.facts, e.heard = nil, Facts{}, time.Time{}
+		e.suspicion, e.facts, e.heard = nil, LoadReport{}, time.Time{}
 		e.zone = m.followZone(now, r.Identity)
 	}
 	if r.State == Suspected && e.suspicion == nil {
@@ -216,16 +216,16 @@
 	own := m.self
 	own.Incarnation = r.Incarnation + 1
 	m.setSelf(now, own, out)
-	out.changed(Refuted{Said: r.State})
+	out.changed(Refuted{Claimed: r.State})
 }
 
 // mergeFacts takes in the facts of a member of the own region.
-func (m *Member) mergeFacts(f MemberFacts) {
+func (m *Member) mergeFacts(f MemberLoadReport) {
 	e := m.entries[f.Name]
-	if e == nil || f.Name == m.self.Name || e.record.Region != m.self.Region || !f.Facts.Newer(e.facts) {
+	if e == nil || f.Name == m.self.Name || e.record.Region != m.self.Region || !f.Report.Newer(e.facts) {
 		return
 	}
-	e.facts = f.Facts
+	e.facts = f.Report
 	m.facts.add(e, factSends)
 	m.factsVersion++
 }
--- a/pamember/index.go
+++ b/pamember/index.go
@@ -74,10 +74,10 @@
 // isRelay reports whether this daemon is one of the few of its region that talk to other regions: those with the
 // highest rendezvous hash, so that all agree without asking and a loss moves one place only.
 func (m *Member) isRelay() bool {
-	own := Score(string(m.self.Region), m.self.Name)
+	own := RendezvousScore(string(m.self.Region), m.self.Name)
 	above := 0
 	for _, e := range m.index.region {
-		if e.record.State <= Suspected && Score(string(m.self.Region), e.record.Name) > own {
+		if e.record.State <= Suspected && RendezvousScore(string(m.self.Region), e.record.Name) > own {
 			above++
 		}
 	}
--- a/pamember/member.go
+++ b/pamember/member.go
@@ -106,7 +106,7 @@
 	zones    freshness
 	contacts freshness
 	digests  digestTree
-	advert   Advert
+	advert   ConfigVersion
 	probes   probes
 	seeds    []Seed
 	heard    time.Time
@@ -130,7 +130,7 @@
 // entry is what is known of one member.
 type entry struct {
 	record Record
-	facts  Facts
+	facts  LoadReport
 	since  time.Time
 	// heard is when a message of this incarnation came last.
 	heard     time.Time
@@ -180,15 +180,15 @@
 		m.receive(now, v.Message, &out)
 	case Seeds:
 		m.seeds = v.List
-	case SetFacts:
-		m.setFacts(v.Facts)
-	case SetAdvert:
-		if v.Advert.Sequence >= m.advert.Sequence {
-			m.advert = v.Advert
+	case SetLoadReport:
+		m.setFacts(v.Report)
+	case SetConfigVersion:
+		if v.Config.Sequence >= m.advert.Sequence {
+			m.advert = v.Config
 		}
 	case Leave:
 		m.leave(now, Leaving, &out)
-	case Depart:
+	case FinishLeave:
 		m.leave(now, Left, &out)
 	}
 	return out
@@ -214,7 +214,7 @@
 	}
 	m.zones.shift(now)
 	m.contacts.shift(now)
-	out.changed(Thawed{Gap: gap})
+	out.changed(PauseDetected{Gap: gap})
 }
 
 func (m *Member) tick(now time.Time, out *Output) {
@@ -255,10 +255,10 @@
 	return true
 }
 
-func (m *Member) setFacts(f Facts) {
+func (m *Member) setFacts(f LoadReport) {
 	e := m.entries[m.self.Name]
 	f.Stamp = e.facts.Stamp
-	if f.Sequence == e.facts.Sequence && f.Room == e.facts.Room && slices.Equal(f.Free, e.facts.Free) &&
+	if f.Sequence == e.facts.Sequence && f.Headroom == e.facts.Headroom && slices.Equal(f.Free, e.facts.Free) &&
 		slices.Equal(f.Slots, e.facts.Slots) && slices.Equal(f.Waiting, e.facts.Waiting) && f.Stamp > 0 {
 		return
 	}
--- a/pamember/message.go
+++ b/pamember/message.go
@@ -40,10 +40,10 @@
 	maxNameBytes    = 128
 )
 
-// GroupBeat is the beat of a zone, or of the direct contact with a region, by the hash of its name.
-type GroupBeat struct {
-	Group uint32
-	Beat  uint64
+// GroupHeartbeat is the beat of a zone, or of the direct contact with a region, by the hash of its name.
+type GroupHeartbeat struct {
+	Group   uint32
+	Counter uint64
 }
 
 // GroupDigest is the digest of the records of a zone or region, by the hash of its name.
@@ -61,19 +61,19 @@
 	// Subject and SubjectAddress are the member that a PingRequest and its answers are about.
 	Subject        pabundle.EntryName
 	SubjectAddress netip.AddrPort
-	Advert         Advert
+	Config         ConfigVersion
 	Records        []Record
-	Facts          []MemberFacts
-	// Beats are of zones, Contacts of regions in direct contact with the sender's region.
-	Beats, Contacts []GroupBeat
+	LoadReports    []MemberLoadReport
+	// Heartbeats are of zones, Contacts of regions in direct contact with the sender's region.
+	Heartbeats, Contacts []GroupHeartbeat
 	// Root is the digest of all records.
 	Root uint64
 	// Digests are of regions in a GossipReply and of zones in SyncZones, whose Want then lists the regions compared.
 	Digests []GroupDigest
-	// Want lists groups by hash: zones whose records the sender of SyncRecords asks for.
-	Want []uint32
-	// More says that a SyncRecords message did not hold everything.
-	More bool
+	// WantedGroups lists groups by hash: zones whose records the sender of SyncRecords asks for.
+	WantedGroups []uint32
+	// Truncated says that a SyncRecords message did not hold everything.
+	Truncated bool
 }
 
 // Envelope is a message and where to send it.
--- a/pamember/record.go
+++ b/pamember/record.go
@@ -82,14 +82,14 @@
 // MaxServices bounds the services that Facts speak of.
 const MaxServices = 32
 
-// Facts are the small changing numbers of a member; they travel within its region and the newest Stamp wins.
-type Facts struct {
+// LoadReport are the small changing numbers of a member; they travel within its region and the newest Stamp wins.
+type LoadReport struct {
 	// Stamp orders a member's facts, also over its restarts: it begins at the incarnation. 0 stands for no facts.
 	Stamp uint64
 	// Sequence is the roll-out that the member has in force.
 	Sequence pabundle.Sequence
-	// Room is how much more the entry VM itself can take, 0 (nothing) to 255 (idle).
-	Room uint8
+	// Headroom is how much more the entry VM itself can take, 0 (nothing) to 255 (idle).
+	Headroom uint8
 	// Free is the number of free slots, by the order of the services in the bundle of Sequence; 255 means that or more.
 	Free []uint8
 	// Slots is the number of usable slots and Waiting that of queued requests, in the same order; 255 means that or more.
@@ -97,16 +97,16 @@
 }
 
 // Newer reports whether f is later than o.
-func (f Facts) Newer(o Facts) bool { return f.Stamp > o.Stamp }
+func (f LoadReport) Newer(o LoadReport) bool { return f.Stamp > o.Stamp }
 
-// MemberFacts are the facts of one member.
-type MemberFacts struct {
-	Name  pabundle.EntryName
-	Facts Facts
+// MemberLoadReport are the facts of one member.
+type MemberLoadReport struct {
+	Name   pabundle.EntryName
+	Report LoadReport
 }
 
-// Advert is the configuration that a daemon has in force, for others to notice that theirs is older.
-type Advert struct {
+// ConfigVersion is the configuration that a daemon has in force, for others to notice that theirs is older.
+type ConfigVersion struct {
 	Sequence pabundle.Sequence
 	Digest   pabundle.Digest
 }
--- a/pamember/snapshot.go
+++ b/pamember/snapshot.go
@@ -17,10 +17,10 @@
 	v := &View{Version: m.version + m.factsVersion, Self: m.self.Identity, Members: make([]MemberView, 0, len(m.index.all))}
 	for _, e := range m.index.all {
 		v.Members = append(v.Members, MemberView{
-			Identity: e.record.Identity,
-			State:    m.visible(e),
-			Facts:    e.facts,
-			Direct:   m.direct(e),
+			Identity:      e.record.Identity,
+			State:         m.visible(e),
+			Load:          e.facts,
+			DirectContact: m.direct(e),
 		})
 	}
 	m.view = v
--- a/pamember/sync.go
+++ b/pamember/sync.go
@@ -127,16 +127,16 @@
 		m.random.Shuffle(len(regions), func(i, j int) { regions[i], regions[j] = regions[j], regions[i] })
 		regions = regions[:atOnce]
 	}
-	q := Message{Kind: SyncZones, From: m.self, Advert: m.advert, Root: m.digests.root, Want: regions, Digests: m.digests.zoneList(regions)}
+	q := Message{Kind: SyncZones, From: m.self, Config: m.advert, Root: m.digests.root, WantedGroups: regions, Digests: m.digests.zoneList(regions)}
 	m.send(out, e, q)
 }
 
 // answerSync sends the records of zones that differ, as many as a message holds, and asks for the peer's.
 func (m *Member) answerSync(e *entry, v Message, out *Output) {
-	zones := differing(v.Digests, m.digests.zoneList(v.Want))
-	r := Message{Kind: SyncRecords, From: m.self, Advert: m.advert, Root: m.digests.root, Want: zones}
-	r.Records, r.More = m.recordsOf(zones)
-	if !r.More {
+	zones := differing(v.Digests, m.digests.zoneList(v.WantedGroups))
+	r := Message{Kind: SyncRecords, From: m.self, Config: m.advert, Root: m.digests.root, WantedGroups: zones}
+	r.Records, r.Truncated = m.recordsOf(zones)
+	if !r.Truncated {
 		r.Digests = m.digests.regionList()
 	}
 	m.send(out, e, r)
@@ -162,9 +162,9 @@
 
 // continueSync sends back what was asked for and, while a boot or a healed cut leaves much to fetch, asks on.
 func (m *Member) continueSync(now time.Time, e *entry, v Message, out *Output) {
-	if len(v.Want) > 0 {
-		r := Message{Kind: SyncRecords, From: m.self, Advert: m.advert, Root: m.digests.root}
-		r.Records, _ = m.recordsOf(v.Want)
+	if len(v.WantedGroups) > 0 {
+		r := Message{Kind: SyncRecords, From: m.self, Config: m.advert, Root: m.digests.root}
+		r.Records, _ = m.recordsOf(v.WantedGroups)
 		if len(r.Records) > 0 {
 			m.send(out, e, r)
 		}
@@ -173,7 +173,7 @@
 		return
 	}
 	m.due.chain--
-	if v.More || len(v.Digests) > 0 {
+	if v.Truncated || len(v.Digests) > 0 {
 		m.askZones(e, m.openRegions(v), out)
 	}
 }
--- a/pamember/view.go
+++ b/pamember/view.go
@@ -13,10 +13,10 @@
 type MemberView struct {
 	Identity
 	State State
-	// Facts are set for the members of the own region only.
-	Facts Facts
-	// Direct says that the own region lately heard the member's region (the own one: zone) without a relay between.
-	Direct bool
+	// Load are set for the members of the own region only.
+	Load LoadReport
+	// DirectContact says that the own region lately heard the member's region (the own one: zone) without a relay between.
+	DirectContact bool
 }
 
 // Live reports whether the member owns targets and takes new work.
@@ -61,15 +61,15 @@
 		if !m.Live() || !fits(m) {
 			continue
 		}
-		if s := Score(key, m.Name); best == "" || s > top {
+		if s := RendezvousScore(key, m.Name); best == "" || s > top {
 			best, top = m.Name, s
 		}
 	}
 	return best
 }
 
-// Score is the rendezvous hash of a key for a member: of several members the one with the highest score has the key.
-func Score(key string, name pabundle.EntryName) uint64 {
+// RendezvousScore is the rendezvous hash of a key for a member: of several members the one with the highest score has the key.
+func RendezvousScore(key string, name pabundle.EntryName) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
@@ -86,7 +86,9 @@
 			all = append(all, m)
 		}
 	}
-	slices.SortFunc(all, func(a, b MemberView) int { return cmp.Compare(Score(key, b.Name), Score(key, a.Name)) })
+	slices.SortFunc(all, func(a, b MemberView) int {
+		return cmp.Compare(RendezvousScore(key, b.Name), RendezvousScore(key, a.Name))
+	})
 	return all
 }
 
--- a/pamember/wire.go
+++ b/pamember/wire.go
@@ -41,26 +41,26 @@
 }
 
 func messageToWire(v Message) *pawire.MemberMessage {
-	digest, _ := hex.DecodeString(string(v.Advert.Digest))
+	digest, _ := hex.DecodeString(string(v.Config.Digest))
 	w := &pawire.MemberMessage{
 		Kind: uint32(v.Kind), Nonce: v.Nonce, From: recordToWire(v.From),
 		Subject: string(v.Subject), SubjectAddress: addressToWire(v.SubjectAddress),
-		Sequence: uint64(v.Advert.Sequence), Digest: digest, Root: v.Root, Want: v.Want, More: v.More,
+		Sequence: uint64(v.Config.Sequence), Digest: digest, Root: v.Root, Want: v.WantedGroups, More: v.Truncated,
 	}
 	for _, r := range v.Records {
 		w.Records = append(w.Records, recordToWire(r))
 	}
-	for _, f := range v.Facts {
+	for _, f := range v.LoadReports {
 		w.Facts = append(w.Facts, &pawire.MemberFacts{
-			Name: string(f.Name), Stamp: f.Facts.Stamp,
-			Sequence: uint64(f.Facts.Sequence), Room: uint32(f.Facts.Room), Free: f.Facts.Free,
-			Slots: f.Facts.Slots, Waiting: f.Facts.Waiting,
+			Name: string(f.Name), Stamp: f.Report.Stamp,
+			Sequence: uint64(f.Report.Sequence), Room: uint32(f.Report.Headroom), Free: f.Report.Free,
+			Slots: f.Report.Slots, Waiting: f.Report.Waiting,
 		})
 	}
-	if len(v.Beats) > 0 {
-		w.BeatBase = v.Beats[0].Beat
+	if len(v.Heartbeats) > 0 {
+		w.BeatBase = v.Heartbeats[0].Counter
 	}
-	w.BeatGroups, w.Beats = beatsToWire(v.Beats, w.BeatBase)
+	w.BeatGroups, w.Beats = beatsToWire(v.Heartbeats, w.BeatBase)
 	w.ContactGroups, w.Contacts = beatsToWire(v.Contacts, w.BeatBase)
 	for _, d := range v.Digests {
 		w.DigestGroups = append(w.DigestGroups, d.Group)
@@ -72,8 +72,8 @@
 func messageFromWire(w *pawire.MemberMessage) (Message, error) {
 	v := Message{
 		Kind: Kind(min(w.GetKind(), 255)), Nonce: w.GetNonce(), Subject: pabundle.EntryName(w.GetSubject()),
-		Advert: Advert{Sequence: pabundle.Sequence(w.GetSequence()), Digest: pabundle.Digest(hex.EncodeToString(w.GetDigest()))},
-		Root:   w.GetRoot(), Want: w.GetWant(), More: w.GetMore(),
+		Config: ConfigVersion{Sequence: pabundle.Sequence(w.GetSequence()), Digest: pabundle.Digest(hex.EncodeToString(w.GetDigest()))},
+		Root:   w.GetRoot(), WantedGroups: w.GetWant(), Truncated: w.GetMore(),
 	}
 	var err error
 	if v.From, err = recordFromWire(w.GetFrom()); err != nil {
@@ -90,9 +90,9 @@
 		v.Records = append(v.Records, x)
 	}
 	for _, f := range w.GetFacts() {
-		v.Facts = append(v.Facts, MemberFacts{
-			Name:  pabundle.EntryName(f.GetName()),
-			Facts: Facts{Stamp: f.GetStamp(), Sequence: pabundle.Sequence(f.GetSequence()), Room: uint8(min(f.GetRoom(), 255)), Free: f.GetFree(), Slots: f.GetSlots(), Waiting: f.GetWaiting()},
+		v.LoadReports = append(v.LoadReports, MemberLoadReport{
+			Name:   pabundle.EntryName(f.GetName()),
+			Report: LoadReport{Stamp: f.GetStamp(), Sequence: pabundle.Sequence(f.GetSequence()), Headroom: uint8(min(f.GetRoom(), 255)), Free: f.GetFree(), Slots: f.GetSlots(), Waiting: f.GetWaiting()},
 		})
 	}
 	if err := groupsFromWire(w, &v); err != nil {
@@ -103,7 +103,7 @@
 
 func groupsFromWire(w *pawire.MemberMessage, v *Message) error {
 	var err error
-	if v.Beats, err = beatsFromWire(w.GetBeatGroups(), w.GetBeats(), w.GetBeatBase()); err != nil {
+	if v.Heartbeats, err = beatsFromWire(w.GetBeatGroups(), w.GetBeats(), w.GetBeatBase()); err != nil {
 		return trace.Wrap(err)
 	}
 	if v.Contacts, err = beatsFromWire(w.GetContactGroups(), w.GetContacts(), w.GetBeatBase()); err != nil {
@@ -118,21 +118,21 @@
 	return nil
 }
 
-func beatsToWire(all []GroupBeat, base uint64) (groups []uint32, beats []int64) {
+func beatsToWire(all []GroupHeartbeat, base uint64) (groups []uint32, beats []int64) {
 	for _, b := range all {
 		groups = append(groups, b.Group)
-		beats = append(beats, int64(b.Beat-base))
+		beats = append(beats, int64(b.Counter-base))
 	}
 	return groups, beats
 }
 
-func beatsFromWire(groups []uint32, beats []int64, base uint64) ([]GroupBeat, error) {
+func beatsFromWire(groups []uint32, beats []int64, base uint64) ([]GroupHeartbeat, error) {
 	if len(groups) != len(beats) {
 		return nil, trace.BadParameter("%d beats for %d groups", len(beats), len(groups))
 	}
-	var all []GroupBeat
+	var all []GroupHeartbeat
 	for i, g := range groups {
-		all = append(all, GroupBeat{Group: g, Beat: base + uint64(beats[i])})
+		all = append(all, GroupHeartbeat{Group: g, Counter: base + uint64(beats[i])})
 	}
 	return all, nil
 }
--- a/papolicy/daemon.go
+++ b/papolicy/daemon.go
@@ -161,7 +161,7 @@
 	case pacontrol.Send:
 		m := x.Envelope.Message
 		if silent {
-			m.Facts = nil
+			m.LoadReports = nil
 		}
 		d.to(x.Envelope.Address, func(o *daemon) { o.tell(pacontrol.PeerSaid{Message: m}) })
 	case pacontrol.OfferHead:
@@ -277,7 +277,7 @@
 		d.budgets[r] = b
 	}
 	w := d.host.world
-	n := palink.Division{
+	n := palink.LinkShare{
 		Capacity: w.links[direction{d.host.Region, r}].capacity, Reserve: w.deployment.Bundle.Policy.Reserve, Members: d.members,
 	}
 	b.SetRate(w.now, n.Rate())
@@ -299,7 +299,7 @@
 		}
 	}
 	chunk := min(bytes, int64(palink.MaxChunk))
-	wait, ok := b.Pace(w.now, palink.Bytes(chunk))
+	wait, ok := b.PaceChunk(w.now, palink.Bytes(chunk))
 	if !ok {
 		w.after(budgetRetry, func() { h.transmit(to, bytes, then) })
 		return
--- a/paspread/event.go
+++ b/paspread/event.go
@@ -21,41 +21,41 @@
 type Tick struct{}
 
 // Peers replaces the neighbours: the live members of the own region, and, for a relay, some of other regions.
-type Peers struct{ Near, Far []pabundle.EntryName }
+type Peers struct{ SameRegion, OtherRegions []pabundle.EntryName }
 
 // Boot begins the spreading: ask the neighbours, and wait for the highest head.
 type Boot struct{}
 
-// Found is a head read from the store.
-type Found struct{ Head pabundle.Head }
+// StoreHeadRead is a head read from the store.
+type StoreHeadRead struct{ Head pabundle.Head }
 
-// Seen says that a peer is known to have a sequence in force (pamember.AdvertSeen).
-type Seen struct {
+// NewerSequenceSeen says that a peer is known to have a sequence in force (pamember.AdvertSeen).
+type NewerSequenceSeen struct {
 	Peer     pabundle.EntryName
 	Sequence pabundle.Sequence
 }
 
-// Offered is the head that a peer has in force, from its offer or its answer to ours; a zero Head says that it has none.
-type Offered struct {
+// HeadReceived is the head that a peer has in force, from its offer or its answer to ours; a zero Head says that it has none.
+type HeadReceived struct {
 	Peer pabundle.EntryName
 	Head pabundle.Head
 }
 
-// Fetched is the answer to a Fetch.
-type Fetched struct {
+// FetchResult is the answer to a Fetch.
+type FetchResult struct {
 	From   Source
 	Digest pabundle.Digest
 	// Data is nil if the source does not have the piece, or did not answer.
 	Data []byte
 }
 
-func (Tick) event()    {}
-func (Peers) event()   {}
-func (Boot) event()    {}
-func (Found) event()   {}
-func (Seen) event()    {}
-func (Offered) event() {}
-func (Fetched) event() {}
+func (Tick) event()              {}
+func (Peers) event()             {}
+func (Boot) event()              {}
+func (StoreHeadRead) event()     {}
+func (NewerSequenceSeen) event() {}
+func (HeadReceived) event()      {}
+func (FetchResult) event()       {}
 
 // Command is something that the caller of Step has to do.
 type Command interface{ command() }
--- a/paspread/spread.go
+++ b/paspread/spread.go
@@ -51,8 +51,8 @@
 	Children func(root bool, piece []byte) ([]pabundle.Digest, error)
 }
 
-// Spread is the configuration of one daemon. It is not safe for concurrent use.
-type Spread struct {
+// Replicator is the configuration of one daemon. It is not safe for concurrent use.
+type Replicator struct {
 	config Config
 	// head is in force; wanted is higher and being fetched.
 	head, wanted pabundle.Head
@@ -79,15 +79,15 @@
 }
 
 // New returns a Spread with no configuration.
-func New(c Config) (*Spread, error) {
+func New(c Config) (*Replicator, error) {
 	if c.Random == nil || c.Children == nil {
 		return nil, trace.BadParameter("spread of %q: needs a random source and a reader of pieces", c.Deployment)
 	}
-	return &Spread{config: c, pieces: map[pabundle.Digest][]byte{}, fetches: map[pabundle.Digest]*fetch{}}, nil
+	return &Replicator{config: c, pieces: map[pabundle.Digest][]byte{}, fetches: map[pabundle.Digest]*fetch{}}, nil
 }
 
 // Step takes one event at a time now and returns what to do.
-func (s *Spread) Step(now time.Time, v Event) []Command {
+func (s *Replicator) Step(now time.Time, v Event) []Command {
 	var out []Command
 	switch v := v.(type) {
 	case Peers:
@@ -97,14 +97,14 @@
 		}
 	case Boot:
 		s.startBoot(now, &out)
-	case Found:
+	case StoreHeadRead:
 		s.hear(Source{Store: true}, v.Head, &out)
-	case Seen:
+	case NewerSequenceSeen:
 		s.see(now, v, &out)
-	case Offered:
+	case HeadReceived:
 		s.boot.open = slices.DeleteFunc(s.boot.open, func(n pabundle.EntryName) bool { return n == v.Peer })
 		s.hear(Source{Peer: v.Peer}, v.Head, &out)
-	case Fetched:
+	case FetchResult:
 		s.take(now, v, &out)
 	case Tick:
 		s.askAnyway(now, &out)
@@ -113,8 +113,8 @@
 	return out
 }
 
-func (s *Spread) startBoot(now time.Time, out *[]Command) {
-	all := slices.Concat(s.peers.Near, s.peers.Far)
+func (s *Replicator) startBoot(now time.Time, out *[]Command) {
+	all := slices.Concat(s.peers.SameRegion, s.peers.OtherRegions)
 	s.config.Random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	all = all[:min(len(all), bootPeers)]
 	s.boot = boot{running: true, asked: len(all) > 0, begun: now, open: all}
@@ -132,7 +132,7 @@
 }
 
 // see asks a peer that is ahead for its head, unless a head as high is being fetched already.
-func (s *Spread) see(now time.Time, v Seen, out *[]Command) {
+func (s *Replicator) see(now time.Time, v NewerSequenceSeen, out *[]Command) {
 	if v.Sequence <= max(s.head.Sequence, s.wanted.Sequence) || now.Before(s.askAt) {
 		return
 	}
@@ -141,18 +141,18 @@
 }
 
 // askAnyway compares heads with a random neighbour now and then.
-func (s *Spread) askAnyway(now time.Time, out *[]Command) {
-	if now.Before(s.askAt.Add(anyway)) || len(s.peers.Near)+len(s.peers.Far) == 0 {
+func (s *Replicator) askAnyway(now time.Time, out *[]Command) {
+	if now.Before(s.askAt.Add(anyway)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
 		return
 	}
 	s.askAt = now
-	all := slices.Concat(s.peers.Near, s.peers.Far)
+	all := slices.Concat(s.peers.SameRegion, s.peers.OtherRegions)
 	*out = append(*out, Offer{To: all[s.config.Random.IntN(len(all))], Head: s.head})
 }
 
 // hear takes in a head. Only a higher sequence counts, whoever says it: this is what keeps a daemon that was cut off,
 // or a store that was restored from an old copy, from setting anyone back.
-func (s *Spread) hear(from Source, h pabundle.Head, out *[]Command) {
+func (s *Replicator) hear(from Source, h pabundle.Head, out *[]Command) {
 	if h.Sequence == 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // want begins to fetch a head that goes before the one in force, or adds a source of the one wanted.
-func (s *Spread) want(from Source, h pabundle.Head) {
+func (s *Replicator) want(from Source, h pabundle.Head) {
 	switch {
 	case h.Sequence < s.wanted.Sequence:
 	case h.Sequence == s.wanted.Sequence:
@@ -184,7 +184,7 @@
 }
 
 // pull fetches what is missing of the wanted head, or puts it in force if nothing is.
-func (s *Spread) pull(now time.Time, out *[]Command) {
+func (s *Replicator) pull(now time.Time, out *[]Command) {
 	if s.boot.running && s.boot.waits(now, s.wanted) {
 		return
 	}
@@ -209,7 +209,7 @@
 }
 
 // reach takes a piece and all that it names into the walk, as far as they are held.
-func (s *Spread) reach(d pabundle.Digest) {
+func (s *Replicator) reach(d pabundle.Digest) {
 	open := []pabundle.Digest{d}
 	for len(open) > 0 && s.walk.err == nil {
 		d := open[len(open)-1]
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *Spread) held(d pabundle.Digest) ([]byte, bool) {
+func (s *Replicator) held(d pabundle.Digest) ([]byte, bool) {
 	if b, ok := s.pieces[d]; ok {
 		return b, true
 	}
@@ -243,7 +243,7 @@
 }
 
 // fetch keeps some pieces under way, each from a source that was not tried for it yet.
-func (s *Spread) fetch(now time.Time, out *[]Command) {
+func (s *Replicator) fetch(now time.Time, out *[]Command) {
 	for _, d := range s.walk.missing[:min(len(s.walk.missing), fetchesAtOnce)] {
 		f := s.fetches[d]
 		if f == nil {
@@ -267,7 +267,7 @@
 // source returns a source for a piece: a peer that is known to have the head, else the store if the head came from
 // there, else any neighbour, else the store. Peers go first because after the reboot of a region all its daemons have
 // everything to fetch, and the store's reads are for the whole deployment.
-func (s *Spread) source(f *fetch) (Source, bool) {
+func (s *Replicator) source(f *fetch) (Source, bool) {
 	untried := func(c Source) bool { return !slices.Contains(f.tried, c) }
 	peer := func(c Source) bool { return !c.Store && untried(c) }
 	if i := slices.IndexFunc(s.sources, peer); i >= 0 {
@@ -279,10 +279,10 @@
 	}
 	const draws = 4
 	for range draws {
-		if len(s.peers.Near) == 0 {
+		if len(s.peers.SameRegion) == 0 {
 			break
 		}
-		if c := (Source{Peer: s.peers.Near[s.config.Random.IntN(len(s.peers.Near))]}); untried(c) && len(f.tried) < draws {
+		if c := (Source{Peer: s.peers.SameRegion[s.config.Random.IntN(len(s.peers.SameRegion))]}); untried(c) && len(f.tried) < draws {
 			return c, true
 		}
 	}
@@ -290,7 +290,7 @@
 }
 
 // take takes in a piece, or moves on to another source.
-func (s *Spread) take(now time.Time, v Fetched, out *[]Command) {
+func (s *Replicator) take(now time.Time, v FetchResult, out *[]Command) {
 	f := s.fetches[v.Digest]
 	if f == nil {
 		return
@@ -309,7 +309,7 @@
 	f.until = now
 }
 
-func check(v Fetched) Fault {
+func check(v FetchResult) Fault {
 	if v.Data == nil {
 		return 0
 	}
@@ -329,16 +329,16 @@
 }
 
 // adopt puts the wanted head in force and offers it to neighbours.
-func (s *Spread) adopt(out *[]Command) {
+func (s *Replicator) adopt(out *[]Command) {
 	s.head = s.wanted
 	s.previous, s.pieces = s.pieces, s.walk.whole
 	*out = append(*out, Adopted{Head: s.head, Pieces: s.pieces})
-	s.offer(s.peers.Near, eagerNear, out)
-	s.offer(s.peers.Far, eagerFar, out)
+	s.offer(s.peers.SameRegion, eagerNear, out)
+	s.offer(s.peers.OtherRegions, eagerFar, out)
 	s.sources, s.fetches, s.walk = nil, map[pabundle.Digest]*fetch{}, walk{}
 }
 
-func (s *Spread) offer(to []pabundle.EntryName, n int, out *[]Command) {
+func (s *Replicator) offer(to []pabundle.EntryName, n int, out *[]Command) {
 	to = slices.Clone(to)
 	s.config.Random.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
 	for _, p := range to[:min(len(to), n)] {
--- a/paspread/spread_test.go
+++ b/paspread/spread_test.go
@@ -57,7 +57,7 @@
 	return pabundle.Head{Deployment: "d", Sequence: n, Digest: root}, pieces
 }
 
-func newSpread(t interface{ Fatal(...any) }) *paspread.Spread {
+func newSpread(t interface{ Fatal(...any) }) *paspread.Replicator {
 	s, err := paspread.New(paspread.Config{Deployment: "d", Random: rand.New(rand.NewPCG(1, 2)), Children: children})
 	if err != nil {
 		t.Fatal(err)
@@ -66,13 +66,13 @@
 }
 
 // serve answers fetches from the true pieces until there are none, and returns the sequences adopted.
-func serve(s *paspread.Spread, now time.Time, out []paspread.Command, pieces map[pabundle.Digest][]byte) (adopted []pabundle.Sequence) {
+func serve(s *paspread.Replicator, now time.Time, out []paspread.Command, pieces map[pabundle.Digest][]byte) (adopted []pabundle.Sequence) {
 	for len(out) > 0 {
 		c := out[0]
 		out = out[1:]
 		switch c := c.(type) {
 		case paspread.Fetch:
-			out = append(out, s.Step(now, paspread.Fetched{From: c.From, Digest: c.Digest, Data: pieces[c.Digest]})...)
+			out = append(out, s.Step(now, paspread.FetchResult{From: c.From, Digest: c.Digest, Data: pieces[c.Digest]})...)
 		case paspread.Adopted:
 			adopted = append(adopted, c.Head.Sequence)
 		}
@@ -89,15 +89,15 @@
 	for d, p := range oldPieces {
 		pieces[d] = p
 	}
-	s.Step(epoch, paspread.Peers{Near: []pabundle.EntryName{"stale", "fresh"}})
+	s.Step(epoch, paspread.Peers{SameRegion: []pabundle.EntryName{"stale", "fresh"}})
 	var adopted []pabundle.Sequence
 	step := func(after time.Duration, v paspread.Event) {
 		adopted = append(adopted, serve(s, epoch.Add(after), s.Step(epoch.Add(after), v), pieces)...)
 	}
 	step(0, paspread.Boot{})
-	step(10*time.Millisecond, paspread.Offered{Peer: "stale", Head: old})
+	step(10*time.Millisecond, paspread.HeadReceived{Peer: "stale", Head: old})
 	step(200*time.Millisecond, paspread.Tick{})
-	step(300*time.Millisecond, paspread.Offered{Peer: "fresh", Head: high})
+	step(300*time.Millisecond, paspread.HeadReceived{Peer: "fresh", Head: high})
 	if len(adopted) != 1 || adopted[0] != 5 {
 		t.Errorf("adopted %v, want only 5", adopted)
 	}
@@ -119,7 +119,7 @@
 			}
 		}
 		peers := []pabundle.EntryName{"a", "b", "c"}
-		s.Step(now, paspread.Peers{Near: peers})
+		s.Step(now, paspread.Peers{SameRegion: peers})
 		var open []paspread.Fetch
 		highest := pabundle.Sequence(0)
 		take := func(out []paspread.Command) {
@@ -150,8 +150,8 @@
 		}
 		peer := rapid.SampledFrom(peers)
 		t.Repeat(map[string]func(*rapid.T){
-			"offered": func(t *rapid.T) { take(s.Step(now, paspread.Offered{Peer: peer.Draw(t, "peer"), Head: head(t)})) },
-			"found":   func(t *rapid.T) { take(s.Step(now, paspread.Found{Head: head(t)})) },
+			"offered": func(t *rapid.T) { take(s.Step(now, paspread.HeadReceived{Peer: peer.Draw(t, "peer"), Head: head(t)})) },
+			"found":   func(t *rapid.T) { take(s.Step(now, paspread.StoreHeadRead{Head: head(t)})) },
 			"boot":    func(*rapid.T) { take(s.Step(now, paspread.Boot{})) },
 			"tick": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -161,7 +161,7 @@
 				for len(open) > 0 {
 					c := open[0]
 					open = open[1:]
-					take(s.Step(now, paspread.Fetched{From: c.From, Digest: c.Digest, Data: pieces[c.Digest]}))
+					take(s.Step(now, paspread.FetchResult{From: c.From, Digest: c.Digest, Data: pieces[c.Digest]}))
 				}
 			},
 			"answer": func(t *rapid.T) {
@@ -180,7 +180,7 @@
 				case "oversized":
 					data = make([]byte, paspread.MaxPieceBytes+1)
 				}
-				take(s.Step(now, paspread.Fetched{From: c.From, Digest: c.Digest, Data: data}))
+				take(s.Step(now, paspread.FetchResult{From: c.From, Digest: c.Digest, Data: data}))
 			},
 			"": func(t *rapid.T) {
 				if s.Head().Sequence != highest {
@@ -189,7 +189,7 @@
 			},
 		})
 		now = now.Add(10 * time.Second)
-		out := s.Step(now, paspread.Offered{Peer: "a", Head: heads[6]})
+		out := s.Step(now, paspread.HeadReceived{Peer: "a", Head: heads[6]})
 		if got := serve(s, now, out, pieces); len(got) != 1 || got[0] != 6 {
 			t.Fatalf("adopted %v at the end, want 6", got)
 		}
--- a/paspread/watch.go
+++ b/paspread/watch.go
@@ -20,8 +20,8 @@
 	return names
 }
 
-// Watches reports whether the view's own daemon is one that watches the store.
-func Watches(v *pamember.View) bool {
+// IsWatcher reports whether the view's own daemon is one that watches the store.
+func IsWatcher(v *pamember.View) bool {
 	for _, n := range Watchers(v, v.Self.Zone) {
 		if n == v.Self.Name {
 			return true
--- a/paspread/wire.go
+++ b/paspread/wire.go
@@ -29,15 +29,15 @@
 }
 
 // FromWire returns an offer that arrived as an event; it fails if a name is longer than any real one.
-func FromWire(w *pawire.HeadOffer) (Offered, error) {
+func FromWire(w *pawire.HeadOffer) (HeadReceived, error) {
 	const maxName = 256
 	for _, s := range []string{w.GetEntry(), w.GetDeployment(), w.GetDigest(), w.GetPrevious(), w.GetRollId(), w.GetOperator()} {
 		if len(s) > maxName {
-			return Offered{}, trace.BadParameter("head offer with a text of %d bytes: want at most %d", len(s), maxName)
+			return HeadReceived{}, trace.BadParameter("head offer with a text of %d bytes: want at most %d", len(s), maxName)
 		}
 	}
 	if w.GetEntry() == "" {
-		return Offered{}, trace.BadParameter("head offer without a sender")
+		return HeadReceived{}, trace.BadParameter("head offer without a sender")
 	}
 	h := pabundle.Head{
 		Deployment: w.GetDeployment(), Sequence: pabundle.Sequence(w.GetSequence()), Digest: pabundle.Digest(w.GetDigest()),
@@ -45,13 +45,13 @@
 	}
 	start, err := startFromWire(w.GetStart())
 	if err != nil {
-		return Offered{}, err
+		return HeadReceived{}, err
 	}
 	h.Start = start
 	if n := w.GetRolledAtUnixNano(); n != 0 {
 		h.RolledAt = time.Unix(0, n).UTC()
 	}
-	return Offered{Peer: pabundle.EntryName(w.GetEntry()), Head: h}, nil
+	return HeadReceived{Peer: pabundle.EntryName(w.GetEntry()), Head: h}, nil
 }
 
 // maxStart bounds the shares of a head: services times pairs of regions at the size designed for.
