--- a/pamember/gossip.go
+++ b/pamember/gossip.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// message returns a message with the news that travel on all of them.
-func (m *Member) message(k Kind, nonce uint64) Message {
+// newMessage returns a newMessage with the news that travel on all of them.
+func (m *Member) newMessage(k Kind, nonce uint64) Message {
 	v := Message{Kind: k, Nonce: nonce, From: m.self, Config: ConfigVersion{Sequence: m.advert.Sequence}}
-	v.Heartbeats = m.zones.list(nearStale)
-	m.near.take(maxRumours, func(e *entry) { v.Records = append(v.Records, e.record) })
-	m.facts.take(maxFacts, func(e *entry) {
-		v.LoadReports = append(v.LoadReports, MemberLoadReport{Name: e.record.Name, Report: e.facts})
+	v.Heartbeats = m.zoneHeartbeats.counters(localStaleAfter)
+	m.localUpdates.take(maxRumours, func(e *entry) { v.Records = append(v.Records, e.record) })
+	m.reportUpdates.take(maxFacts, func(e *entry) {
+		v.LoadReports = append(v.LoadReports, MemberLoadReport{Name: e.record.Name, Report: e.load})
 	})
 	return v
 }
 
 // gossipMessage returns a Gossip with the rumours of a queue; nil stands for none, for seeds that may not exist.
-func (m *Member) gossipMessage(q *queue) Message {
+func (m *Member) gossipMessage(q *updateQueue) Message {
 	v := Message{Kind: Gossip, From: m.self, Config: m.advert, Root: m.digests.root}
-	if q == &m.near {
-		v = m.message(Gossip, 0)
+	if q == &m.localUpdates {
+		v = m.newMessage(Gossip, 0)
 		v.Root, v.Config = m.digests.root, m.advert
 	}
-	if q == &m.far {
+	if q == &m.remoteUpdates {
 		q.take(maxRumours, func(e *entry) { v.Records = append(v.Records, e.record) })
 	}
 	// Beats of other regions make up most of a gossip at 83 zones, and stand for 15 s: every second one is enough.
-	if q != &m.near || m.random.IntN(2) == 0 {
-		v.Heartbeats, v.Contacts = m.zones.list(farStale), m.contacts.list(contactStale)
+	if q != &m.localUpdates || m.random.IntN(2) == 0 {
+		v.Heartbeats, v.Contacts = m.zoneHeartbeats.counters(remoteStaleAfter), m.contactHeartbeats.counters(contactStaleAfter)
 	}
 	return v
 }
 
-// gossipNear exchanges news with a random member of the region, and asks the zones of the region that have not been
+// gossipLocal exchanges news with a random member of the region, and asks the zones of the region that have not been
 // heard of for a while. Without asking, a run of lost messages makes a zone Unreachable that is well, and its callers
 // and targets move. The fuzzing found it in a region of seven at 5 % loss.
-func (m *Member) gossipNear(now time.Time, out *Output) {
+func (m *Member) gossipLocal(now time.Time, out *Output) {
 	if e := pick(m.random, m.index.region); e != nil {
-		m.send(out, e, m.gossipMessage(&m.near))
+		m.send(out, e, m.gossipMessage(&m.localUpdates))
 	}
-	for _, b := range m.zones.order {
-		if b.limit != nearStale || b.lost || now.Sub(b.advanced) < askAfter {
+	for _, b := range m.zoneHeartbeats.order {
+		if b.staleAfter != localStaleAfter || b.lost || now.Sub(b.advanced) < queryAfter {
 			continue
 		}
 		const asked = 2
@@ -54,23 +54,23 @@
 }
 
 // pickZone returns a random one of the entries of a zone, or nil of none.
-func pickZone(r *rand.Rand, all []*entry, zone *beat) *entry {
+func pickZone(r *rand.Rand, all []*entry, zone *heartbeat) *entry {
 	var some []*entry
 	for _, e := range all {
-		if e.zone == zone {
+		if e.zoneHeartbeat == zone {
 			some = append(some, e)
 		}
 	}
 	return pick(r, some)
 }
 
-// gossipFar exchanges news with another region, if this daemon is a relay.
-func (m *Member) gossipFar(_ time.Time, out *Output) {
+// gossipRemote exchanges news with another region, if this daemon is a relay.
+func (m *Member) gossipRemote(_ time.Time, out *Output) {
 	if !m.index.relay {
 		return
 	}
 	if e := m.pickFar(); e != nil {
-		m.send(out, e, m.gossipMessage(&m.far))
+		m.send(out, e, m.gossipMessage(&m.remoteUpdates))
 	}
 	// After a cut each side has lost the other and would stay so: relays go on trying one silent member a round.
 	// Only relays do, so that a zone of 25 that comes back is met by 78 messages a second and not by 2,000.
@@ -85,7 +85,7 @@
 	if v.Check() != nil || v.From.Name == m.self.Name || m.self.State == Left {
 		return
 	}
-	m.heard = now
+	m.lastHeard = now
 	m.mergeRecord(now, v.From, out)
 	m.syncing = v.Kind == SyncRecords
 	for _, r := range v.Records {
@@ -96,57 +96,57 @@
 	if e == nil || e.record.Incarnation > v.From.Incarnation {
 		return
 	}
-	m.hearFrom(now, e, v, out)
+	m.mergeSenderState(now, e, v, out)
 	switch v.Kind {
 	case Ping:
-		m.send(out, e, m.message(Ack, v.Nonce))
+		m.send(out, e, m.newMessage(Ack, v.Nonce))
 	case Ack:
-		m.answered(now, v.Nonce, out)
+		m.handleAck(now, v.Nonce, out)
 	case Nack:
-		m.helped(v.Nonce)
+		m.handleNack(v.Nonce)
 	case PingRequest:
-		m.pingFor(now, v, out)
+		m.relayPing(now, v, out)
 	case Gossip:
-		m.answerGossip(e, v, out)
+		m.replyGossip(e, v, out)
 	case GossipReply:
 		m.compareRegions(now, e, v, out)
 	case SyncZones:
-		m.answerSync(e, v, out)
+		m.replySync(e, v, out)
 	case SyncRecords:
 		m.continueSync(now, e, v, out)
 	}
 }
 
-// hearFrom takes in what a message says beside its kind.
-func (m *Member) hearFrom(now time.Time, e *entry, v Message, out *Output) {
-	e.heard = now
+// mergeSenderState takes in what a message says beside its kind.
+func (m *Member) mergeSenderState(now time.Time, e *entry, v Message, out *Output) {
+	e.lastHeard = now
 	for _, f := range v.LoadReports {
-		m.mergeFacts(f)
+		m.mergeLoadReport(f)
 	}
 	for _, b := range v.Heartbeats {
-		m.zones.hear(now, b)
+		m.zoneHeartbeats.observe(now, b)
 	}
 	if e.record.Region == m.self.Region {
 		for _, b := range v.Contacts {
-			m.contacts.hear(now, b)
+			m.contactHeartbeats.observe(now, b)
 		}
-	} else if m.contacts.items[group(string(e.record.Region))] != nil {
-		m.contacts.raise(now, group(string(e.record.Region)))
+	} else if m.contactHeartbeats.byGroup[group(string(e.record.Region))] != nil {
+		m.contactHeartbeats.increment(now, group(string(e.record.Region)))
 	}
 	if v.Config.Sequence > m.advert.Sequence {
 		out.changed(NewerConfigSeen{From: v.From.Identity, Config: v.Config})
 	}
 }
 
-func (m *Member) answerGossip(e *entry, v Message, out *Output) {
-	q := &m.near
+func (m *Member) replyGossip(e *entry, v Message, out *Output) {
+	q := &m.localUpdates
 	if e.record.Region != m.self.Region {
-		q = &m.far
+		q = &m.remoteUpdates
 	}
 	r := m.gossipMessage(q)
 	r.Kind = GossipReply
 	if v.Root != m.digests.root {
-		r.Digests = m.digests.regionList()
+		r.Digests = m.digests.regionDigests()
 	}
 	m.send(out, e, r)
 }
@@ -160,36 +160,36 @@
 	e := m.entries[r.Name]
 	switch {
 	case e == nil:
-		m.meet(now, r, out)
+		m.addMember(now, r, out)
 	case r.State == Suspected && r.Incarnation == e.record.Incarnation && e.record.State <= Suspected:
 		m.suspect(now, e, r.Accuser, out)
 	case r.Supersedes(e.record):
-		m.store(now, e, r, out)
+		m.updateRecord(now, e, r, out)
 	}
 }
 
-// meet adds a member that was unknown. One that is gone already is not worth knowing.
-func (m *Member) meet(now time.Time, r Record, out *Output) {
+// addMember adds a member that was unknown. One that is gone already is not worth knowing.
+func (m *Member) addMember(now time.Time, r Record, out *Output) {
 	if r.State.Gone() {
 		return
 	}
-	e := &entry{record: r, since: now, zone: m.followZone(now, r.Identity)}
+	e := &entry{record: r, changedAt: now, zoneHeartbeat: m.trackZone(now, r.Identity)}
 	if r.State == Suspected {
 		e.suspicion = &suspicion{started: now}
 	}
 	m.insert(e)
-	m.spread(e)
+	m.queueUpdate(e)
 	out.changed(StateChanged{Member: r.Identity, Old: r.State, New: r.State})
 }
 
-// store replaces an entry's record by a newer one and spreads it.
-func (m *Member) store(now time.Time, e *entry, r Record, out *Output) {
+// updateRecord replaces an entry's record by a newer one and spreads it.
+func (m *Member) updateRecord(now time.Time, e *entry, r Record, out *Output) {
 	old := e.record
 	m.digests.replace(old, r)
 	e.record = r
 	if r.Incarnation > old.Incarnation {
-		e.suspicion, e.facts, e.heard = nil, LoadReport{}, time.Time{}
-		e.zone = m.followZone(now, r.Identity)
+		e.suspicion, e.load, e.lastHeard = nil, LoadReport{}, time.Time{}
+		e.zoneHeartbeat = m.trackZone(now, r.Identity)
 	}
 	if r.State == Suspected && e.suspicion == nil {
 		e.suspicion = &suspicion{started: now}
@@ -198,9 +198,9 @@
 	if r.State > Suspected || old.State > Suspected || r.Incarnation > old.Incarnation && r.Zone != old.Zone {
 		m.index.dirty = true
 	}
-	m.spread(e)
+	m.queueUpdate(e)
 	if old.State != r.State || old.Incarnation != r.Incarnation {
-		e.since = now
+		e.changedAt = now
 		out.changed(StateChanged{Member: r.Identity, Old: old.State, New: r.State})
 	}
 }
@@ -219,13 +219,13 @@
 	out.changed(Refuted{Claimed: r.State})
 }
 
-// mergeFacts takes in the facts of a member of the own region.
-func (m *Member) mergeFacts(f MemberLoadReport) {
+// mergeLoadReport takes in the facts of a member of the own region.
+func (m *Member) mergeLoadReport(f MemberLoadReport) {
 	e := m.entries[f.Name]
-	if e == nil || f.Name == m.self.Name || e.record.Region != m.self.Region || !f.Report.Newer(e.facts) {
+	if e == nil || f.Name == m.self.Name || e.record.Region != m.self.Region || !f.Report.Newer(e.load) {
 		return
 	}
-	e.facts = f.Report
-	m.facts.add(e, factSends)
-	m.factsVersion++
+	e.load = f.Report
+	m.reportUpdates.add(e, reportSends)
+	m.reportVersion++
 }
--- a/pamember/index.go
+++ b/pamember/index.go
@@ -13,8 +13,8 @@
 	all []*entry
 	// zone and region hold the members to talk to in the own zone and region, but the own one.
 	zone, region []*entry
-	// others holds those of each other region.
-	others []regionEntries
+	// otherRegions holds those of each other region.
+	otherRegions []regionEntries
 	// silent holds the members of zones that nothing is heard of.
 	silent []*entry
 	relay  bool
@@ -33,18 +33,18 @@
 	}
 	x := &m.index
 	x.dirty = false
-	x.zone, x.region, x.others, x.silent = nil, nil, nil, nil
+	x.zone, x.region, x.otherRegions, x.silent = nil, nil, nil, nil
 	far := map[pabundle.RegionName]int{}
 	for _, e := range x.all {
-		m.place(e, far)
+		m.addToIndex(e, far)
 	}
 	m.random.Shuffle(len(x.zone), func(i, j int) { x.zone[i], x.zone[j] = x.zone[j], x.zone[i] })
-	m.random.Shuffle(len(x.others), func(i, j int) { x.others[i], x.others[j] = x.others[j], x.others[i] })
+	m.random.Shuffle(len(x.otherRegions), func(i, j int) { x.otherRegions[i], x.otherRegions[j] = x.otherRegions[j], x.otherRegions[i] })
 	x.relay = m.isRelay()
 }
 
-// place files an entry that is worth talking to under its zone and region.
-func (m *Member) place(e *entry, far map[pabundle.RegionName]int) {
+// addToIndex files an entry that is worth talking to under its zone and region.
+func (m *Member) addToIndex(e *entry, far map[pabundle.RegionName]int) {
 	x := &m.index
 	if e.record.Name == m.self.Name {
 		return
@@ -64,11 +64,11 @@
 	}
 	i, ok := far[e.record.Region]
 	if !ok {
-		i = len(x.others)
+		i = len(x.otherRegions)
 		far[e.record.Region] = i
-		x.others = append(x.others, regionEntries{name: e.record.Region})
+		x.otherRegions = append(x.otherRegions, regionEntries{name: e.record.Region})
 	}
-	x.others[i].entries = append(x.others[i].entries, e)
+	x.otherRegions[i].entries = append(x.otherRegions[i].entries, e)
 }
 
 // isRelay reports whether this daemon is one of the few of its region that talk to other regions: those with the
@@ -81,17 +81,17 @@
 			above++
 		}
 	}
-	return above < relays
+	return above < relaysPerRegion
 }
 
 // pickFar returns a member of another region, the regions taken in turn.
 func (m *Member) pickFar() *entry {
 	x := &m.index
-	if len(x.others) == 0 {
+	if len(x.otherRegions) == 0 {
 		return nil
 	}
-	x.nextOther = (x.nextOther + 1) % len(x.others)
-	return pick(m.random, x.others[x.nextOther].entries)
+	x.nextOther = (x.nextOther + 1) % len(x.otherRegions)
+	return pick(m.random, x.otherRegions[x.nextOther].entries)
 }
 
 // group is the hash by which zones and regions are named in messages.
--- a/pamember/member.go
+++ b/pamember/member.go
@@ -21,38 +21,38 @@
 	Round = time.Second
 	// pingTimeout is a hundred times the delay within a region, and passes over a garbage collection or a busy CPU.
 	pingTimeout = 400 * time.Millisecond
-	// helpTimeout covers the way over a helper, which waits for pingTimeout itself.
-	helpTimeout = 700 * time.Millisecond
-	// suspectMin and suspectMax bound the time to refute: the rumour of a suspicion needs about a second
+	// indirectTimeout covers the way over a helper, which waits for pingTimeout itself.
+	indirectTimeout = 700 * time.Millisecond
+	// minSuspicion and suspectMax bound the time to refute: the rumour of a suspicion needs about a second
 	// to cross a zone and the refutation as much. It begins at the maximum and falls with each further accuser,
 	// so that a single daemon with a bad link can't declare others dead quickly.
-	suspectMin = 2 * time.Second
-	suspectMax = 5 * time.Second
-	// nearStale and farStale are how long a zone's beat may stand still before its members are Unreachable.
+	minSuspicion = 2 * time.Second
+	maxSuspicion = 5 * time.Second
+	// localStaleAfter and farStale are how long a zone's beat may stand still before its members are Unreachable.
 	// A beat within the region comes by every gossip (1 s each); over regions by relays, several rounds apart.
-	nearStale = 5 * time.Second
-	farStale  = 15 * time.Second
-	// askAfter is when a zone of the region is asked for its beat: time for three rounds of two questions until nearStale.
-	askAfter = 2 * time.Second
+	localStaleAfter  = 5 * time.Second
+	remoteStaleAfter = 15 * time.Second
+	// queryAfter is when a zone of the region is asked for its beat: time for three rounds of two questions until nearStale.
+	queryAfter = 2 * time.Second
 	// probation is how long a lost zone's beat has to come steadily before its members are used again. Its own
 	// daemons need the time to find out who of them died meanwhile (some six seconds for the first that restarts in a
 	// zone that lost its power), and it keeps a flapping link from flapping traffic.
 	probation = 10 * time.Second
-	// freezeGap is the time without any step from which the process counts as frozen: seven ticks, and less
+	// pauseThreshold is the time without any step from which the process counts as frozen: seven ticks, and less
 	// than any lease or credit.
-	freezeGap = 1500 * time.Millisecond
-	// syncEvery is the least time between two comparisons of digests; rumours have settled by then.
-	syncEvery = 5 * time.Second
-	// seedEvery is the time between two tries of a seed that is not a live member; it heals splits in which both
+	pauseThreshold = 1500 * time.Millisecond
+	// syncInterval is the least time between two comparisons of digests; rumours have settled by then.
+	syncInterval = 5 * time.Second
+	// seedInterval is the time between two tries of a seed that is not a live member; it heals splits in which both
 	// sides have forgotten each other.
-	seedEvery = 10 * time.Second
-	// factsPerPeer times the region's size is the least time between two of a member's facts: four seconds in a
+	seedInterval = 10 * time.Second
+	// reportIntervalPerPeer times the region's size is the least time between two of a member's facts: four seconds in a
 	// region of 81, in which the facts then cost a daemon some 2 KB a second each way.
-	factsPerPeer = 50 * time.Millisecond
-	// tombstone is how long a Dead or Left record is kept, so that late news of its life is known to be old.
-	tombstone = 10 * time.Minute
-	// forget is how long the members of a lost zone are kept: longer than regions lose each other.
-	forget = time.Hour
+	reportIntervalPerPeer = 50 * time.Millisecond
+	// tombstoneTTL is how long a Dead or Left record is kept, so that late news of its life is known to be old.
+	tombstoneTTL = 10 * time.Minute
+	// lostZoneTTL is how long the members of a lost zone are kept: longer than regions lose each other.
+	lostZoneTTL = time.Hour
 )
 
 // The counts of the protocol.
@@ -62,28 +62,28 @@
 	probeRounds = 2
 	// helpers are asked to ping a silent member.
 	helpers = 3
-	// accusers besides the first that bring the time to refute to its minimum.
-	accusers = 3
-	// relays of a region exchange with other regions; three, so that a rack's loss leaves one.
-	relays = 3
-	// nearSends and farSends are how often a daemon passes a rumour on within the region and, as a relay, to others:
+	// extraAccusers besides the first that bring the time to refute to its minimum.
+	extraAccusers = 3
+	// relaysPerRegion of a region exchange with other regions; three, so that a rack's loss leaves one.
+	relaysPerRegion = 3
+	// localSends and farSends are how often a daemon passes a rumour on within the region and, as a relay, to others:
 	// with some four messages a second to 80 peers, ten sends reach all but one in thousands, and digests find the rest.
-	nearSends = 10
-	farSends  = 4
+	localSends  = 10
+	remoteSends = 4
 	// syncSends is lower: with ten, the records of a boot of 384 daemons went round for 80 s.
 	syncSends = 1
-	// factSends is lower: the next facts come in seconds anyway.
-	factSends = 3
-	// eagerSends is how many peers hear at once of a planned stop.
-	eagerSends = 4
+	// reportSends is lower: the next facts come in seconds anyway.
+	reportSends = 3
+	// leaveSends is how many peers hear at once of a planned stop.
+	leaveSends = 4
 	// maxHealth bounds how far own missing answers slow the own probing.
 	maxHealth = 4
-	// newcomers are members never heard from that are probed beside the one of the round.
-	newcomers = 4
-	// joinTries is how many seeds are asked a second until one answers.
-	joinTries = 2
-	// syncChain bounds how many SyncZones follow each other at once, as after a boot: 64 times 64 records is twice the fleet.
-	syncChain = 64
+	// unheardProbes are members never heard from that are probed beside the one of the round.
+	unheardProbes = 4
+	// joinAttempts is how many seeds are asked a second until one answers.
+	joinAttempts = 2
+	// maxSyncRequests bounds how many SyncZones follow each other at once, as after a boot: 64 times 64 records is twice the fleet.
+	maxSyncRequests = 64
 )
 
 // Config says who a Member is.
@@ -95,48 +95,48 @@
 
 // Member is the membership of one daemon. It is not safe for concurrent use.
 type Member struct {
-	self     Record
-	random   *rand.Rand
-	last     time.Time
-	entries  map[pabundle.EntryName]*entry
-	index    index
-	near     queue
-	far      queue
-	facts    queue
-	zones    freshness
-	contacts freshness
-	digests  digestTree
-	advert   ConfigVersion
-	probes   probes
-	seeds    []Seed
-	heard    time.Time
+	self              Record
+	random            *rand.Rand
+	lastStep          time.Time
+	entries           map[pabundle.EntryName]*entry
+	index             index
+	localUpdates      updateQueue
+	remoteUpdates     updateQueue
+	reportUpdates     updateQueue
+	zoneHeartbeats    heartbeatTracker
+	contactHeartbeats heartbeatTracker
+	digests           digestTree
+	advert            ConfigVersion
+	probes            probes
+	seeds             []Seed
+	lastHeard         time.Time
 	// syncing is set while records of a comparison are taken in.
-	syncing bool
-	due     schedule
+	syncing  bool
+	schedule schedule
 	// version counts changes of who is live, facts those of the facts alone.
-	version, factsVersion uint64
-	view                  *View
-	viewed                time.Time
-	viewedFacts           uint64
+	version, reportVersion uint64
+	view                   *View
+	viewedAt               time.Time
+	viewedReportVersion    uint64
 }
 
 // schedule holds when the repeated actions are due next.
 type schedule struct {
-	probe, gossip, far, beat, seed, sync, sweep, facts time.Time
-	chain                                              int
-	factsChanged                                       bool
+	probe, gossip, remoteGossip, heartbeat, seed, sync, sweep, report time.Time
+	syncRequestsLeft                                                  int
+	reportChanged                                                     bool
 }
 
 // entry is what is known of one member.
 type entry struct {
-	record Record
-	facts  LoadReport
-	since  time.Time
-	// heard is when a message of this incarnation came last.
-	heard     time.Time
+	record    Record
+	load      LoadReport
+	changedAt time.Time
+	// lastHeard is when a message of this incarnation came last.
+	lastHeard time.Time
 	suspicion *suspicion
-	// zone is the beat of the entry's zone, nil for the own entry.
-	zone *beat
+	// zoneHeartbeat is the beat of the entry's zoneHeartbeat, nil for the own entry.
+	zoneHeartbeat *heartbeat
 }
 
 // New returns a Member that knows only itself.
@@ -172,7 +172,7 @@
 // Step takes one event at a time now and returns what to send and what has changed.
 func (m *Member) Step(now time.Time, v Event) Output {
 	var out Output
-	m.thaw(now, &out)
+	m.detectPause(now, &out)
 	switch v := v.(type) {
 	case Tick:
 		m.tick(now, &out)
@@ -181,7 +181,7 @@
 	case Seeds:
 		m.seeds = v.List
 	case SetLoadReport:
-		m.setFacts(v.Report)
+		m.setLoadReport(v.Report)
 	case SetConfigVersion:
 		if v.Config.Sequence >= m.advert.Sequence {
 			m.advert = v.Config
@@ -194,14 +194,14 @@
 	return out
 }
 
-// thaw guards against a process that stood still (stopped, swapped out, its VM moved). When it runs again all its
+// detectPause guards against a process that stood still (stopped, swapped out, its VM moved). When it runs again all its
 // time-outs have passed at once, and without this it would take everyone for dead and spread that. All waiting
 // begins anew, and the caller hears of it, because its leases ran out without its knowing.
-func (m *Member) thaw(now time.Time, out *Output) {
-	gap := now.Sub(m.last)
-	first := m.last.IsZero()
-	m.last = now
-	if first || gap < freezeGap {
+func (m *Member) detectPause(now time.Time, out *Output) {
+	gap := now.Sub(m.lastStep)
+	first := m.lastStep.IsZero()
+	m.lastStep = now
+	if first || gap < pauseThreshold {
 		return
 	}
 	m.probes.pending = nil
@@ -209,35 +209,35 @@
 	m.probes.health = maxHealth
 	for _, e := range m.index.all {
 		if e.suspicion != nil {
-			e.suspicion.started, e.suspicion.unjudged = now, false
+			e.suspicion.started, e.suspicion.undecided = now, false
 		}
 	}
-	m.zones.shift(now)
-	m.contacts.shift(now)
+	m.zoneHeartbeats.restartTimers(now)
+	m.contactHeartbeats.restartTimers(now)
 	out.changed(PauseDetected{Gap: gap})
 }
 
 func (m *Member) tick(now time.Time, out *Output) {
 	m.reindex()
-	m.beat(now, out)
-	m.spreadFacts(now)
+	m.updateHeartbeats(now, out)
+	m.queueLoadReport(now)
 	if m.self.State == Left {
 		return
 	}
 	m.expireProbes(now, out)
 	m.expireSuspicions(now, out)
-	if m.isDue(now, &m.due.probe, m.probes.slowed(Round)) {
+	if m.isDue(now, &m.schedule.probe, m.probes.scaleTimeout(Round)) {
 		m.probeNext(now, out)
 	}
-	if m.isDue(now, &m.due.gossip, Round) {
-		m.gossipNear(now, out)
+	if m.isDue(now, &m.schedule.gossip, Round) {
+		m.gossipLocal(now, out)
 	}
-	if m.isDue(now, &m.due.far, Round) {
-		m.gossipFar(now, out)
+	if m.isDue(now, &m.schedule.remoteGossip, Round) {
+		m.gossipRemote(now, out)
 	}
-	m.join(now, out)
-	if m.isDue(now, &m.due.sweep, seedEvery) {
-		m.sweep(now)
+	m.contactSeeds(now, out)
+	if m.isDue(now, &m.schedule.sweep, seedInterval) {
+		m.removeExpired(now)
 	}
 }
 
@@ -255,34 +255,34 @@
 	return true
 }
 
-func (m *Member) setFacts(f LoadReport) {
+func (m *Member) setLoadReport(f LoadReport) {
 	e := m.entries[m.self.Name]
-	f.Stamp = e.facts.Stamp
-	if f.Sequence == e.facts.Sequence && f.Headroom == e.facts.Headroom && slices.Equal(f.Free, e.facts.Free) &&
-		slices.Equal(f.Slots, e.facts.Slots) && slices.Equal(f.Waiting, e.facts.Waiting) && f.Stamp > 0 {
+	f.Stamp = e.load.Stamp
+	if f.Sequence == e.load.Sequence && f.Headroom == e.load.Headroom && slices.Equal(f.Free, e.load.Free) &&
+		slices.Equal(f.Slots, e.load.Slots) && slices.Equal(f.Waiting, e.load.Waiting) && f.Stamp > 0 {
 		return
 	}
 	f.Free = firstServices(f.Free)
 	f.Slots = firstServices(f.Slots)
 	f.Waiting = firstServices(f.Waiting)
-	e.facts = f
-	m.due.factsChanged = true
+	e.load = f
+	m.schedule.reportChanged = true
 }
 
 func firstServices(all []uint8) []uint8 { return slices.Clone(all[:min(len(all), MaxServices)]) }
 
-// spreadFacts sends out the own facts if they changed, the more seldom the larger the region: each update costs every
+// queueLoadReport sends out the own facts if they changed, the more seldom the larger the region: each update costs every
 // daemon of the region some bytes, and their sum stays the same this way.
-func (m *Member) spreadFacts(now time.Time) {
-	if !m.due.factsChanged || now.Before(m.due.facts) {
+func (m *Member) queueLoadReport(now time.Time) {
+	if !m.schedule.reportChanged || now.Before(m.schedule.report) {
 		return
 	}
 	e := m.entries[m.self.Name]
-	m.due.factsChanged = false
-	m.due.facts = now.Add(max(Round, time.Duration(len(m.index.region))*factsPerPeer))
-	e.facts.Stamp = max(e.facts.Stamp+1, uint64(m.self.Incarnation))
-	m.facts.add(e, factSends)
-	m.factsVersion++
+	m.schedule.reportChanged = false
+	m.schedule.report = now.Add(max(Round, time.Duration(len(m.index.region))*reportIntervalPerPeer))
+	e.load.Stamp = max(e.load.Stamp+1, uint64(m.self.Incarnation))
+	m.reportUpdates.add(e, reportSends)
+	m.reportVersion++
 }
 
 // insert adds an entry to what is known.
@@ -306,13 +306,13 @@
 	r.State = s
 	m.setSelf(now, r, out)
 	m.reindex()
-	for range eagerSends {
+	for range leaveSends {
 		if e := pick(m.random, m.index.region); e != nil {
-			m.send(out, e, m.gossipMessage(&m.near))
+			m.send(out, e, m.gossipMessage(&m.localUpdates))
 		}
 	}
 	if e := m.pickFar(); e != nil {
-		m.send(out, e, m.gossipMessage(&m.far))
+		m.send(out, e, m.gossipMessage(&m.remoteUpdates))
 	}
 }
 
@@ -323,28 +323,28 @@
 	e := m.entries[r.Name]
 	m.digests.replace(old, r)
 	e.record = r
-	e.since = now
-	m.spread(e)
+	e.changedAt = now
+	m.queueUpdate(e)
 	if old.State != r.State {
 		out.changed(StateChanged{Member: r.Identity, Old: old.State, New: r.State})
 	}
 }
 
-// spread lets an entry's news travel. What came by a comparison of digests travels less: there may be much of it, as
+// queueUpdate lets an entry's news travel. What came by a comparison of digests travels less: there may be much of it, as
 // after a boot, and others find it by comparing as well.
-func (m *Member) spread(e *entry) {
-	near, far := nearSends, farSends
+func (m *Member) queueUpdate(e *entry) {
+	near, far := localSends, remoteSends
 	if m.syncing {
 		near, far = syncSends, syncSends
 	}
-	m.near.add(e, near)
-	m.far.add(e, far)
+	m.localUpdates.add(e, near)
+	m.remoteUpdates.add(e, far)
 	m.version++
 }
 
 // usable reports whether an entry is a member to talk to: not gone, and its zone heard of.
 func (m *Member) usable(e *entry) bool {
-	return e != nil && !e.record.State.Gone() && (e.zone == nil || !e.zone.silent())
+	return e != nil && !e.record.State.Gone() && (e.zoneHeartbeat == nil || !e.zoneHeartbeat.silent())
 }
 
 func (m *Member) send(out *Output, e *entry, msg Message) {
@@ -355,21 +355,21 @@
 	out.Send = append(out.Send, Envelope{To: e.record.Name, Address: e.record.PeerAddress, Message: msg})
 }
 
-// sweep drops what is no longer needed: tombstones, and the members of zones lost for long.
-func (m *Member) sweep(now time.Time) {
+// removeExpired drops what is no longer needed: tombstones, and the members of zones lost for long.
+func (m *Member) removeExpired(now time.Time) {
 	kept := m.index.all[:0]
 	for _, e := range m.index.all {
-		old := e.record.State.Gone() && now.Sub(e.since) > tombstone
-		long := e.zone != nil && e.zone.lost && now.Sub(e.zone.since) > forget
+		old := e.record.State.Gone() && now.Sub(e.changedAt) > tombstoneTTL
+		long := e.zoneHeartbeat != nil && e.zoneHeartbeat.lost && now.Sub(e.zoneHeartbeat.lostAt) > lostZoneTTL
 		if e.record.Name == m.self.Name || !old && !long {
 			kept = append(kept, e)
 			continue
 		}
 		delete(m.entries, e.record.Name)
 		m.digests.remove(e.record)
-		m.near.drop(e)
-		m.far.drop(e)
-		m.facts.drop(e)
+		m.localUpdates.drop(e)
+		m.remoteUpdates.drop(e)
+		m.reportUpdates.drop(e)
 		m.index.dirty = true
 		m.version++
 	}
--- a/pamember/probe.go
+++ b/pamember/probe.go
@@ -25,8 +25,8 @@
 	deadline time.Time
 	indirect bool
 	round    int
-	// helped says that a helper reported, also that it got no answer.
-	helped bool
+	// helperReplied says that a helper reported, also that it got no answer.
+	helperReplied bool
 }
 
 // relayedPing is a ping sent on behalf of another daemon.
@@ -40,36 +40,36 @@
 type suspicion struct {
 	started  time.Time
 	accusers []pabundle.EntryName
-	// unjudged says that the time is over, but that this daemon hears nobody and so does not judge.
-	unjudged bool
+	// undecided says that the time is over, but that this daemon hears nobody and so does not judge.
+	undecided bool
 }
 
-// timeToRefute is how long a suspected member has. One that this daemon never heard from gets the minimum: it is known
+// suspicionTimeout is how long a suspected member has. One that this daemon never heard from gets the minimum: it is known
 // from others' records only, as after a zone's restart, when most of those who are suspected are dead.
-func (m *Member) timeToRefute(e *entry) time.Duration {
-	if e.heard.IsZero() {
-		return m.probes.slowed(suspectMin)
+func (m *Member) suspicionTimeout(e *entry) time.Duration {
+	if e.lastHeard.IsZero() {
+		return m.probes.scaleTimeout(minSuspicion)
 	}
-	return m.probes.slowed(e.suspicion.timeout(len(m.index.zone)))
+	return m.probes.scaleTimeout(e.suspicion.timeout(len(m.index.zone)))
 }
 
 // timeout falls from suspectMax to suspectMin with the logarithm of the further accusers.
 func (s *suspicion) timeout(others int) time.Duration {
-	need := min(accusers, others-1)
+	need := min(extraAccusers, others-1)
 	if need < 1 {
-		return suspectMin
+		return minSuspicion
 	}
 	further := float64(min(len(s.accusers)-1, need))
 	part := math.Log(further+1) / math.Log(float64(need)+1)
-	return suspectMax - time.Duration(part*float64(suspectMax-suspectMin))
+	return maxSuspicion - time.Duration(part*float64(maxSuspicion-minSuspicion))
 }
 
-func (p *probes) slowed(d time.Duration) time.Duration { return d * time.Duration(1+p.health) }
+func (p *probes) scaleTimeout(d time.Duration) time.Duration { return d * time.Duration(1+p.health) }
 
-func (p *probes) ail()  { p.health = min(p.health+1, maxHealth) }
-func (p *probes) heal() { p.health = max(p.health-1, 0) }
+func (p *probes) degrade() { p.health = min(p.health+1, maxHealth) }
+func (p *probes) improve() { p.health = max(p.health-1, 0) }
 
-func (p *probes) next() uint64 {
+func (p *probes) nextNonce() uint64 {
 	p.nonce++
 	return p.nonce
 }
@@ -85,7 +85,7 @@
 	m.startProbe(now, zone[m.index.nextZone], 1, out)
 	extra := 0
 	for _, e := range zone {
-		if extra < newcomers && e.heard.IsZero() && m.startProbe(now, e, 1, out) {
+		if extra < unheardProbes && e.lastHeard.IsZero() && m.startProbe(now, e, 1, out) {
 			extra++
 		}
 	}
@@ -95,9 +95,9 @@
 	if slices.ContainsFunc(m.probes.pending, func(p *probe) bool { return p.target == e }) {
 		return false
 	}
-	p := &probe{target: e, nonce: m.probes.next(), round: round, deadline: now.Add(m.probes.slowed(pingTimeout))}
+	p := &probe{target: e, nonce: m.probes.nextNonce(), round: round, deadline: now.Add(m.probes.scaleTimeout(pingTimeout))}
 	m.probes.pending = append(m.probes.pending, p)
-	m.send(out, e, m.message(Ping, p.nonce))
+	m.send(out, e, m.newMessage(Ping, p.nonce))
 	return true
 }
 
@@ -119,8 +119,8 @@
 	}
 	m.probes.pending = kept
 	for _, p := range failed {
-		if !p.helped {
-			m.probes.ail()
+		if !p.helperReplied {
+			m.probes.degrade()
 		}
 		if p.round < probeRounds {
 			m.startProbe(now, p.target, p.round+1, out)
@@ -138,7 +138,7 @@
 			kept = append(kept, r)
 			continue
 		}
-		r.to.Message = m.message(Nack, r.origin)
+		r.to.Message = m.newMessage(Nack, r.origin)
 		out.Send = append(out.Send, r.to)
 	}
 	m.probes.relayed = kept
@@ -147,13 +147,13 @@
 // askHelpers pings once more and has some other members do so, which tells a dead member from a bad link to it.
 func (m *Member) askHelpers(now time.Time, p *probe, out *Output) {
 	p.indirect = true
-	p.deadline = now.Add(m.probes.slowed(helpTimeout))
-	m.send(out, p.target, m.message(Ping, p.nonce))
+	p.deadline = now.Add(m.probes.scaleTimeout(indirectTimeout))
+	m.send(out, p.target, m.newMessage(Ping, p.nonce))
 	asked := []*entry{p.target}
 	for range 3 * helpers {
 		// Of two draws the one heard from later: after a rack's loss it is more likely to be there.
 		e := pick(m.random, m.index.region)
-		if o := pick(m.random, m.index.region); e != nil && o.heard.After(e.heard) {
+		if o := pick(m.random, m.index.region); e != nil && o.lastHeard.After(e.lastHeard) {
 			e = o
 		}
 		if len(asked) > helpers || e == nil {
@@ -163,7 +163,7 @@
 			continue
 		}
 		asked = append(asked, e)
-		q := m.message(PingRequest, p.nonce)
+		q := m.newMessage(PingRequest, p.nonce)
 		q.Subject, q.SubjectAddress = p.target.record.Name, p.target.record.PeerAddress
 		m.send(out, e, q)
 	}
@@ -178,7 +178,7 @@
 		e.suspicion = &suspicion{started: now}
 	}
 	s := e.suspicion
-	if slices.Contains(s.accusers, accuser) || len(s.accusers) > accusers {
+	if slices.Contains(s.accusers, accuser) || len(s.accusers) > extraAccusers {
 		return
 	}
 	s.accusers = append(s.accusers, accuser)
@@ -187,10 +187,10 @@
 	}
 	r := e.record
 	r.State, r.Accuser = Suspected, accuser
-	m.store(now, e, r, out)
+	m.updateRecord(now, e, r, out)
 	// Looking for oneself both confirms a death sooner and clears a false suspicion sooner.
-	const lookers = 5
-	if accuser != m.self.Name && e.record.Zone == m.self.Zone && m.random.IntN(max(len(m.index.zone), 1)) < lookers {
+	const confirmers = 5
+	if accuser != m.self.Name && e.record.Zone == m.self.Zone && m.random.IntN(max(len(m.index.zone), 1)) < confirmers {
 		m.startProbe(now, e, 1, out)
 	}
 }
@@ -202,37 +202,37 @@
 func (m *Member) expireSuspicions(now time.Time, out *Output) {
 	for _, e := range m.index.zone {
 		s := e.suspicion
-		if s == nil || now.Sub(s.started) < m.timeToRefute(e) {
+		if s == nil || now.Sub(s.started) < m.suspicionTimeout(e) {
 			continue
 		}
-		if !m.heard.After(s.started) {
-			m.version += s.leaveOpen()
+		if !m.lastHeard.After(s.started) {
+			m.version += s.markUndecided()
 			continue
 		}
 		r := e.record
 		r.State, r.Accuser = Dead, ""
-		m.store(now, e, r, out)
+		m.updateRecord(now, e, r, out)
 	}
 }
 
-// leaveOpen marks a suspicion as unjudged, which shows the member as Unreachable; it returns the changes made.
-func (s *suspicion) leaveOpen() uint64 {
-	if s.unjudged {
+// markUndecided marks a suspicion as unjudged, which shows the member as Unreachable; it returns the changes made.
+func (s *suspicion) markUndecided() uint64 {
+	if s.undecided {
 		return 0
 	}
-	s.unjudged = true
+	s.undecided = true
 	return 1
 }
 
-// answered takes in that a member answered a probe.
-func (m *Member) answered(now time.Time, nonce uint64, out *Output) {
+// handleAck takes in that a member handleAck a probe.
+func (m *Member) handleAck(now time.Time, nonce uint64, out *Output) {
 	for i, p := range m.probes.pending {
 		if p.nonce != nonce {
 			continue
 		}
 		m.probes.pending = slices.Delete(m.probes.pending, i, i+1)
-		m.probes.heal()
-		p.target.heard = now
+		m.probes.improve()
+		p.target.lastHeard = now
 		if p.target.record.State != Suspected {
 			p.target.suspicion = nil
 		}
@@ -241,29 +241,29 @@
 	for i, r := range m.probes.relayed {
 		if r.nonce == nonce {
 			m.probes.relayed = slices.Delete(m.probes.relayed, i, i+1)
-			r.to.Message = m.message(Ack, r.origin)
+			r.to.Message = m.newMessage(Ack, r.origin)
 			out.Send = append(out.Send, r.to)
 			return
 		}
 	}
 }
 
-// helped takes in that a helper got no answer: the helper is well, and so is the way to it.
-func (m *Member) helped(nonce uint64) {
+// handleNack takes in that a helper got no answer: the helper is well, and so is the way to it.
+func (m *Member) handleNack(nonce uint64) {
 	for _, p := range m.probes.pending {
 		if p.nonce == nonce {
-			p.helped = true
+			p.helperReplied = true
 		}
 	}
 }
 
-// pingFor pings a member on behalf of another.
-func (m *Member) pingFor(now time.Time, v Message, out *Output) {
+// relayPing pings a member on behalf of another.
+func (m *Member) relayPing(now time.Time, v Message, out *Output) {
 	const maxRelayed = 64
 	if len(m.probes.relayed) >= maxRelayed || !v.SubjectAddress.IsValid() {
 		return
 	}
-	r := relayedPing{nonce: m.probes.next(), origin: v.Nonce, deadline: now.Add(pingTimeout), to: Envelope{To: v.From.Name, Address: v.From.PeerAddress}}
+	r := relayedPing{nonce: m.probes.nextNonce(), origin: v.Nonce, deadline: now.Add(pingTimeout), to: Envelope{To: v.From.Name, Address: v.From.PeerAddress}}
 	m.probes.relayed = append(m.probes.relayed, r)
-	out.Send = append(out.Send, Envelope{To: v.Subject, Address: v.SubjectAddress, Message: m.message(Ping, r.nonce)})
+	out.Send = append(out.Send, Envelope{To: v.Subject, Address: v.SubjectAddress, Message: m.newMessage(Ping, r.nonce)})
 }
--- a/pamember/seed.go
+++ b/pamember/seed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// join asks seeds: some a round while no other member is known, then now and then one that is not a live member.
-func (m *Member) join(now time.Time, out *Output) {
-	tries, every := 1, seedEvery
-	if len(m.index.region)+len(m.index.others) == 0 {
-		tries, every = joinTries, Round
+// contactSeeds asks seeds: some a round while no other member is known, then now and then one that is not a live member.
+func (m *Member) contactSeeds(now time.Time, out *Output) {
+	tries, every := 1, seedInterval
+	if len(m.index.region)+len(m.index.otherRegions) == 0 {
+		tries, every = joinAttempts, Round
 	}
-	if len(m.seeds) == 0 || !m.isDue(now, &m.due.seed, every) {
+	if len(m.seeds) == 0 || !m.isDue(now, &m.schedule.seed, every) {
 		return
 	}
 	for range tries {
--- a/pamember/snapshot.go
+++ b/pamember/snapshot.go
@@ -10,44 +10,44 @@
 // change alone show after a Round, because they do all the time and a snapshot copies every member.
 func (m *Member) View(now time.Time) *View {
 	m.reindex()
-	if m.view != nil && m.view.Version == m.version+m.viewedFacts && (m.viewedFacts == m.factsVersion || now.Sub(m.viewed) < Round) {
+	if m.view != nil && m.view.Version == m.version+m.viewedReportVersion && (m.viewedReportVersion == m.reportVersion || now.Sub(m.viewedAt) < Round) {
 		return m.view
 	}
-	m.viewed, m.viewedFacts = now, m.factsVersion
-	v := &View{Version: m.version + m.factsVersion, Self: m.self.Identity, Members: make([]MemberView, 0, len(m.index.all))}
+	m.viewedAt, m.viewedReportVersion = now, m.reportVersion
+	v := &View{Version: m.version + m.reportVersion, Self: m.self.Identity, Members: make([]MemberView, 0, len(m.index.all))}
 	for _, e := range m.index.all {
 		v.Members = append(v.Members, MemberView{
 			Identity:      e.record.Identity,
-			State:         m.visible(e),
-			Load:          e.facts,
-			DirectContact: m.direct(e),
+			State:         m.localState(e),
+			Load:          e.load,
+			DirectContact: m.directContact(e),
 		})
 	}
 	m.view = v
 	return v
 }
 
-// visible returns the state of an entry as the local view shows it.
-func (m *Member) visible(e *entry) State {
+// localState returns the state of an entry as the local view shows it.
+func (m *Member) localState(e *entry) State {
 	s := e.record.State
 	if s.Gone() || e.record.Name == m.self.Name {
 		return s
 	}
-	if e.zone != nil && e.zone.lost {
+	if e.zoneHeartbeat != nil && e.zoneHeartbeat.lost {
 		return Unreachable
 	}
-	if e.suspicion != nil && e.suspicion.unjudged {
+	if e.suspicion != nil && e.suspicion.undecided {
 		return Unreachable
 	}
 	return s
 }
 
-// direct reports whether the own region is in contact with an entry's without a relay between.
-func (m *Member) direct(e *entry) bool {
+// directContact reports whether the own region is in contact with an entry's without a relay between.
+func (m *Member) directContact(e *entry) bool {
 	if e.record.Region == m.self.Region {
-		return e.zone == nil || !e.zone.lost
+		return e.zoneHeartbeat == nil || !e.zoneHeartbeat.lost
 	}
-	return !m.contacts.lost(group(string(e.record.Region)))
+	return !m.contactHeartbeats.lost(group(string(e.record.Region)))
 }
 
 // Self returns the member's own record.
@@ -63,7 +63,7 @@
 	if !m.index.relay {
 		return near, nil
 	}
-	for _, r := range m.index.others {
+	for _, r := range m.index.otherRegions {
 		far = append(far, pick(m.random, r.entries).record.Name)
 	}
 	return near, far
--- a/pamember/sync.go
+++ b/pamember/sync.go
@@ -69,26 +69,26 @@
 	t.zones[r.Zone] = z
 }
 
-func (t *digestTree) regionList() []GroupDigest {
+func (t *digestTree) regionDigests() []GroupDigest {
 	all := make([]GroupDigest, 0, len(t.regions))
 	for n, d := range t.regions {
 		all = append(all, GroupDigest{Group: group(string(n)), Digest: d})
 	}
-	return sorted(all)
+	return sortAndLimit(all)
 }
 
-// zoneList returns the zones of the regions.
-func (t *digestTree) zoneList(regions []uint32) []GroupDigest {
+// zoneDigests returns the zones of the regions.
+func (t *digestTree) zoneDigests(regions []uint32) []GroupDigest {
 	var all []GroupDigest
 	for n, z := range t.zones {
 		if slices.Contains(regions, group(string(z.region))) {
 			all = append(all, GroupDigest{Group: group(string(n)), Digest: z.digest})
 		}
 	}
-	return sorted(all)
+	return sortAndLimit(all)
 }
 
-func sorted(all []GroupDigest) []GroupDigest {
+func sortAndLimit(all []GroupDigest) []GroupDigest {
 	slices.SortFunc(all, func(a, b GroupDigest) int { return cmp.Compare(a.Group, b.Group) })
 	return all[:min(len(all), maxGroups)]
 }
@@ -111,14 +111,14 @@
 
 // compareRegions begins a synchronization if a reply shows that regions differ and the last one is some time ago.
 func (m *Member) compareRegions(now time.Time, e *entry, v Message, out *Output) {
-	if len(v.Digests) == 0 || !m.isDue(now, &m.due.sync, syncEvery) {
+	if len(v.Digests) == 0 || !m.isDue(now, &m.schedule.sync, syncInterval) {
 		return
 	}
-	m.due.chain = syncChain
-	m.askZones(e, differing(v.Digests, m.digests.regionList()), out)
+	m.schedule.syncRequestsLeft = maxSyncRequests
+	m.requestZones(e, differing(v.Digests, m.digests.regionDigests()), out)
 }
 
-func (m *Member) askZones(e *entry, regions []uint32, out *Output) {
+func (m *Member) requestZones(e *entry, regions []uint32, out *Output) {
 	const atOnce = 8
 	if len(regions) == 0 {
 		return
@@ -127,17 +127,17 @@
 		m.random.Shuffle(len(regions), func(i, j int) { regions[i], regions[j] = regions[j], regions[i] })
 		regions = regions[:atOnce]
 	}
-	q := Message{Kind: SyncZones, From: m.self, Config: m.advert, Root: m.digests.root, WantedGroups: regions, Digests: m.digests.zoneList(regions)}
+	q := Message{Kind: SyncZones, From: m.self, Config: m.advert, Root: m.digests.root, WantedGroups: regions, Digests: m.digests.zoneDigests(regions)}
 	m.send(out, e, q)
 }
 
-// answerSync sends the records of zones that differ, as many as a message holds, and asks for the peer's.
-func (m *Member) answerSync(e *entry, v Message, out *Output) {
-	zones := differing(v.Digests, m.digests.zoneList(v.WantedGroups))
+// replySync sends the records of zones that differ, as many as a message holds, and asks for the peer's.
+func (m *Member) replySync(e *entry, v Message, out *Output) {
+	zones := differing(v.Digests, m.digests.zoneDigests(v.WantedGroups))
 	r := Message{Kind: SyncRecords, From: m.self, Config: m.advert, Root: m.digests.root, WantedGroups: zones}
 	r.Records, r.Truncated = m.recordsOf(zones)
 	if !r.Truncated {
-		r.Digests = m.digests.regionList()
+		r.Digests = m.digests.regionDigests()
 	}
 	m.send(out, e, r)
 }
@@ -169,19 +169,19 @@
 			m.send(out, e, r)
 		}
 	}
-	if v.Root == m.digests.root || m.due.chain <= 0 {
+	if v.Root == m.digests.root || m.schedule.syncRequestsLeft <= 0 {
 		return
 	}
-	m.due.chain--
+	m.schedule.syncRequestsLeft--
 	if v.Truncated || len(v.Digests) > 0 {
-		m.askZones(e, m.openRegions(v), out)
+		m.requestZones(e, m.regionsToCompare(v), out)
 	}
 }
 
-// openRegions returns the regions to compare next: those that differ, or the regions of the zones just received.
-func (m *Member) openRegions(v Message) []uint32 {
+// regionsToCompare returns the regions to compare next: those that differ, or the regions of the zones just received.
+func (m *Member) regionsToCompare(v Message) []uint32 {
 	if len(v.Digests) > 0 {
-		return differing(v.Digests, m.digests.regionList())
+		return differing(v.Digests, m.digests.regionDigests())
 	}
 	var open []uint32
 	for _, r := range v.Records {
