--- a/pamember/wire.go
+++ b/pamember/wire.go
@@ -92,7 +92,7 @@
 	}
 	for _, f := range w.GetFacts() {
 		v.LoadReports = append(v.LoadReports, MemberLoadReport{
-			Name:   pabundle.EntryName(f.GetName()),
+			Name: pabundle.EntryName(f.GetName()),
 			Report: LoadReport{
 				Stamp: f.GetStamp(), Sequence: pabundle.Sequence(f.GetSequence()), Headroom: uint8(min(f.GetRoom(), 255)),
 				Free: f.GetFree(), Slots: f.GetSlots(), Waiting: f.GetWaiting(),
--- a/paspread/doc.go
+++ b/paspread/doc.go
@@ -1,13 +1,14 @@
-// Package paspread spreads the configuration in force to every daemon.
+// Package paspread distributes the configuration in force to every daemon.
 //
-// A few daemons of each zone (Watchers) watch the platform's store; the rest hear from neighbours. What spreads is
-// the head, a small record with a sequence that only rises, and then the pieces of the bundle that the head names,
-// each found and checked by its digest: only the pieces that are not held yet are fetched, from whoever is known to
-// have the head. A daemon that has a new head whole offers it to some neighbours at once; whom that misses notices the
-// higher sequence on the next membership message (pamember.AdvertSeen) and asks.
+// A few daemons of each zone (Watchers) watch the platform's store; the others learn of changes from peers. What is
+// distributed is the head, a small record whose sequence only rises, and then the pieces of the bundle that the head
+// names, each identified and verified by its digest. Only missing pieces are fetched, from peers known to have the head
+// or from the store. A daemon that has all pieces of a new head offers it to some peers at once; the others notice the
+// higher sequence in the next membership message (pamember.NewerConfigSeen) and ask for it.
 //
-// A Spread is a pure state machine, like pamember.Member: events in, messages and changes out, no I/O, one goroutine.
+// A Replicator is a pure state machine, like pamember.Member: it takes events, returns commands, does no I/O and is
+// used by one goroutine.
 //
-// A daemon that boots asks several neighbours and waits for their answers before it takes the highest head, so that a
-// stale neighbour that answers first is not believed. From then on the sequence only goes up.
+// A booting daemon asks several peers and waits for their answers before it adopts the highest head, so that a stale
+// peer that answers first is not trusted. From then on the sequence only rises.
 package paspread
--- a/paspread/event.go
+++ b/paspread/event.go
@@ -4,48 +4,49 @@
 	"papayahead/pabundle"
 )
 
-// MaxPieceBytes bounds a piece: the platform's store holds values up to a megabyte.
+// MaxPieceBytes is the largest size of a piece: the platform's store holds values up to a megabyte.
 const MaxPieceBytes = 1 << 20
 
-// Source is where heads and pieces come from: a peer, or the store.
+// Source is the origin of heads and pieces: a peer or the store.
 type Source struct {
 	Peer pabundle.EntryName
 	// Store is set for the platform's store; Peer is empty then.
 	Store bool
 }
 
-// Event is something that a Spread is told.
+// Event is an input of Replicator.Step.
 type Event interface{ event() }
 
-// Tick says that time has passed; it is due every 200 ms.
+// Tick drives the timers; the caller sends one every 200 ms.
 type Tick struct{}
 
-// Peers replaces the neighbours: the live members of the own region, and, for a relay, some of other regions.
+// Peers replaces the peers: the live members of the own region and, on a relay, some of other regions.
 type Peers struct{ SameRegion, OtherRegions []pabundle.EntryName }
 
-// Boot begins the spreading: ask the neighbours, and wait for the highest head.
+// Boot starts the Replicator: it asks peers for their heads and waits for the highest.
 type Boot struct{}
 
 // StoreHeadRead is a head read from the store.
 type StoreHeadRead struct{ Head pabundle.Head }
 
-// NewerSequenceSeen says that a peer is known to have a sequence in force (pamember.AdvertSeen).
+// NewerSequenceSeen says that a peer has a sequence in force (pamember.NewerConfigSeen).
 type NewerSequenceSeen struct {
 	Peer     pabundle.EntryName
 	Sequence pabundle.Sequence
 }
 
-// HeadReceived is the head that a peer has in force, from its offer or its answer to ours; a zero Head says that it has none.
+// HeadReceived is the head that a peer has in force, from its offer or its answer to an Offer. A zero Head means that
+// it has none.
 type HeadReceived struct {
 	Peer pabundle.EntryName
 	Head pabundle.Head
 }
 
-// FetchResult is the answer to a Fetch.
+// FetchResult is the result of a Fetch.
 type FetchResult struct {
 	From   Source
 	Digest pabundle.Digest
-	// Data is nil if the source does not have the piece, or did not answer.
+	// Data is nil if the source does not have the piece or did not answer.
 	Data []byte
 }
 
@@ -57,29 +58,29 @@
 func (HeadReceived) event()      {}
 func (FetchResult) event()       {}
 
-// Command is something that the caller of Step has to do.
+// Command is an action that the caller of Step has to perform.
 type Command interface{ command() }
 
-// Offer sends the own head to a peer; the peer answers with its own, which comes back as Offered.
+// Offer sends the own head to a peer; the head that the peer answers with comes back as HeadReceived.
 type Offer struct {
 	To   pabundle.EntryName
 	Head pabundle.Head
 }
 
-// Fetch asks a source for a piece; the answer, also a failure, comes back as Fetched.
+// Fetch requests a piece from a source; the result, also of a failure, comes back as FetchResult.
 type Fetch struct {
 	From   Source
 	Digest pabundle.Digest
 }
 
-// Adopted says that a higher head is whole: it is in force from now.
+// Adopted says that all pieces of a higher head are there: it is in force from now on.
 type Adopted struct {
 	Head pabundle.Head
-	// Pieces are those of the head's bundle, by digest.
+	// Pieces are the pieces of the head's bundle by digest.
 	Pieces map[pabundle.Digest][]byte
 }
 
-// Rejected says that a source sent something false, and what.
+// Rejected says that a source sent invalid data, and what was wrong with it.
 type Rejected struct {
 	From  Source
 	Fault Fault
@@ -90,20 +91,20 @@
 func (Adopted) command()  {}
 func (Rejected) command() {}
 
-// Fault is what was wrong with something received.
+// Fault says what was wrong with received data.
 type Fault uint8
 
 // The faults.
 const (
-	// CorruptPiece does not have the digest that it was asked by.
+	// CorruptPiece is a piece that does not match the digest it was requested by.
 	CorruptPiece Fault = iota + 1
-	// OversizedPiece is larger than MaxPieceBytes.
+	// OversizedPiece is a piece larger than MaxPieceBytes.
 	OversizedPiece
-	// UnreadablePiece has the right digest but names no pieces where it should.
+	// UnreadablePiece is a piece with the right digest whose list of child pieces can't be decoded.
 	UnreadablePiece
-	// ForeignHead is of another deployment.
+	// ForeignHead is a head of another deployment, or a malformed one.
 	ForeignHead
-	// ConflictingHead has the sequence in force but another digest; compare-and-swap makes that impossible.
+	// ConflictingHead is a head with the sequence in force but another digest; compare-and-swap makes that impossible.
 	ConflictingHead
 )
 
--- a/paspread/spread.go
+++ b/paspread/spread.go
@@ -13,80 +13,83 @@
 	"github.com/gravitational/trace"
 )
 
-// The limits of spreading.
+// The limits of the distribution.
 const (
-	// bootWait is how long a booting daemon waits for the answers of the neighbours it asked; longer than a message
-	// to the furthest region and back, and short against the seconds a boot takes anyway.
+	// bootWait is how long a booting daemon waits for the answers of the peers that it asked: longer than a round trip
+	// to the furthest region, and short against the seconds that a boot takes anyway.
 	bootWait = time.Second
-	// bootAlone is how long a booting daemon waits that has heard of no head. Without it, all daemons of a region that
-	// reboots would read everything from the store, because at first each knows only itself and others without a head.
-	bootAlone = 3 * time.Second
-	// bootPeers are asked at boot; with more than one stale neighbour in a hundred, eight stale ones at once are not seen.
+	// bootWaitNoHead is how long a booting daemon waits if it has heard of no head. Without it, all daemons of a
+	// rebooting region would read everything from the store, because at first each knows only itself and peers without
+	// a head.
+	bootWaitNoHead = 3 * time.Second
+	// bootPeers is how many peers are asked at boot; even with more than one stale peer in a hundred, eight stale ones
+	// at once do not occur.
 	bootPeers = 8
-	// eagerNear and eagerFar are how many neighbours get an offer at once. Three in the region reach some 94 % of it
-	// by themselves and adverts the rest; more would mostly find daemons that have it.
-	eagerNear = 3
-	eagerFar  = 2
-	// fetchesAtOnce bounds the pieces under way, so that a boot does not take a neighbour's link for itself.
-	fetchesAtOnce = 4
-	// fetchWait is when a piece is asked of another source; the answer to the first still counts. A piece of 250 KB and
-	// a round trip between regions take some 50 ms on a narrow link. With a second, the last of 192 daemons had a change
-	// after 10.05 s when a fifth of the calls got lost.
-	fetchWait = 500 * time.Millisecond
-	// retryWait keeps sources that all failed from being asked in a loop.
-	retryWait = 500 * time.Millisecond
-	// maxPieces bounds a bundle, so that a false manifest can't fill the memory.
+	// localOffers and remoteOffers are how many peers get an offer as soon as a head is adopted. Three in the region
+	// reach some 94 % of it by themselves, and the sequence in membership messages the rest; more offers would mostly
+	// reach daemons that already have the head.
+	localOffers  = 3
+	remoteOffers = 2
+	// maxConcurrentFetches bounds the fetches in flight, so that a boot does not saturate a peer's link.
+	maxConcurrentFetches = 4
+	// fetchTimeout is when a piece is requested from another source; a late answer of the first still counts. A piece
+	// of 250 KB and a round trip between regions take some 50 ms on a narrow link. With a timeout of 1 s the last of
+	// 192 daemons had a change only after 10.05 s when a fifth of the calls were lost.
+	fetchTimeout = 500 * time.Millisecond
+	// retryDelay is the pause after all sources of a piece have failed.
+	retryDelay = 500 * time.Millisecond
+	// maxPieces bounds a bundle, so that a forged manifest can't exhaust the memory.
 	maxPieces = 1 << 16
-	// anyway is how often a neighbour is asked without a reason, should adverts not get through.
-	anyway = 30 * time.Second
+	// pollInterval is how often heads are compared with a random peer, in case membership messages don't arrive.
+	pollInterval = 30 * time.Second
 )
 
-// Config says what a Spread belongs to.
+// Config configures a Replicator.
 type Config struct {
 	Deployment string
-	// Random spreads offers and fetches; it belongs to the Spread.
+	// Random chooses the peers for offers and fetches; the Replicator must be its only user.
 	Random *rand.Rand
-	// Children returns the digests of the pieces that a piece names. Root is set for the one that the head's digest
-	// names; pieces without children return none.
+	// Children returns the digests of the pieces that a piece refers to, none for a leaf. Root is set for the piece
+	// that the head's digest names.
 	Children func(root bool, piece []byte) ([]pabundle.Digest, error)
 }
 
-// Replicator is the configuration of one daemon. It is not safe for concurrent use.
+// Replicator holds the configuration of one daemon and fetches newer ones. It is not safe for concurrent use.
 type Replicator struct {
 	config Config
-	// head is in force; wanted is higher and being fetched.
+	// head is in force; wanted has a higher sequence and is being fetched.
 	head, wanted pabundle.Head
 	peers        Peers
 	pieces       map[pabundle.Digest][]byte
-	// previous are the pieces of the head before, kept for neighbours that still fetch it and for a roll-back.
-	previous map[pabundle.Digest][]byte
-	sources  []Source
-	fetches  map[pabundle.Digest]*fetch
-	walk     walk
-	boot     boot
-	askAt    time.Time
+	// previous holds the pieces of the head before, for peers that still fetch it and for a roll-back.
+	previous    map[pabundle.Digest][]byte
+	sources     []Source
+	fetches     map[pabundle.Digest]*fetch
+	traversal   traversal
+	boot        boot
+	nextOfferAt time.Time
 }
 
 type boot struct {
 	running, asked bool
-	begun          time.Time
-	open           []pabundle.EntryName
+	startedAt      time.Time
+	pending        []pabundle.EntryName
 }
 
 type fetch struct {
-	tried []Source
-	until time.Time
+	tried   []Source
+	retryAt time.Time
 }
 
-// New returns a Spread with no configuration.
+// New returns a Replicator without a configuration. It fails if Random or Children is missing.
 func New(c Config) (*Replicator, error) {
 	if c.Random == nil || c.Children == nil {
-		return nil, trace.BadParameter("spread of %q: needs a random source and a reader of pieces", c.Deployment)
+		return nil, trace.BadParameter("replicator of deployment %q: Random and Children must be set", c.Deployment)
 	}
 	return &Replicator{config: c, pieces: map[pabundle.Digest][]byte{}, fetches: map[pabundle.Digest]*fetch{}}, nil
 }
 
-// Step takes one event at a time now and returns what to do.
+// Step applies one event at time now and returns the commands to perform.
 func (s *Replicator) Step(now time.Time, v Event) []Command {
 	var out []Command
 	switch v := v.(type) {
@@ -98,18 +101,18 @@
 	case Boot:
 		s.startBoot(now, &out)
 	case StoreHeadRead:
-		s.hear(Source{Store: true}, v.Head, &out)
+		s.considerHead(Source{Store: true}, v.Head, &out)
 	case NewerSequenceSeen:
-		s.see(now, v, &out)
+		s.requestNewerHead(now, v, &out)
 	case HeadReceived:
-		s.boot.open = slices.DeleteFunc(s.boot.open, func(n pabundle.EntryName) bool { return n == v.Peer })
-		s.hear(Source{Peer: v.Peer}, v.Head, &out)
+		s.boot.pending = slices.DeleteFunc(s.boot.pending, func(n pabundle.EntryName) bool { return n == v.Peer })
+		s.considerHead(Source{Peer: v.Peer}, v.Head, &out)
 	case FetchResult:
-		s.take(now, v, &out)
+		s.storePiece(now, v, &out)
 	case Tick:
-		s.askAnyway(now, &out)
+		s.pollNeighbour(now, &out)
 	}
-	s.pull(now, &out)
+	s.advance(now, &out)
 	return out
 }
 
@@ -117,48 +120,48 @@
 	all := slices.Concat(s.peers.SameRegion, s.peers.OtherRegions)
 	s.config.Random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	all = all[:min(len(all), bootPeers)]
-	s.boot = boot{running: true, asked: len(all) > 0, begun: now, open: all}
+	s.boot = boot{running: true, asked: len(all) > 0, startedAt: now, pending: all}
 	for _, n := range all {
 		*out = append(*out, Offer{To: n, Head: s.head})
 	}
 }
 
-// waits reports whether a boot goes on waiting for answers: for all that were asked, but not for long once a head is known.
+// waits reports whether a boot still waits: for the answers of all peers asked, up to bootWait once a head is known.
 func (b boot) waits(now time.Time, wanted pabundle.Head) bool {
 	if wanted.Sequence == 0 {
-		return now.Before(b.begun.Add(bootAlone))
+		return now.Before(b.startedAt.Add(bootWaitNoHead))
 	}
-	return len(b.open) > 0 && now.Before(b.begun.Add(bootWait))
+	return len(b.pending) > 0 && now.Before(b.startedAt.Add(bootWait))
 }
 
-// see asks a peer that is ahead for its head, unless a head as high is being fetched already.
-func (s *Replicator) see(now time.Time, v NewerSequenceSeen, out *[]Command) {
-	if v.Sequence <= max(s.head.Sequence, s.wanted.Sequence) || now.Before(s.askAt) {
+// requestNewerHead asks a peer with a higher sequence for its head, unless a head at least as high is being fetched.
+func (s *Replicator) requestNewerHead(now time.Time, v NewerSequenceSeen, out *[]Command) {
+	if v.Sequence <= max(s.head.Sequence, s.wanted.Sequence) || now.Before(s.nextOfferAt) {
 		return
 	}
-	s.askAt = now.Add(100 * time.Millisecond)
+	s.nextOfferAt = now.Add(100 * time.Millisecond)
 	*out = append(*out, Offer{To: v.Peer, Head: s.head})
 }
 
-// askAnyway compares heads with a random neighbour now and then.
-func (s *Replicator) askAnyway(now time.Time, out *[]Command) {
-	if now.Before(s.askAt.Add(anyway)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
+// pollNeighbour compares heads with a random peer every pollInterval.
+func (s *Replicator) pollNeighbour(now time.Time, out *[]Command) {
+	if now.Before(s.nextOfferAt.Add(pollInterval)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
 		return
 	}
-	s.askAt = now
+	s.nextOfferAt = now
 	all := slices.Concat(s.peers.SameRegion, s.peers.OtherRegions)
 	*out = append(*out, Offer{To: all[s.config.Random.IntN(len(all))], Head: s.head})
 }
 
-// hear takes in a head. Only a higher sequence counts, whoever says it: this is what keeps a daemon that was cut off,
-// or a store that was restored from an old copy, from setting anyone back.
-func (s *Replicator) hear(from Source, h pabundle.Head, out *[]Command) {
+// considerHead handles a head from a peer or the store. Only a higher sequence is accepted, whatever its source: a
+// daemon that was partitioned, or a store restored from an old backup, can't roll anyone back.
+func (s *Replicator) considerHead(from Source, h pabundle.Head, out *[]Command) {
 	if h.Sequence == 0 {
 		return
 	}
 	switch paroll.Accept(s.head, h, s.config.Deployment) {
 	case paroll.Take:
-		s.want(from, h)
+		s.fetchHead(from, h)
 	case paroll.Foreign, paroll.Malformed:
 		*out = append(*out, Rejected{From: from, Fault: ForeignHead})
 	case paroll.Fork:
@@ -166,8 +169,8 @@
 	}
 }
 
-// want begins to fetch a head that goes before the one in force, or adds a source of the one wanted.
-func (s *Replicator) want(from Source, h pabundle.Head) {
+// fetchHead starts fetching a head that is newer than the wanted one, or adds a source of the wanted one.
+func (s *Replicator) fetchHead(from Source, h pabundle.Head) {
 	switch {
 	case h.Sequence < s.wanted.Sequence:
 	case h.Sequence == s.wanted.Sequence:
@@ -178,58 +181,58 @@
 		s.wanted = h
 		s.sources = []Source{from}
 		s.fetches = map[pabundle.Digest]*fetch{}
-		s.walk = walk{whole: map[pabundle.Digest][]byte{}}
-		s.reach(h.Digest)
+		s.traversal = traversal{held: map[pabundle.Digest][]byte{}}
+		s.visit(h.Digest)
 	}
 }
 
-// pull fetches what is missing of the wanted head, or puts it in force if nothing is.
-func (s *Replicator) pull(now time.Time, out *[]Command) {
+// advance fetches missing pieces of the wanted head, or puts it in force if none is missing.
+func (s *Replicator) advance(now time.Time, out *[]Command) {
 	if s.boot.running && s.boot.waits(now, s.wanted) {
 		return
 	}
 	s.boot.running = false
 	switch {
 	case s.wanted.Sequence <= s.head.Sequence:
-	case s.walk.err != nil:
+	case s.traversal.err != nil:
 		*out = append(*out, Rejected{From: s.sources[0], Fault: UnreadablePiece})
 		s.wanted, s.sources = s.head, nil
-	case len(s.walk.missing) == 0:
+	case len(s.traversal.missing) == 0:
 		s.adopt(out)
 	default:
 		s.fetch(now, out)
 	}
 }
 
-// walk is the way from the wanted head's digest through the pieces.
-type walk struct {
-	whole   map[pabundle.Digest][]byte
+// traversal is the state of the walk from the wanted head's digest through its pieces.
+type traversal struct {
+	held    map[pabundle.Digest][]byte
 	missing []pabundle.Digest
 	err     error
 }
 
-// reach takes a piece and all that it names into the walk, as far as they are held.
-func (s *Replicator) reach(d pabundle.Digest) {
+// visit adds a piece and its descendants to the traversal, as far as they are held, and notes missing ones.
+func (s *Replicator) visit(d pabundle.Digest) {
 	open := []pabundle.Digest{d}
-	for len(open) > 0 && s.walk.err == nil {
+	for len(open) > 0 && s.traversal.err == nil {
 		d := open[len(open)-1]
 		open = open[:len(open)-1]
-		if _, ok := s.walk.whole[d]; ok {
+		if _, ok := s.traversal.held[d]; ok {
 			continue
 		}
 		data, ok := s.held(d)
 		if !ok {
-			if !slices.Contains(s.walk.missing, d) {
-				s.walk.missing = append(s.walk.missing, d)
+			if !slices.Contains(s.traversal.missing, d) {
+				s.traversal.missing = append(s.traversal.missing, d)
 			}
 			continue
 		}
-		s.walk.whole[d] = data
+		s.traversal.held[d] = data
 		children, err := s.config.Children(d == s.wanted.Digest, data)
-		if len(s.walk.whole)+len(s.walk.missing)+len(children) > maxPieces {
-			err = trace.LimitExceeded("bundle %s of more than %d pieces", s.wanted.Digest, maxPieces)
+		if len(s.traversal.held)+len(s.traversal.missing)+len(children) > maxPieces {
+			err = trace.LimitExceeded("bundle %s has more than %d pieces", s.wanted.Digest, maxPieces)
 		}
-		s.walk.err = err
+		s.traversal.err = err
 		open = append(open, children...)
 	}
 }
@@ -242,32 +245,32 @@
 	return b, ok
 }
 
-// fetch keeps some pieces under way, each from a source that was not tried for it yet.
+// fetch keeps some fetches in flight, each from a source not yet tried for its piece.
 func (s *Replicator) fetch(now time.Time, out *[]Command) {
-	for _, d := range s.walk.missing[:min(len(s.walk.missing), fetchesAtOnce)] {
+	for _, d := range s.traversal.missing[:min(len(s.traversal.missing), maxConcurrentFetches)] {
 		f := s.fetches[d]
 		if f == nil {
 			f = &fetch{}
 			s.fetches[d] = f
 		}
-		if now.Before(f.until) {
+		if now.Before(f.retryAt) {
 			continue
 		}
-		from, ok := s.source(f)
+		from, ok := s.pickSource(f)
 		if !ok {
-			f.tried, f.until = nil, now.Add(retryWait)
+			f.tried, f.retryAt = nil, now.Add(retryDelay)
 			continue
 		}
 		f.tried = append(f.tried, from)
-		f.until = now.Add(fetchWait)
+		f.retryAt = now.Add(fetchTimeout)
 		*out = append(*out, Fetch{From: from, Digest: d})
 	}
 }
 
-// source returns a source for a piece: a peer that is known to have the head, else the store if the head came from
-// there, else any neighbour, else the store. Peers go first because after the reboot of a region all its daemons have
-// everything to fetch, and the store's reads are for the whole deployment.
-func (s *Replicator) source(f *fetch) (Source, bool) {
+// pickSource returns a source for a piece: a peer known to have the head, else the store if the head came from there,
+// else a random peer of the region, else the store. Peers are preferred because after the reboot of a region all its
+// daemons fetch everything, and the store's read capacity is shared by the whole deployment.
+func (s *Replicator) pickSource(f *fetch) (Source, bool) {
 	untried := func(c Source) bool { return !slices.Contains(f.tried, c) }
 	peer := func(c Source) bool { return !c.Store && untried(c) }
 	if i := slices.IndexFunc(s.sources, peer); i >= 0 {
@@ -289,8 +292,8 @@
 	return store, untried(store)
 }
 
-// take takes in a piece, or moves on to another source.
-func (s *Replicator) take(now time.Time, v FetchResult, out *[]Command) {
+// storePiece stores a valid piece; after a failure the piece is fetched from another source.
+func (s *Replicator) storePiece(now time.Time, v FetchResult, out *[]Command) {
 	f := s.fetches[v.Digest]
 	if f == nil {
 		return
@@ -299,14 +302,14 @@
 	if v.Data != nil && fault == 0 {
 		s.pieces[v.Digest] = v.Data
 		delete(s.fetches, v.Digest)
-		s.walk.missing = slices.DeleteFunc(s.walk.missing, func(d pabundle.Digest) bool { return d == v.Digest })
-		s.reach(v.Digest)
+		s.traversal.missing = slices.DeleteFunc(s.traversal.missing, func(d pabundle.Digest) bool { return d == v.Digest })
+		s.visit(v.Digest)
 		return
 	}
 	if fault != 0 {
 		*out = append(*out, Rejected{From: v.From, Fault: fault})
 	}
-	f.until = now
+	f.retryAt = now
 }
 
 func check(v FetchResult) Fault {
@@ -322,20 +325,20 @@
 	return 0
 }
 
-// PieceDigest returns the digest by which a piece is named.
+// PieceDigest returns the SHA-256 of a piece in hexadecimal, by which it is named.
 func PieceDigest(data []byte) pabundle.Digest {
 	h := sha256.Sum256(data)
 	return pabundle.Digest(hex.EncodeToString(h[:]))
 }
 
-// adopt puts the wanted head in force and offers it to neighbours.
+// adopt puts the wanted head in force and offers it to peers.
 func (s *Replicator) adopt(out *[]Command) {
 	s.head = s.wanted
-	s.previous, s.pieces = s.pieces, s.walk.whole
+	s.previous, s.pieces = s.pieces, s.traversal.held
 	*out = append(*out, Adopted{Head: s.head, Pieces: s.pieces})
-	s.offer(s.peers.SameRegion, eagerNear, out)
-	s.offer(s.peers.OtherRegions, eagerFar, out)
-	s.sources, s.fetches, s.walk = nil, map[pabundle.Digest]*fetch{}, walk{}
+	s.offer(s.peers.SameRegion, localOffers, out)
+	s.offer(s.peers.OtherRegions, remoteOffers, out)
+	s.sources, s.fetches, s.traversal = nil, map[pabundle.Digest]*fetch{}, traversal{}
 }
 
 func (s *Replicator) offer(to []pabundle.EntryName, n int, out *[]Command) {
--- a/paspread/spread_test.go
+++ b/paspread/spread_test.go
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// children reads a root piece that lists digests by line.
+// children decodes a root piece that lists digests, one a line.
 func children(root bool, piece []byte) ([]pabundle.Digest, error) {
 	if !root {
 		return nil, nil
@@ -38,7 +38,7 @@
 	var all []pabundle.Digest
 	for n := range strings.SplitSeq(string(piece), "\n") {
 		if len(n) != 64 {
-			return nil, fmt.Errorf("no digest: %q", n)
+			return nil, fmt.Errorf("not a digest: %q", n)
 		}
 		all = append(all, pabundle.Digest(n))
 	}
@@ -57,7 +57,7 @@
 	return pabundle.Head{Deployment: "d", Sequence: n, Digest: root}, pieces
 }
 
-func newSpread(t interface{ Fatal(...any) }) *paspread.Replicator {
+func newReplicator(t interface{ Fatal(...any) }) *paspread.Replicator {
 	s, err := paspread.New(paspread.Config{Deployment: "d", Random: rand.New(rand.NewPCG(1, 2)), Children: children})
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	return s
 }
 
-// serve answers fetches from the true pieces until there are none, and returns the sequences adopted.
+// serve answers fetches from pieces until there are none left, and returns the sequences adopted.
 func serve(s *paspread.Replicator, now time.Time, out []paspread.Command, pieces map[pabundle.Digest][]byte) (adopted []pabundle.Sequence) {
 	for len(out) > 0 {
 		c := out[0]
@@ -80,10 +80,10 @@
 	return adopted
 }
 
-// An entry VM boots while the store is down, and the neighbour that answers first was cut off for a day. If it were
-// believed, the entry VM would steer by yesterday's bundle until the next change.
+// Guards against a boot that trusts the first answer. The store is down, and the peer that answers first was
+// partitioned for a day: the entry VM would use yesterday's bundle until the next change.
 func TestBootWaitsForTheHighest(t *testing.T) {
-	s := newSpread(t)
+	s := newReplicator(t)
 	old, oldPieces := bundle(3)
 	high, pieces := bundle(5)
 	for d, p := range oldPieces {
@@ -103,12 +103,12 @@
 	}
 }
 
-// Whatever peers and the store say, in whatever order, true or false, corrupt or late: the sequence in force never falls,
-// what is adopted is whole and as the head's digest says, and a true head that is offered at the end with honest
-// answers is adopted.
-func TestSpreadFuzz(t *testing.T) {
+// Peers and the store send valid, foreign, corrupt and late data in random order. The sequence in force never falls, an
+// adopted bundle is complete and matches the head's digest, and a valid head offered at the end with correct answers is
+// adopted.
+func TestReplicatorFuzz(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSpread(t)
+		s := newReplicator(t)
 		now := epoch
 		heads, pieces := []pabundle.Head{{}}, map[pabundle.Digest][]byte{}
 		for n := pabundle.Sequence(1); n <= 6; n++ {
@@ -135,7 +135,7 @@
 					_, want := bundle(highest)
 					for d, p := range want {
 						if string(c.Pieces[d]) != string(p) {
-							t.Fatalf("piece %s of %d is missing or false", d, highest)
+							t.Fatalf("piece %s of %d is missing or wrong", d, highest)
 						}
 					}
 				}
@@ -166,7 +166,7 @@
 			},
 			"answer": func(t *rapid.T) {
 				if len(open) == 0 {
-					t.Skip("nothing asked")
+					t.Skip("no fetch in flight")
 				}
 				c := rapid.SampledFrom(open).Draw(t, "fetch")
 				data := pieces[c.Digest]
@@ -184,7 +184,7 @@
 			},
 			"": func(t *rapid.T) {
 				if s.Head().Sequence != highest {
-					t.Fatalf("in force: %d, adopted: %d", s.Head().Sequence, highest)
+					t.Fatalf("sequence in force: %d, adopted: %d", s.Head().Sequence, highest)
 				}
 			},
 		})
@@ -196,8 +196,8 @@
 	})
 }
 
-// The store fails for an hour while a zone's daemons are replaced: the new ones get the configuration from neighbours, and
-// the next change reaches all in seconds although two zones were cut off when it was rolled out.
+// The store is down while a zone's daemons are replaced: the new ones have to get the configuration from peers. The
+// next change then has to reach all daemons within seconds at 5 % message loss.
 func TestChangeReachesAll(t *testing.T) {
 	f := &pacapacity.Fleet{Random: rand.New(rand.NewPCG(1, 7)), Now: epoch, Store: &pacapacity.Store{}}
 	if err := f.Build(pacapacity.Shape{Regions: 4, ZonesPerRegion: 2, PerZone: 5}); err != nil {
@@ -216,7 +216,7 @@
 	f.Run(15 * time.Second)
 	for _, n := range f.Nodes {
 		if got := n.Spread.Head().Sequence; got != 1 {
-			t.Errorf("with the store down %s has %d", n.Identity.Name, got)
+			t.Errorf("with the store down %s has sequence %d, want 1", n.Identity.Name, got)
 		}
 	}
 	f.Store.Down = false
@@ -224,7 +224,7 @@
 	f.Run(10 * time.Second)
 	for _, n := range f.Nodes {
 		if got := n.Spread.Head().Sequence; got != 2 {
-			t.Errorf("%s has %d", n.Identity.Name, got)
+			t.Errorf("%s has sequence %d, want 2", n.Identity.Name, got)
 		}
 	}
 }
--- a/paspread/wire.go
+++ b/paspread/wire.go
@@ -11,7 +11,7 @@
 	"github.com/gravitational/trace"
 )
 
-// ToWire returns the form of a head in which the daemon of a name offers it.
+// ToWire encodes the offer of a head by the daemon named self.
 func ToWire(self pabundle.EntryName, h pabundle.Head) *pawire.HeadOffer {
 	w := &pawire.HeadOffer{
 		Entry: string(self), Deployment: h.Deployment, Sequence: uint64(h.Sequence), Digest: string(h.Digest),
@@ -28,12 +28,12 @@
 	return w
 }
 
-// FromWire returns an offer that arrived as an event; it fails if a name is longer than any real one.
+// FromWire decodes a received offer; it fails if a field is too long, the sender is missing or a share is invalid.
 func FromWire(w *pawire.HeadOffer) (HeadReceived, error) {
 	const maxName = 256
 	for _, s := range []string{w.GetEntry(), w.GetDeployment(), w.GetDigest(), w.GetPrevious(), w.GetRollId(), w.GetOperator()} {
 		if len(s) > maxName {
-			return HeadReceived{}, trace.BadParameter("head offer with a text of %d bytes: want at most %d", len(s), maxName)
+			return HeadReceived{}, trace.BadParameter("head offer with a field of %d bytes, want at most %d", len(s), maxName)
 		}
 	}
 	if w.GetEntry() == "" {
@@ -54,7 +54,7 @@
 	return HeadReceived{Peer: pabundle.EntryName(w.GetEntry()), Head: h}, nil
 }
 
-// maxStart bounds the shares of a head: services times pairs of regions at the size designed for.
+// maxStart bounds the shares of a head: services times pairs of regions at the designed size.
 const maxStart = 1 << 16
 
 func startFromWire(all []*pawire.HeadStart) (map[pabundle.ServiceName][]pabundle.Share, error) {
@@ -62,12 +62,12 @@
 		return nil, nil
 	}
 	if len(all) > maxStart {
-		return nil, trace.BadParameter("head offer with %d shares: want at most %d", len(all), maxStart)
+		return nil, trace.BadParameter("head offer with %d shares, want at most %d", len(all), maxStart)
 	}
 	start := map[pabundle.ServiceName][]pabundle.Share{}
 	for _, x := range all {
 		if !(x.GetShare() >= 0 && x.GetShare() <= 1) {
-			return nil, trace.BadParameter("head offer with a share of %v: want 0 to 1", x.GetShare())
+			return nil, trace.BadParameter("head offer with a share of %v, want 0 to 1", x.GetShare())
 		}
 		n := pabundle.ServiceName(x.GetService())
 		start[n] = append(start[n], pabundle.Share{
