--- a/palink/budget.go
+++ b/palink/budget.go
@@ -9,23 +9,23 @@
 // everything until SetRate; it is used by one goroutine at a time.
 type Budget struct {
 	rate Rate
-	// first is kept for short messages, rest is for long transfers and the short ones that find it
+	// shortLine is kept for short messages, longLine is for long transfers and the short ones that find it
 	// free. Two lines, because what is booked ahead for a long transfer can't be taken back.
-	first, rest line
-	// due is what is expected to be sent and not booked yet.
-	due Bytes
+	shortLine, longLine schedule
+	// expected is what is expected to be sent and not booked yet.
+	expected Bytes
 }
 
-// line is a schedule of bytes at a part of the rate: the next byte may go at next.
-type line struct {
+// schedule is a schedule of bytes at a part of the rate: the next byte may go at next.
+type schedule struct {
 	next time.Time
 }
 
 // SetRate changes the rate from now on. What is booked stays booked; a lower rate stretches it.
 func (b *Budget) SetRate(now time.Time, r Rate) {
 	if b.rate > 0 && r > 0 && r != b.rate {
-		b.first.stretch(now, float64(b.rate)/float64(r))
-		b.rest.stretch(now, float64(b.rate)/float64(r))
+		b.shortLine.stretch(now, float64(b.rate)/float64(r))
+		b.longLine.stretch(now, float64(b.rate)/float64(r))
 	}
 	b.rate = r
 }
@@ -39,18 +39,18 @@
 func (b *Budget) Reserve(now time.Time, c Class, n Bytes) Reservation {
 	k := Reservation{Class: c, Bytes: n}
 	if b.rate <= 0 {
-		return refuse(k, minComeBack)
+		return refuse(k, minRetryAfter)
 	}
 	if c == Long || n > MaxShort {
 		k.Class, k.Bytes = Long, 0
-		if ahead := b.rest.ahead(now); ahead > maxLongWait {
-			return refuse(k, max(minComeBack, ahead))
+		if ahead := b.longLine.ahead(now); ahead > maxLongWait {
+			return refuse(k, max(minRetryAfter, ahead))
 		}
 		return k
 	}
-	l, d := b.short(now, n)
+	l, d := b.pickLine(now, n)
 	if ahead := l.ahead(now); ahead > maxShortWait {
-		return refuse(k, max(minComeBack, ahead))
+		return refuse(k, max(minRetryAfter, ahead))
 	}
 	if k.Wait = l.book(now, d); k.Wait > 0 {
 		k.Decision = Wait
@@ -66,11 +66,11 @@
 // whose answer then waits for the link. What is due may not pass what the link carries until then.
 func (b *Budget) ReserveAnswer(now time.Time, n Bytes, within time.Duration) Reservation {
 	k := Reservation{Bytes: min(n, MaxShort), expected: true}
-	room := Bytes(float64(b.rate) * max(within, minWithin).Seconds())
-	if b.rate <= 0 || b.due+k.Bytes > room {
-		return refuse(k, minComeBack)
+	room := Bytes(float64(b.rate) * max(within, minAnswerWindow).Seconds())
+	if b.rate <= 0 || b.expected+k.Bytes > room {
+		return refuse(k, minRetryAfter)
 	}
-	b.due += k.Bytes
+	b.expected += k.Bytes
 	return k
 }
 
@@ -82,12 +82,12 @@
 // sent are on the lines.
 func (b *Budget) CommitAnswer(now time.Time, k Reservation, actual Bytes) (wait time.Duration, pace Bytes) {
 	if k.expected && k.Decision != Refuse {
-		b.due -= k.Bytes
+		b.expected -= k.Bytes
 	}
 	if actual > MaxShort || b.rate <= 0 {
 		return 0, actual
 	}
-	l, d := b.short(now, actual)
+	l, d := b.pickLine(now, actual)
 	return l.book(now, d), 0
 }
 
@@ -98,40 +98,40 @@
 	if b.rate <= 0 || n > MaxChunk {
 		return 0, false
 	}
-	if b.first.idle(now) {
+	if b.shortLine.idle(now) {
 		// Short messages leave their line free: one chunk at a time may use it.
-		return b.first.book(now, b.time(n, shortPart)), true
+		return b.shortLine.book(now, b.sendTime(n, shortFraction)), true
 	}
-	return b.rest.book(now, b.time(n, 1-shortPart)), true
+	return b.longLine.book(now, b.sendTime(n, 1-shortFraction)), true
 }
 
-// short returns the line on which a short message ends first, and how long it takes there.
-func (b *Budget) short(now time.Time, n Bytes) (*line, time.Duration) {
-	first, rest := b.time(n, shortPart), b.time(n, 1-shortPart)
-	if b.rest.ahead(now)+rest <= b.first.ahead(now)+first {
-		return &b.rest, rest
+// pickLine returns the line on which a pickLine message ends first, and how long it takes there.
+func (b *Budget) pickLine(now time.Time, n Bytes) (*schedule, time.Duration) {
+	first, rest := b.sendTime(n, shortFraction), b.sendTime(n, 1-shortFraction)
+	if b.longLine.ahead(now)+rest <= b.shortLine.ahead(now)+first {
+		return &b.longLine, rest
 	}
-	return &b.first, first
+	return &b.shortLine, first
 }
 
-// time is how long the bytes take on a part of the rate, rounded up.
-func (b *Budget) time(n Bytes, part float64) time.Duration {
+// sendTime is how long the bytes take on a part of the rate, rounded up.
+func (b *Budget) sendTime(n Bytes, part float64) time.Duration {
 	return time.Duration(math.Ceil(float64(n) / (float64(b.rate) * part) * float64(time.Second)))
 }
 
 // book appends to the line and returns the wait before sending; a message may go burst early.
-func (l *line) book(now time.Time, d time.Duration) time.Duration {
+func (l *schedule) book(now time.Time, d time.Duration) time.Duration {
 	ahead := l.ahead(now)
 	l.next = now.Add(ahead + d)
 	return max(0, ahead-burst)
 }
 
 // ahead is how far the line is booked beyond now.
-func (l *line) ahead(now time.Time) time.Duration { return max(0, l.next.Sub(now)) }
+func (l *schedule) ahead(now time.Time) time.Duration { return max(0, l.next.Sub(now)) }
 
-func (l *line) idle(now time.Time) bool { return !l.next.After(now) }
+func (l *schedule) idle(now time.Time) bool { return !l.next.After(now) }
 
-func (l *line) stretch(now time.Time, by float64) {
+func (l *schedule) stretch(now time.Time, by float64) {
 	l.next = now.Add(time.Duration(float64(l.ahead(now)) * by))
 }
 
--- a/palink/estimate.go
+++ b/palink/estimate.go
@@ -3,11 +3,11 @@
 const (
 	// firstEstimate is booked for an answer of a service that has not answered yet.
 	firstEstimate = 8 << 10
-	// weight is the part of a new answer's size in the mean. Value: ten answers make up the mean.
-	weight = 0.1
-	// spread is how many mean deviations are added. Harm: an estimate at the mean is too small for
+	// smoothing is the part of a new answer's size in the mean. Value: ten answers make up the mean.
+	smoothing = 0.1
+	// deviations is how many mean deviations are added. Harm: an estimate at the mean is too small for
 	// half of the answers, whose rest is then paced. Value: two cover nine in ten.
-	spread = 2
+	deviations = 2
 )
 
 // Estimate guesses the size of a service's next answer from the last ones. The zero value is ready;
@@ -25,8 +25,8 @@
 		return
 	}
 	d := x - e.mean
-	e.mean += weight * d
-	e.deviation += weight * (max(d, -d) - e.deviation)
+	e.mean += smoothing * d
+	e.deviation += smoothing * (max(d, -d) - e.deviation)
 }
 
 // Next returns the bytes to book for an answer, at most MaxShort.
@@ -34,5 +34,5 @@
 	if !e.seen {
 		return firstEstimate
 	}
-	return min(MaxShort, Bytes(e.mean+spread*e.deviation))
+	return min(MaxShort, Bytes(e.mean+deviations*e.deviation))
 }
--- a/palink/link.go
+++ b/palink/link.go
@@ -43,17 +43,17 @@
 	// maxShortWait is the longest that a short message waits for the line; then it is refused at
 	// once. Value: about one way between regions, so waiting costs less than a return later.
 	maxShortWait = 40 * time.Millisecond
-	// shortPart is the part of the rate that is kept for short messages. Harm: restores fill a narrow
+	// shortFraction is the part of the rate that is kept for short messages. Harm: restores fill a narrow
 	// link and slot checks wait behind them. Value: a quarter carries 300 answers of 8 KB a second
 	// on a third of 280 Mbit/s; long transfers use it while it is idle, chunk by chunk.
-	shortPart = 0.25
-	// minWithin is the least time over which expected answers are counted. Value: several round
+	shortFraction = 0.25
+	// minAnswerWindow is the least time over which expected answers are counted. Value: several round
 	// trips between regions.
-	minWithin = 250 * time.Millisecond
+	minAnswerWindow = 250 * time.Millisecond
 	// maxLongWait bounds how far long transfers are booked ahead; a new one beyond it is refused.
 	maxLongWait = 500 * time.Millisecond
-	// minComeBack is the shortest time to come back after a refusal, jittered up to twice itself.
-	minComeBack = 500 * time.Millisecond
+	// minRetryAfter is the shortest time to come back after a refusal, jittered up to twice itself.
+	minRetryAfter = 500 * time.Millisecond
 )
 
 // Rate is a budget in bytes a second.
--- a/palink/link_test.go
+++ b/palink/link_test.go
@@ -63,13 +63,13 @@
 			},
 			"expect": func(t *rapid.T) {
 				for range rapid.IntRange(1, 200).Draw(t, "count") {
-					k := b.ReserveAnswer(now, Bytes(rapid.IntRange(1, MaxShort).Draw(t, "bytes")), minWithin)
+					k := b.ReserveAnswer(now, Bytes(rapid.IntRange(1, MaxShort).Draw(t, "bytes")), minAnswerWindow)
 					if k.Decision != Refuse {
 						expected, due = append(expected, k), due+k.Bytes
 					}
 				}
-				if float64(due) > float64(rate)*minWithin.Seconds() {
-					t.Fatalf("%d bytes are due within %v", due, minWithin)
+				if float64(due) > float64(rate)*minAnswerWindow.Seconds() {
+					t.Fatalf("%d bytes are due within %v", due, minAnswerWindow)
 				}
 			},
 			"answers": func(t *rapid.T) {
@@ -208,7 +208,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		l.CommitAnswer(now, l.ReserveAnswer(now, 8<<10, minWithin), 4<<10)
+		l.CommitAnswer(now, l.ReserveAnswer(now, 8<<10, minAnswerWindow), 4<<10)
 	}
 }
 
--- a/palookup/answer.go
+++ b/palookup/answer.go
@@ -56,9 +56,9 @@
 		a.Region = p.self.Region
 	}
 	key := callerHash(q)
-	var list [maxInRegion + maxElsewhere]*candidate
+	var list [maxInRegion + maxOtherRegions]*candidate
 	n := 0
-	for _, i := range p.order(a.Region, q, key) {
+	for _, i := range p.rankRegions(a.Region, q, key) {
 		r := &p.regions[i]
 		if n == 0 {
 			a.Region = r.name
@@ -83,10 +83,10 @@
 	return a
 }
 
-// order returns the first few regions for a caller: by its shares, then those without a share. Regions that this
+// rankRegions returns the first few regions for a caller: by its shares, then those without a share. Regions that this
 // daemon can't reach at all come last, as a zone that is cut off has to send callers to itself.
-func (p *Plan) order(from pabundle.RegionName, q Query, key uint64) []int {
-	var taken [1 + maxElsewhere]int
+func (p *Plan) rankRegions(from pabundle.RegionName, q Query, key uint64) []int {
+	var taken [1 + maxOtherRegions]int
 	n := 0
 	for n < min(len(taken), len(p.regions)) {
 		best, top := -1, math.Inf(-1)
@@ -95,9 +95,9 @@
 				continue
 			}
 			r := &p.regions[i]
-			s := score(key, r.hash, share(q.Shares, from, r.name))
+			s := score(key, r.hash, regionWeight(q.Shares, from, r.name))
 			if !r.reachable {
-				s -= unreachableRegion
+				s -= unreachablePenalty
 			}
 			if s > top {
 				best, top = i, s
@@ -109,12 +109,12 @@
 	return taken[:n:n]
 }
 
-// unreachableRegion is more than any score of a reachable region.
-const unreachableRegion = 1e18
+// unreachablePenalty is more than any score of a reachable region.
+const unreachablePenalty = 1e18
 
-// share returns the weight of a region; without any share for the callers' region, that region has all. The others
-// keep a weight far below any share, as a last resort.
-func share(all []pabundle.Share, from, to pabundle.RegionName) float64 {
+// regionWeight returns the weight of a region; without any regionWeight for the callers' region, that region has all. The others
+// keep a weight far below any regionWeight, as a last resort.
+func regionWeight(all []pabundle.Share, from, to pabundle.RegionName) float64 {
 	const lastResort = 1e-9
 	given := false
 	for _, s := range all {
@@ -147,7 +147,7 @@
 			s := score(key, c.hash, c.weight)
 			// Another zone goes before any score of the same one.
 			if n == 1 && c.tier == list[0].tier && c.entry.Zone != list[0].entry.Zone {
-				s += otherZone
+				s += otherZoneBonus
 			}
 			if best == nil || c.tier < best.tier || s > top {
 				best, top = c, s
@@ -158,8 +158,8 @@
 	return n
 }
 
-// otherZone is more than any score of a candidate: the largest is the greatest weight over the least logarithm, 2^53.
-const otherZone = 1e17
+// otherZoneBonus is more than any score of a candidate: the largest is the greatest weight over the least logarithm, 2^53.
+const otherZoneBonus = 1e17
 
 // score is the weighted rendezvous score: the highest of several wins with a chance in proportion to its weight.
 func score(key, hash uint64, weight float64) float64 {
--- a/palookup/lookup_test.go
+++ b/palookup/lookup_test.go
@@ -178,7 +178,7 @@
 	if peak > equal*1.1 {
 		t.Errorf("an entry VM reached %.2f of its capacity after the loss, an equal spread gives %.2f", peak, equal)
 	}
-	if undamped := swing(t, members, weightTime*1000); undamped < equal*1.2 {
+	if undamped := swing(t, members, weightTimeConstant*1000); undamped < equal*1.2 {
 		t.Errorf("without damping the peak is %.2f: the story of this test does not hold", undamped)
 	}
 }
--- a/palookup/plan.go
+++ b/palookup/plan.go
@@ -16,19 +16,19 @@
 	// DefaultTimeToLive is how long a caller may use an answer. Ten seconds keep the look-ups of 1.7 million callers a
 	// second at some 800 a second per daemon; a caller whose entry VM died goes on along its list meanwhile.
 	DefaultTimeToLive = 10 * time.Second
-	// weightTime is the time constant by which weights follow the room: four times the delay. The harm is callers
+	// weightTimeConstant is the time constant by which weights follow the room: four times the delay. The harm is callers
 	// swinging between entry VMs: near full load the loop's gain is load/weight, at most 4 with leastWeight, and a
 	// first-order follower with a delay d and a gain k is stable while k*d/time is under pi/2.
-	weightTime = 4 * DefaultTimeToLive
-	// leastWeight is the weight of an entry VM without room. It bounds the loop's gain, and leaves an entry VM whose
+	weightTimeConstant = 4 * DefaultTimeToLive
+	// minWeight is the weight of an entry VM without room. It bounds the loop's gain, and leaves an entry VM whose
 	// measurements stopped some of its callers instead of none; beyond its room it refuses by itself.
-	leastWeight = 0.25
+	minWeight = 0.25
 	// unknownWeight stands for entry VMs whose room is not known, as of other regions.
 	unknownWeight = 0.5
 	// maxInRegion and maxElsewhere bound an answer's list. Three of the region cover a loss in the zone and one
 	// more; two elsewhere cover the loss of the region.
-	maxInRegion  = 3
-	maxElsewhere = 2
+	maxInRegion     = 3
+	maxOtherRegions = 2
 )
 
 // Planner follows the membership and makes Plans. It is for one goroutine; its zero value is ready.
@@ -71,7 +71,7 @@
 func (p *Planner) Update(now time.Time, v *pamember.View) *Plan {
 	step := 1.0
 	if !p.last.IsZero() {
-		step = 1 - math.Exp(-float64(now.Sub(p.last))/float64(weightTime))
+		step = 1 - math.Exp(-float64(now.Sub(p.last))/float64(weightTimeConstant))
 	}
 	p.last = now
 	weights := make(map[pabundle.EntryName]float64, len(v.Members))
@@ -81,7 +81,7 @@
 		if !ok {
 			continue
 		}
-		w := p.follow(m, step)
+		w := p.smoothWeight(m, step)
 		weights[m.Name] = w
 		plan.add(m, tier, w)
 	}
@@ -90,16 +90,16 @@
 	return plan
 }
 
-// follow moves a member's weight towards its room. A new one begins at the least, so that a process that just started
+// smoothWeight moves a member's weight towards its room. A new one begins at the least, so that a process that just started
 // is not sent its full part at once.
-func (p *Planner) follow(m pamember.MemberView, step float64) float64 {
+func (p *Planner) smoothWeight(m pamember.MemberView, step float64) float64 {
 	aim := unknownWeight
 	if m.Load.Stamp > 0 {
-		aim = max(float64(m.Load.Headroom)/math.MaxUint8, leastWeight)
+		aim = max(float64(m.Load.Headroom)/math.MaxUint8, minWeight)
 	}
 	old, known := p.weights[m.Name]
 	if !known {
-		old = leastWeight
+		old = minWeight
 		if p.weights == nil {
 			old = aim
 		}
