--- a/palookup/answer.go
+++ b/palookup/answer.go
@@ -11,21 +11,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Query is one caller's question.
+// Query is a caller's look-up.
 type Query struct {
 	Service pabundle.ServiceName
 	Caller  netip.Addr
-	// Region is the caller's by its block, empty if no block holds it.
+	// Region is the caller's region by its client block, empty if no block contains the address.
 	Region pabundle.RegionName
-	// Shares are those in force now for the service (not those of the bundle while a shift is running).
+	// Shares are those in force now for the service, which differ from the bundle's while a traffic shift is running.
 	Shares   []pabundle.Share
 	Sequence pabundle.Sequence
 }
 
-// Answer is what a caller gets.
+// Answer is the result of a look-up.
 type Answer struct {
 	Service pabundle.ServiceName
-	// Region is where the caller is sent.
+	// Region is the region that the caller is sent to.
 	Region   pabundle.RegionName
 	Sequence pabundle.Sequence
 	// TimeToLive is how long the caller may use the answer.
@@ -34,21 +34,22 @@
 	Entries []Entry
 }
 
-// Entry is an entry VM as callers see it.
+// Entry is an entry VM as returned to callers.
 type Entry struct {
 	Name    pabundle.EntryName
 	Zone    pabundle.ZoneName
 	Address netip.AddrPort
 }
 
-// Answer decides which entry VMs a caller gets.
+// Answer returns the entry VMs for a caller, in the order in which to try them.
 //
-// It is made for any number of callers with skewed blocks, and for the loss of one of 7 entry VMs at 80 % load. Which
-// region a caller gets follows the shares, and which entry VM the rooms, both by weighted rendezvous hashing over the
-// caller's address: a change of a weight by a hundredth moves a hundredth of the callers, and the loss of one entry VM
-// moves only its own, spread over the others by their room. The second entry of the list is of another zone if there is
-// one, as what took the first may have taken its zone. Suspected ones come after the others of their region, and those
-// that only this daemon can't reach come last: the caller may reach them. Leaving, dead and departed ones are left out.
+// It is designed for any number of callers in unevenly used blocks, and for the loss of one of 7 entry VMs at 80 %
+// load. The region follows the shares and the entry VM its headroom, both by weighted rendezvous hashing of the
+// caller's address: a change of a weight by a hundredth moves a hundredth of the callers, and the loss of an entry VM
+// moves only its own callers, spread over the others by their headroom. The second entry is in another zone than the
+// first if there is one, because what took down the first may have taken down its zone. Suspected entry VMs come after
+// the others of their region. Those that this daemon can't reach come last, as the caller may still reach them.
+// Leaving, dead and departed ones are left out.
 func (p *Plan) Answer(q Query) Answer {
 	a := Answer{Service: q.Service, Region: q.Region, Sequence: q.Sequence}
 	a.TimeToLive.Duration = DefaultTimeToLive
@@ -84,7 +85,7 @@
 }
 
 // rankRegions returns the first few regions for a caller: by its shares, then those without a share. Regions that this
-// daemon can't reach at all come last, as a zone that is cut off has to send callers to itself.
+// daemon can't reach at all come last, so that a zone that is cut off sends callers to itself.
 func (p *Plan) rankRegions(from pabundle.RegionName, q Query, key uint64) []int {
 	var taken [1 + maxOtherRegions]int
 	n := 0
@@ -109,11 +110,11 @@
 	return taken[:n:n]
 }
 
-// unreachablePenalty is more than any score of a reachable region.
+// unreachablePenalty is larger than the score of any reachable region.
 const unreachablePenalty = 1e18
 
-// regionWeight returns the weight of a region; without any regionWeight for the callers' region, that region has all. The others
-// keep a weight far below any regionWeight, as a last resort.
+// regionWeight returns the weight of region to for callers of region from. If from has no shares, it has all the weight
+// itself. Regions without a share keep a weight far below any share, as a last resort.
 func regionWeight(all []pabundle.Share, from, to pabundle.RegionName) float64 {
 	const lastResort = 1e-9
 	given := false
@@ -131,8 +132,8 @@
 	return lastResort
 }
 
-// choose fills a list with the best candidates of a region for a caller, the second of another zone than the first if
-// there is one as good, and returns how many there were. It passes over the candidates once for each place, as sorting
+// choose fills a list with the best candidates of a region for a caller, the second from another zone than the first if
+// there is one of the same tier, and returns how many it found. It scans the candidates once for each place, as sorting
 // all 81 of a large region for three places costs ten times as much.
 func choose(list []*candidate, entries []candidate, key uint64) int {
 	n := 0
@@ -145,7 +146,7 @@
 				continue
 			}
 			s := score(key, c.hash, c.weight)
-			// Another zone goes before any score of the same one.
+			// A candidate in another zone is preferred to any in the same one.
 			if n == 1 && c.tier == list[0].tier && c.entry.Zone != list[0].entry.Zone {
 				s += otherZoneBonus
 			}
@@ -158,13 +159,14 @@
 	return n
 }
 
-// otherZoneBonus is more than any score of a candidate: the largest is the greatest weight over the least logarithm, 2^53.
+// otherZoneBonus is larger than the score of any candidate, which is at most the greatest weight over the least
+// logarithm, 2^53.
 const otherZoneBonus = 1e17
 
-// score is the weighted rendezvous score: the highest of several wins with a chance in proportion to its weight.
+// score is the weighted rendezvous score: the probability of having the highest score is proportional to the weight.
 func score(key, hash uint64, weight float64) float64 {
 	h := mix(key ^ hash)
-	// The upper 53 bits as a number above 0 and below 1.
+	// The upper 53 bits, as a number between 0 and 1 (both excluded).
 	u := (float64(h>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(u)
 }
--- a/palookup/example_test.go
+++ b/palookup/example_test.go
@@ -10,8 +10,8 @@
 	"papayahead/pamember"
 )
 
-// A caller of centro asks which entry VMs to use: first one of its own region, then one of the region's other zone, then
-// another region's.
+// A caller of centro looks up entry VMs: first one of its own region, then one in the region's other zone, then one of
+// another region.
 func Example() {
 	var b palookup.Builder
 	err := b.Add([]pabundle.ClientBlock{
@@ -22,7 +22,10 @@
 		fmt.Println(err)
 	}
 	member := func(name pabundle.EntryName, zone pabundle.ZoneName, region pabundle.RegionName) pamember.MemberView {
-		return pamember.MemberView{Identity: pamember.Identity{Name: name, Zone: zone, Region: region}, Load: pamember.LoadReport{Stamp: 1, Headroom: 200}}
+		return pamember.MemberView{
+			Identity: pamember.Identity{Name: name, Zone: zone, Region: region},
+			Load:     pamember.LoadReport{Stamp: 1, Headroom: 200},
+		}
 	}
 	view := &pamember.View{Members: []pamember.MemberView{
 		member("entry-1", "centro-a", "centro"), member("entry-2", "centro-b", "centro"), member("entry-3", "norte-a", "norte"),
--- a/palookup/lookup_test.go
+++ b/palookup/lookup_test.go
@@ -27,13 +27,16 @@
 	os.Exit(m.Run())
 }
 
-// view returns a view of entries named by region and zone, such as "r0-a-0".
+// view returns a view of the given members, seen by the first.
 func view(entries ...pamember.MemberView) *pamember.View {
 	return &pamember.View{Self: entries[0].Identity, Members: entries}
 }
 
 func entry(region, zone string, n int) pamember.MemberView {
-	d := pamember.Identity{Name: pabundle.EntryName(fmt.Sprintf("%s-%s-%d", region, zone, n)), Region: pabundle.RegionName(region), Zone: pabundle.ZoneName(region + "-" + zone)}
+	d := pamember.Identity{
+		Name: pabundle.EntryName(fmt.Sprintf("%s-%s-%d", region, zone, n)), Region: pabundle.RegionName(region),
+		Zone: pabundle.ZoneName(region + "-" + zone),
+	}
 	return pamember.MemberView{Identity: d, Load: pamember.LoadReport{Stamp: 1, Headroom: 128}}
 }
 
@@ -41,8 +44,8 @@
 	return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// firsts counts callers by the first entry of their answers.
-func firsts(p *Plan, callers int, q Query) map[pabundle.EntryName]int {
+// countFirstEntries counts callers by the first entry of their answers.
+func countFirstEntries(p *Plan, callers int, q Query) map[pabundle.EntryName]int {
 	n := map[pabundle.EntryName]int{}
 	for i := range callers {
 		q.Caller = caller(i)
@@ -51,8 +54,8 @@
 	return n
 }
 
-// A table that takes in deltas answers like a slow scan over all blocks, and the tables before a delta stay as they were.
-func TestTableAgainstScan(t *testing.T) {
+// A table with deltas applied answers like a linear scan over all blocks, and earlier tables stay unchanged.
+func TestTableMatchesLinearScan(t *testing.T) {
 	prefix := rapid.Custom(func(t *rapid.T) netip.Prefix {
 		a := caller(rapid.IntRange(0, 1<<12).Draw(t, "address"))
 		return netip.PrefixFrom(a, rapid.IntRange(8, 32).Draw(t, "bits")).Masked()
@@ -94,7 +97,10 @@
 
 func TestLookupAllocatesNothing(t *testing.T) {
 	var b Builder
-	if err := b.Add([]pabundle.ClientBlock{{Prefix: netip.MustParsePrefix("10.0.0.0/8"), Region: "a"}, {Prefix: netip.MustParsePrefix("2001:db8::/32"), Region: "b"}}); err != nil {
+	err := b.Add([]pabundle.ClientBlock{
+		{Prefix: netip.MustParsePrefix("10.0.0.0/8"), Region: "a"}, {Prefix: netip.MustParsePrefix("2001:db8::/32"), Region: "b"},
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
 	table := b.Table()
@@ -104,16 +110,18 @@
 	}
 }
 
-// Callers follow the shares by region and the rooms by entry VM, and a small change of room moves few of them.
-func TestCallersFollowSharesAndRooms(t *testing.T) {
+// Callers follow the shares by region and the headroom by entry VM, and a small change of headroom moves few of them.
+func TestCallersFollowSharesAndHeadroom(t *testing.T) {
 	const callers = 20000
 	small := entry("r0", "b", 0)
 	small.Load.Headroom = 64
 	v := view(entry("r0", "a", 0), small, entry("r1", "a", 0))
-	q := Query{Service: "archive", Region: "r0", Shares: []pabundle.Share{{From: "r0", To: "r0", Share: 0.75}, {From: "r0", To: "r1", Share: 0.25}}}
+	q := Query{Service: "archive", Region: "r0", Shares: []pabundle.Share{
+		{From: "r0", To: "r0", Share: 0.75}, {From: "r0", To: "r1", Share: 0.25},
+	}}
 	var p Planner
 	plan := p.Update(epoch, v)
-	n := firsts(plan, callers, q)
+	n := countFirstEntries(plan, callers, q)
 	for name, want := range map[pabundle.EntryName]float64{"r0-a-0": 0.5, "r0-b-0": 0.25, "r1-a-0": 0.25} {
 		if got := float64(n[name]) / callers; math.Abs(got-want) > 0.015 {
 			t.Errorf("%s has %.3f of the callers, want %.2f", name, got, want)
@@ -129,14 +137,14 @@
 		}
 	}
 	if moved == 0 || moved > callers/50 {
-		t.Errorf("%d of %d callers moved by a change of room of 5 %%", moved, callers)
+		t.Errorf("%d of %d callers moved after a change of headroom by 5 %%", moved, callers)
 	}
 }
 
-// A repair shop's look-up names an entry VM that has just begun its planned stop, or only entry VMs of the zone that
-// lost its power, and the booking is refused or hangs. Leaving ones have to be out of answers at once, and the second
-// of a list in another zone than the first.
-func TestListLeavesOutAndSpreads(t *testing.T) {
+// Guards against answers that name an entry VM in a planned stop, or only entry VMs of one zone that may have lost its
+// power: requests would be refused or hang. Leaving members must be left out at once, and the second entry must be in
+// another zone than the first.
+func TestAnswerOmitsLeavingAndMixesZones(t *testing.T) {
 	leaving, dead := entry("r0", "a", 1), entry("r0", "a", 2)
 	leaving.State, dead.State = pamember.Leaving, pamember.Dead
 	lost, suspect := entry("r1", "a", 0), entry("r0", "a", 3)
@@ -146,46 +154,47 @@
 	for i := range 500 {
 		e := plan.Answer(Query{Service: "deposits", Region: "r0", Caller: caller(i)}).Entries
 		if len(e) < 4 || e[0].Zone == e[1].Zone {
-			t.Fatalf("want two zones first: %v", e)
+			t.Fatalf("the first two entries are in one zone: %v", e)
 		}
 		for k, x := range e {
 			if x.Name == leaving.Name || x.Name == dead.Name || x.Name == suspect.Name && k < 2 || x.Name == lost.Name && k < len(e)-1 {
-				t.Fatalf("%s is in place %d of %v", x.Name, k, e)
+				t.Fatalf("%s is at index %d of %v", x.Name, k, e)
 			}
 		}
 	}
-	// A zone that is cut off from all others sends callers to itself, whatever the shares say.
+	// A zone that is cut off from all others sends callers to itself, whatever the shares.
 	for i := range v.Members[1:] {
 		v.Members[i+1].State = pamember.Unreachable
 	}
 	a := new(Planner).Update(epoch, v).Answer(Query{Service: "deposits", Region: "r1", Caller: caller(1)})
 	if a.Entries[0].Name != "r0-a-0" {
-		t.Fatalf("a cut off zone sends callers to %v", a.Entries)
+		t.Fatalf("a zone that is cut off sends callers to %v", a.Entries)
 	}
 }
 
-// One of seven entry VMs dies at 80 % load. Callers keep their answers for ten seconds, rooms are reported two seconds
-// late and fall only in the last third below the limit, and callers ask anew when their answers have run out. If the weights followed the room at once, all callers
-// would go to where there was room ten seconds ago, and back: the spread has to settle, and no entry VM may stand above
-// what an equal spread of all callers over the six gives by more than a tenth.
-func TestOneOfSevenLostDoesNotSwing(t *testing.T) {
+// Guards against oscillation after the loss of one of seven entry VMs at 80 % load. Callers keep answers for ten
+// seconds, and headroom is reported two seconds late and falls only in the last third below the limit. If weights
+// followed it at once, all callers would move to where there was headroom ten seconds ago, and back. No entry VM may
+// exceed an equal division of the callers over the six by more than a tenth.
+func TestLossOfOneOfSevenDoesNotOscillate(t *testing.T) {
 	var members []pamember.MemberView
 	for i := range 7 {
 		members = append(members, entry("r0", string(rune('a'+i%2)), i))
 	}
-	peak := swing(t, members, 0)
+	peak := peakAfterLoss(t, members, 0)
 	equal := 0.8 * 7 / 6
 	if peak > equal*1.1 {
 		t.Errorf("an entry VM reached %.2f of its capacity after the loss, an equal spread gives %.2f", peak, equal)
 	}
-	if undamped := swing(t, members, weightTimeConstant*1000); undamped < equal*1.2 {
-		t.Errorf("without damping the peak is %.2f: the story of this test does not hold", undamped)
+	if undamped := peakAfterLoss(t, members, weightTimeConstant*1000); undamped < equal*1.2 {
+		t.Errorf("without damping the peak is %.2f, want at least a fifth above an equal spread, or the test proves nothing", undamped)
 	}
 }
 
-// swing runs 5 minutes of callers, with the seventh entry VM lost after one, and returns the highest load after the
-// callers' answers of before have run out. A skip moves the planner's clock on before each update, which undoes its damping.
-func swing(t *testing.T, members []pamember.MemberView, skip time.Duration) float64 {
+// peakAfterLoss simulates 5 minutes of callers, with the seventh entry VM lost after one minute, and returns the
+// highest load once the callers' earlier answers have expired. A skip advances the planner's clock before each update,
+// which removes its damping.
+func peakAfterLoss(t *testing.T, members []pamember.MemberView, skip time.Duration) float64 {
 	t.Helper()
 	const callers, rounds, lag, perRound, steep = 4200, 300, 2, 10, 3
 	random := rand.New(rand.NewPCG(1, 2))
--- a/palookup/plan.go
+++ b/palookup/plan.go
@@ -10,34 +10,35 @@
 	"papayahead/pamember"
 )
 
-// The numbers of spreading callers over entry VMs. The load is callers that keep an answer for its time to live, so
-// that a change of the weights shows in the room some ten seconds later.
+// The parameters of balancing callers over entry VMs. Callers keep an answer for its time to live, so that a change of
+// the weights shows in the reported headroom some ten seconds later.
 const (
 	// DefaultTimeToLive is how long a caller may use an answer. Ten seconds keep the look-ups of 1.7 million callers a
-	// second at some 800 a second per daemon; a caller whose entry VM died goes on along its list meanwhile.
+	// second at some 800 a second per daemon; a caller whose entry VM died tries the next ones of its list meanwhile.
 	DefaultTimeToLive = 10 * time.Second
-	// weightTimeConstant is the time constant by which weights follow the room: four times the delay. The harm is callers
-	// swinging between entry VMs: near full load the loop's gain is load/weight, at most 4 with leastWeight, and a
-	// first-order follower with a delay d and a gain k is stable while k*d/time is under pi/2.
+	// weightTimeConstant is the time constant by which weights follow the headroom: four times the delay of ten
+	// seconds. With a shorter one callers oscillate between entry VMs. Near full load the loop's gain is load/weight,
+	// at most 4 with minWeight, and a first-order lag with a delay d and a gain k is stable while k*d/time is less than
+	// pi/2.
 	weightTimeConstant = 4 * DefaultTimeToLive
-	// minWeight is the weight of an entry VM without room. It bounds the loop's gain, and leaves an entry VM whose
-	// measurements stopped some of its callers instead of none; beyond its room it refuses by itself.
+	// minWeight is the weight of an entry VM without headroom. It bounds the loop's gain, and leaves some callers to an
+	// entry VM whose measurements stopped; beyond its capacity it rejects requests by itself.
 	minWeight = 0.25
-	// unknownWeight stands for entry VMs whose room is not known, as of other regions.
+	// unknownWeight is the weight of entry VMs without a load report, such as those of other regions.
 	unknownWeight = 0.5
-	// maxInRegion and maxElsewhere bound an answer's list. Three of the region cover a loss in the zone and one
+	// maxInRegion and maxOtherRegions bound an answer's list. Three in the region cover a loss in the zone and one
 	// more; two elsewhere cover the loss of the region.
 	maxInRegion     = 3
 	maxOtherRegions = 2
 )
 
-// Planner follows the membership and makes Plans. It is for one goroutine; its zero value is ready.
+// Planner follows the membership and makes Plans. Its zero value is ready to use; it is not safe for concurrent use.
 type Planner struct {
 	weights map[pabundle.EntryName]float64
 	last    time.Time
 }
 
-// Plan is what look-ups are answered by; it is immutable and safe for any number of readers.
+// Plan holds the candidates that look-ups choose from; it is immutable and safe for any number of readers.
 type Plan struct {
 	self    pamember.Identity
 	regions []planRegion
@@ -47,7 +48,7 @@
 	name    pabundle.RegionName
 	hash    uint64
 	entries []candidate
-	// reachable says that at least one entry VM is not Unreachable.
+	// reachable says that at least one entry VM of the region is not Unreachable.
 	reachable bool
 }
 
@@ -56,7 +57,7 @@
 	entry  Entry
 	hash   uint64
 	weight float64
-	// tier sorts before the hash: usable ones, then suspected, then those that only this daemon can't reach.
+	// tier is compared before the score: alive, then suspected, then unreachable from this daemon.
 	tier uint8
 }
 
@@ -66,8 +67,8 @@
 	tierUnreachable
 )
 
-// Update returns the Plan for a view. Who is a candidate follows the view at once; how many callers each gets follows
-// its room with weightTime, because callers act on an answer for its whole time to live.
+// Update returns the Plan for a view. The set of candidates follows the view at once; the share of callers of each
+// follows its headroom with weightTimeConstant, because callers use an answer for its whole time to live.
 func (p *Planner) Update(now time.Time, v *pamember.View) *Plan {
 	step := 1.0
 	if !p.last.IsZero() {
@@ -90,8 +91,8 @@
 	return plan
 }
 
-// smoothWeight moves a member's weight towards its room. A new one begins at the least, so that a process that just started
-// is not sent its full part at once.
+// smoothWeight moves a member's weight towards its headroom. A new member starts at minWeight, so that a process that
+// just started does not get its full share at once.
 func (p *Planner) smoothWeight(m pamember.MemberView, step float64) float64 {
 	aim := unknownWeight
 	if m.Load.Stamp > 0 {
@@ -126,7 +127,10 @@
 		i = len(p.regions)
 		p.regions = append(p.regions, planRegion{name: m.Region, hash: hashName(string(m.Region))})
 	}
-	c := candidate{entry: Entry{Name: m.Name, Zone: m.Zone, Address: m.CallerAddress}, hash: hashName(string(m.Name)), weight: weight, tier: tier}
+	c := candidate{
+		entry: Entry{Name: m.Name, Zone: m.Zone, Address: m.CallerAddress}, hash: hashName(string(m.Name)),
+		weight: weight, tier: tier,
+	}
 	p.regions[i].entries = append(p.regions[i].entries, c)
 	p.regions[i].reachable = p.regions[i].reachable || tier < tierUnreachable
 }
--- a/palookup/region.go
+++ b/palookup/region.go
@@ -6,7 +6,7 @@
 	"papayahead/pabundle"
 )
 
-// Region returns the region of the longest block that holds an address, false if none does. It allocates nothing.
+// Region returns the region of the longest block that contains an address, false if none does. It does not allocate.
 func (t *Table) Region(a netip.Addr) (pabundle.RegionName, bool) {
 	if t.blocks == nil {
 		return "", false
--- a/palookup/table.go
+++ b/palookup/table.go
@@ -10,10 +10,10 @@
 	"github.com/gravitational/trace"
 )
 
-// MaxRegions bounds the regions of a Table, whose blocks each hold a byte.
+// MaxRegions bounds the regions of a Table, which stores a region index of one byte for each block.
 const MaxRegions = 256
 
-// Table maps client blocks to regions; the longest prefix that holds an address wins. It is immutable and safe for
+// Table maps client blocks to regions; the longest prefix that contains an address wins. It is immutable and safe for
 // any number of readers. The zero Table is empty.
 type Table struct {
 	blocks  *bart.Table[uint8]
@@ -22,16 +22,16 @@
 
 // Delta is a change of client blocks.
 type Delta struct {
-	// Set lists blocks that are new or belong to another region now.
+	// Set lists blocks that are new or whose region changed.
 	Set []pabundle.ClientBlock
-	// Remove lists blocks that are gone.
+	// Remove lists blocks that no longer exist.
 	Remove []netip.Prefix
 }
 
-// Builder makes a Table from blocks that come in parts, so that they need not stand in memory together.
+// Builder builds a Table from blocks that are added in batches, so that they need not all be in memory at once.
 type Builder struct{ table Table }
 
-// Add takes in blocks; it fails if there are more than MaxRegions regions or a prefix is not one.
+// Add adds blocks; it fails if there are more than MaxRegions regions or a prefix is invalid.
 func (b *Builder) Add(blocks []pabundle.ClientBlock) error {
 	if b.table.blocks == nil {
 		b.table.blocks = &bart.Table[uint8]{}
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// Table returns what was built; the Builder must not be used after.
+// Table returns the table; the Builder must not be used afterwards.
 func (b *Builder) Table() *Table { return &b.table }
 
-// region returns the index of a block's region, which it adds if it is new.
+// region returns the index of a block's region and adds the region if it is new.
 func (t *Table) region(c pabundle.ClientBlock) (uint8, error) {
 	if !c.Prefix.IsValid() {
-		return 0, trace.BadParameter("client block of region %s: no valid prefix", c.Region)
+		return 0, trace.BadParameter("client block of region %s: invalid prefix", c.Region)
 	}
 	if i := slices.Index(t.regions, c.Region); i >= 0 {
 		return uint8(i), nil
@@ -64,8 +64,8 @@
 	return uint8(len(t.regions) - 1), nil
 }
 
-// Apply returns a Table with a change taken in. Only the paths to the changed blocks are copied; look-ups go on
-// over t meanwhile.
+// Apply returns a Table with a change applied. Only the paths to the changed blocks are copied; look-ups in t may go on
+// meanwhile.
 func (t *Table) Apply(d Delta) (*Table, error) {
 	n := &Table{regions: slices.Clone(t.regions)}
 	blocks := t.blocks
