--- a/palink/estimate.go
+++ b/palink/estimate.go
@@ -1,23 +1,23 @@
 package palink
 
 const (
-	// firstEstimate is booked for an answer of a service that has not answered yet.
+	// firstEstimate is the size predicted for a service that has not answered yet.
 	firstEstimate = 8 << 10
-	// smoothing is the part of a new answer's size in the mean. Value: ten answers make up the mean.
+	// smoothing is the weight of a new answer's size in the moving averages, which thus span about ten answers.
 	smoothing = 0.1
-	// deviations is how many mean deviations are added. Harm: an estimate at the mean is too small for
-	// half of the answers, whose rest is then paced. Value: two cover nine in ten.
+	// deviations is how many mean deviations are added to the mean. At the mean, half of the answers would be larger
+	// than predicted and their rest paced; two deviations cover nine in ten.
 	deviations = 2
 )
 
-// Estimate guesses the size of a service's next answer from the last ones. The zero value is ready;
-// it is used by one goroutine at a time.
+// Estimate predicts the size of a service's next answer from the previous ones. The zero value is ready to use; it is
+// not safe for concurrent use.
 type Estimate struct {
 	mean, deviation float64
 	seen            bool
 }
 
-// Observe takes the size of an answer.
+// Observe adds the size of an answer.
 func (e *Estimate) Observe(n Bytes) {
 	x := float64(max(0, n))
 	if !e.seen {
@@ -29,7 +29,7 @@
 	e.deviation += smoothing * (max(d, -d) - e.deviation)
 }
 
-// Next returns the bytes to book for an answer, at most MaxShort.
+// Next returns the predicted size of the next answer, at most MaxShort.
 func (e *Estimate) Next() Bytes {
 	if !e.seen {
 		return firstEstimate
--- a/palink/link_test.go
+++ b/palink/link_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain gives CI the same verdict every run; flags on the command line go before it.
+// TestMain fixes the seed, so that CI has the same verdict every run; flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "20263", "rapid.checks": "150", "rapid.steps": "60", "rapid.shrinktime": "3s", "rapid.nofailfile": "true",
@@ -23,22 +23,22 @@
 	os.Exit(m.Run())
 }
 
-// rate is what one of three entry VMs has of 280 Mbit/s with a tenth in reserve: 10.5 MB/s.
+// rate is the rate of one of three entry VMs on 280 Mbit/s with a tenth in reserve: 10.5 MB/s.
 var rate = LinkShare{Capacity: 280_000_000, Reserve: 0.1, Members: 3}.Rate()
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
-// sending is what has been let onto the link, and when.
+// sending is what was admitted to the link, and when.
 type sending struct {
 	at time.Time
 	n  Bytes
 }
 
-// Short messages, answers of guessed size and restores share a narrow link, answers come late and
-// in bunches, and the lines fall idle. If an answer counted when it was expected, the link's queue
-// would grow when they come together, and every caller would wait. Over any stretch of time the
-// bytes that were let through are at most the rate times its length, the burst and a message a line.
-func TestNoStretchOfTimePassesTheRate(t *testing.T) {
+// Guards against bursts beyond the link's rate. Short messages, answers of predicted size and restores share a narrow
+// link, answers come late and in batches, and the schedules fall idle. If an answer counted when it was expected,
+// batches would grow the link's queue and delay every caller. Over any period the bytes admitted are at most the rate
+// times its length, plus the burst and one message for each schedule.
+func TestNoPeriodExceedsTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := &Budget{}, epoch
 		b.SetRate(now, rate)
@@ -69,7 +69,7 @@
 					}
 				}
 				if float64(due) > float64(rate)*minAnswerWindow.Seconds() {
-					t.Fatalf("%d bytes are due within %v", due, minAnswerWindow)
+					t.Fatalf("%d bytes are expected within %v", due, minAnswerWindow)
 				}
 			},
 			"answers": func(t *rapid.T) {
@@ -117,9 +117,9 @@
 	}
 }
 
-// Twenty restores fill a narrow link for a minute, and for 40 s of it slot checks answer with 8 KB,
-// 300 a second. Behind the restores the checks would wait for the whole queue. They wait no longer
-// than a few chunks, none is refused, and the restores get what is left of the link, each the same.
+// Guards against short answers that wait behind long transfers. Twenty restores fill a narrow link for a minute, and
+// for 40 s of it slot checks answer with 8 KB, 300 a second. None may be refused or wait longer than a few chunks, and
+// the restores share the rest of the link equally.
 func TestShortAnswersPassRestores(t *testing.T) {
 	b := &Budget{}
 	b.SetRate(epoch, rate)
@@ -182,8 +182,8 @@
 	return total
 }
 
-// A service answers with 4 KB, then its answers grow to 40 KB. A guess that lags lets answers onto
-// the link that nobody booked; it has to cover nine in ten soon after the change.
+// A service's answers grow from 4 KB to 40 KB. An estimate that lags admits answers that nobody reserved, so it has to
+// cover nine in ten soon after the change.
 func TestEstimateFollowsTheAnswers(t *testing.T) {
 	var e Estimate
 	covered := 0
@@ -198,11 +198,11 @@
 		e.Observe(size)
 	}
 	if covered < 162 || e.Next() > MaxShort {
-		t.Errorf("%d of 180 answers are covered, the next guess is %d", covered, e.Next())
+		t.Errorf("%d of 180 answers are covered, the next estimate is %d", covered, e.Next())
 	}
 }
 
-func BenchmarkExpectAndSpend(b *testing.B) {
+func BenchmarkReserveAndCommitAnswer(b *testing.B) {
 	l, now := &Budget{}, epoch
 	l.SetRate(now, rate)
 	b.ReportAllocs()
@@ -212,7 +212,7 @@
 	}
 }
 
-func BenchmarkPace(b *testing.B) {
+func BenchmarkPaceChunk(b *testing.B) {
 	l, now := &Budget{}, epoch
 	l.SetRate(now, rate)
 	b.ReportAllocs()
--- a/pamember/gossip.go
+++ b/pamember/gossip.go
@@ -70,7 +70,7 @@
 	if !m.index.relay {
 		return
 	}
-	if e := m.pickFar(); e != nil {
+	if e := m.pickRemote(); e != nil {
 		m.send(out, e, m.gossipMessage(&m.remoteUpdates))
 	}
 	// After a partition neither side would contact the other again, so relays try one silent member a round. Only relays
--- a/pamember/index.go
+++ b/pamember/index.go
@@ -86,8 +86,8 @@
 	return above < relaysPerRegion
 }
 
-// pickFar returns a random member of another region, choosing the regions round robin.
-func (m *Member) pickFar() *entry {
+// pickRemote returns a random member of another region, choosing the regions round robin.
+func (m *Member) pickRemote() *entry {
 	x := &m.index
 	if len(x.otherRegions) == 0 {
 		return nil
--- a/pamember/member.go
+++ b/pamember/member.go
@@ -317,7 +317,7 @@
 			m.send(out, e, m.gossipMessage(&m.localUpdates))
 		}
 	}
-	if e := m.pickFar(); e != nil {
+	if e := m.pickRemote(); e != nil {
 		m.send(out, e, m.gossipMessage(&m.remoteUpdates))
 	}
 }
--- a/paspread/replicator.go
+++ b/paspread/replicator.go
@@ -62,12 +62,12 @@
 	peers        Peers
 	pieces       map[pabundle.Digest][]byte
 	// previous holds the pieces of the head before, for peers that still fetch it and for a roll-back.
-	previous    map[pabundle.Digest][]byte
-	sources     []Source
-	fetches     map[pabundle.Digest]*fetch
-	traversal   traversal
-	boot        boot
-	nextOfferAt time.Time
+	previous      map[pabundle.Digest][]byte
+	sources       []Source
+	fetches       map[pabundle.Digest]*fetch
+	traversal     traversal
+	boot          boot
+	noOfferBefore time.Time
 }
 
 type boot struct {
@@ -136,19 +136,19 @@
 
 // requestNewerHead asks a peer with a higher sequence for its head, unless a head at least as high is being fetched.
 func (s *Replicator) requestNewerHead(now time.Time, v NewerSequenceSeen, out *[]Command) {
-	if v.Sequence <= max(s.head.Sequence, s.wanted.Sequence) || now.Before(s.nextOfferAt) {
+	if v.Sequence <= max(s.head.Sequence, s.wanted.Sequence) || now.Before(s.noOfferBefore) {
 		return
 	}
-	s.nextOfferAt = now.Add(100 * time.Millisecond)
+	s.noOfferBefore = now.Add(100 * time.Millisecond)
 	*out = append(*out, Offer{To: v.Peer, Head: s.head})
 }
 
 // pollNeighbour compares heads with a random peer every pollInterval.
 func (s *Replicator) pollNeighbour(now time.Time, out *[]Command) {
-	if now.Before(s.nextOfferAt.Add(pollInterval)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
+	if now.Before(s.noOfferBefore.Add(pollInterval)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
 		return
 	}
-	s.nextOfferAt = now
+	s.noOfferBefore = now
 	all := slices.Concat(s.peers.SameRegion, s.peers.OtherRegions)
 	*out = append(*out, Offer{To: all[s.config.Random.IntN(len(all))], Head: s.head})
 }
@@ -181,7 +181,7 @@
 		s.wanted = h
 		s.sources = []Source{from}
 		s.fetches = map[pabundle.Digest]*fetch{}
-		s.traversal = traversal{held: map[pabundle.Digest][]byte{}}
+		s.traversal = traversal{pieces: map[pabundle.Digest][]byte{}}
 		s.visit(h.Digest)
 	}
 }
@@ -206,7 +206,7 @@
 
 // traversal is the state of the walk from the wanted head's digest through its pieces.
 type traversal struct {
-	held    map[pabundle.Digest][]byte
+	pieces  map[pabundle.Digest][]byte
 	missing []pabundle.Digest
 	err     error
 }
@@ -217,7 +217,7 @@
 	for len(open) > 0 && s.traversal.err == nil {
 		d := open[len(open)-1]
 		open = open[:len(open)-1]
-		if _, ok := s.traversal.held[d]; ok {
+		if _, ok := s.traversal.pieces[d]; ok {
 			continue
 		}
 		data, ok := s.held(d)
@@ -227,9 +227,9 @@
 			}
 			continue
 		}
-		s.traversal.held[d] = data
+		s.traversal.pieces[d] = data
 		children, err := s.config.Children(d == s.wanted.Digest, data)
-		if len(s.traversal.held)+len(s.traversal.missing)+len(children) > maxPieces {
+		if len(s.traversal.pieces)+len(s.traversal.missing)+len(children) > maxPieces {
 			err = trace.LimitExceeded("bundle %s has more than %d pieces", s.wanted.Digest, maxPieces)
 		}
 		s.traversal.err = err
@@ -334,7 +334,7 @@
 // adopt puts the wanted head in force and offers it to peers.
 func (s *Replicator) adopt(out *[]Command) {
 	s.head = s.wanted
-	s.previous, s.pieces = s.pieces, s.traversal.held
+	s.previous, s.pieces = s.pieces, s.traversal.pieces
 	*out = append(*out, Adopted{Head: s.head, Pieces: s.pieces})
 	s.offer(s.peers.SameRegion, localOffers, out)
 	s.offer(s.peers.OtherRegions, remoteOffers, out)
