--- a/palane/turn.go
+++ b/palane/turn.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// ErrConnectionEnded says that the caller left, or that an answer ahead closed the connection.
-var ErrConnectionEnded = errors.New("the caller's connection has ended")
+// ErrConnectionEnded reports that the client disconnected, or that the response to an earlier request closed the connection.
+var ErrConnectionEnded = errors.New("client connection has ended")
 
-// EarlierPending says that answers to requests before this one are not out yet.
+// EarlierPending reports whether responses to earlier requests on the connection are still pending.
 func (l *Lane) EarlierPending() bool {
 	if l == nil {
 		return false
@@ -21,7 +21,8 @@
 	}
 }
 
-// AwaitTurn waits until the answers to the requests before this one are out.
+// AwaitTurn waits until the responses to earlier requests on the connection have been sent. It fails with
+// ErrConnectionEnded or the error of ctx.
 func (l *Lane) AwaitTurn(ctx context.Context) error {
 	if l == nil {
 		return nil
@@ -34,47 +35,47 @@
 	select {
 	case <-l.turn:
 		return nil
-	case <-l.conn.left:
+	case <-l.conn.disconnected:
 		return ErrConnectionEnded
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// MayRunEarly says whether a request may run before its turn, as far as the answers allow that wait already.
+// MayRunEarly reports whether a request may run before its turn: the buffered responses are below their limits.
 func (l *Lane) MayRunEarly() bool {
 	if l == nil {
 		return true
 	}
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	return l.conn.held < heldMost && l.conn.listener.held.Load() < heldMostAll
+	return l.conn.buffered < maxBuffered && l.conn.listener.buffered.Load() < maxBufferedTotal
 }
 
-// CountBuffered counts an answer that waits for its turn.
+// CountBuffered adds bytes of the response to the buffered total if the response has to wait for its turn.
 func (l *Lane) CountBuffered(bytes int) {
 	if l == nil {
 		return
 	}
 	l.conn.mutex.Lock()
 	defer l.conn.mutex.Unlock()
-	if l.conn.under[0] == l || l.conn.hasLeft {
+	if l.conn.inFlight[0] == l || l.conn.hasDisconnected {
 		return
 	}
-	l.held += int64(bytes)
-	l.conn.held += int64(bytes)
-	l.conn.listener.held.Add(int64(bytes))
+	l.buffered += int64(bytes)
+	l.conn.buffered += int64(bytes)
+	l.conn.listener.buffered.Add(int64(bytes))
 }
 
-// release takes back what Hold counted; the mutex is held.
-func (l *Lane) release() {
-	l.conn.held -= l.held
-	l.conn.listener.held.Add(-l.held)
-	l.held = 0
+// releaseBuffered takes the lane's bytes out of the buffered totals. The mutex is held.
+func (l *Lane) releaseBuffered() {
+	l.conn.buffered -= l.buffered
+	l.conn.listener.buffered.Add(-l.buffered)
+	l.buffered = 0
 }
 
-// MarkLast says whether the answer may close the connection: it may if no further request was read, and then
-// none is.
+// MarkLast makes the request the last one of its connection, unless a later one has already been read. It reports
+// whether it did, in which case the response may close the connection.
 func (l *Lane) MarkLast() bool {
 	if l == nil {
 		return true
@@ -82,9 +83,9 @@
 	c := l.conn
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if n := len(c.under); n > 0 && c.under[n-1] != l {
+	if n := len(c.inFlight); n > 0 && c.inFlight[n-1] != l {
 		return false
 	}
-	c.last = true
+	c.stopped = true
 	return true
 }
--- a/paowner/command.go
+++ b/paowner/command.go
@@ -8,7 +8,8 @@
 	"papayahead/patarget"
 )
 
-// Configure takes a new bundle into force. What waits for a service that is gone is refused.
+// Configure applies the policy and the services of a new bundle. Requests that wait for a service
+// that the bundle no longer has are refused.
 func (o *Owner) Configure(now time.Time, p pabundle.Policy, services []pabundle.Service, into []Decision) []Decision {
 	o.config.Policy = p
 	before := slices.Clone(o.order)
@@ -21,19 +22,19 @@
 			t.Leave()
 		}
 		for i, ok := s.queue.Pop(); ok; i, ok = s.queue.Pop() {
-			into = o.drop(now, s, i, NoService, into)
+			into = o.refuseItem(now, s, i, NoService, into)
 		}
 	}
 	return into
 }
 
-// SetTargets says which targets the entry VM owns from now on. A target that is no longer among
-// them gets no new work; what runs there goes on.
-func (o *Owner) SetTargets(now time.Time, owned []Owned, into []Decision) []Decision {
+// SetTargets replaces the set of targets that the entry VM owns. A target that is not in the new
+// set gets no new requests; requests already running there continue.
+func (o *Owner) SetTargets(now time.Time, owned []OwnedTarget, into []Decision) []Decision {
 	keep := map[pabundle.TargetName]bool{}
 	for _, w := range owned {
 		keep[w.Target.Name] = true
-		o.own(now, w)
+		o.addTarget(now, w)
 	}
 	for _, s := range o.order {
 		s.targets = slices.DeleteFunc(s.targets, func(t *target) bool {
@@ -45,12 +46,13 @@
 			o.dropped = append(o.dropped, t)
 			return true
 		})
-		into = o.pump(now, s, into)
+		into = o.dispatch(now, s, into)
 	}
 	return into
 }
 
-func (o *Owner) own(now time.Time, w Owned) {
+// addTarget starts to own a target, or updates the slots and connections of one already owned.
+func (o *Owner) addTarget(now time.Time, w OwnedTarget) {
 	s := o.services[w.Service]
 	if s == nil {
 		return
@@ -68,86 +70,90 @@
 	n.Slots = w.Target.Slots
 	n.Connections = w.Connections
 	n.Ramp = o.config.Tuning.Ramp
-	n.Takeover = s.takeover()
+	n.Takeover = s.takeoverWait()
 	n.Start(now, w.Join, w.Running)
 	if w.Leaving {
 		n.Leave()
 	}
-	n.told = n.Phase()
+	n.reported = n.Phase()
 	if t != nil {
-		o.adopt(t, n)
+		o.moveRequests(t, n)
 	}
 	o.targets[n.name] = n
 	s.targets = append(s.targets, n)
 }
 
-// adopt moves what still runs at a target to the new state of it. Failure: a target is given up and
-// comes back before its requests have ended; it shows as more requests there than slots.
-func (o *Owner) adopt(from, to *target) {
+// moveRequests transfers the requests that still run at a target to the new state of the same
+// target. Without it, a target that is given up and assigned again before its requests have ended
+// would run more requests than it has slots.
+func (o *Owner) moveRequests(from, to *target) {
 	to.Adopt(&from.Target)
-	for _, f := range o.flights {
-		if f.target == from {
-			f.target = to
+	for _, rs := range o.requests {
+		if rs.target == from {
+			rs.target = to
 		}
 	}
 }
 
-// Leaving says that a target is about to stop, by the VM list or by observation; it gets no new
-// work from here on. What waits is not bound to a target, so that it goes to the others.
-func (o *Owner) Leaving(now time.Time, name pabundle.TargetName, into []Decision) []Decision {
+// MarkLeaving records that a target is about to stop, as known from the VM list or by observation;
+// the target gets no new requests. Queued requests are not bound to a target, so that they go to
+// the other ones.
+func (o *Owner) MarkLeaving(now time.Time, name pabundle.TargetName, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
 		return into
 	}
 	t.Leave()
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
-// Report takes a target's own report of its load.
+// Report records the load that a target reported about itself.
 func (o *Owner) Report(now time.Time, name pabundle.TargetName, l patarget.Load, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
 		return into
 	}
 	t.Report(now, l)
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
-// Release takes a former owner's word that n of its requests at a target have ended.
+// Release records that n requests of a target's former owner have ended and frees their slots.
 func (o *Owner) Release(now time.Time, name pabundle.TargetName, n int, into []Decision) []Decision {
 	t := o.targets[name]
 	if t == nil {
 		return into
 	}
 	t.Target.Release(n)
-	return o.pump(now, t.service, into)
+	return o.dispatch(now, t.service, into)
 }
 
-// SetRoom says how much the entry VM itself can hold.
-func (o *Owner) SetRoom(r Room) { o.room = r }
+// SetLimits sets how many requests and bytes the entry VM itself may hold.
+func (o *Owner) SetLimits(r Limits) { o.limits = r }
 
-// Stop refuses every new request from here on; what is held goes on to its end.
+// Stop makes Offer refuse every new request; requests already accepted run to their end.
 func (o *Owner) Stop() { o.stopping = true }
 
-// Tick lets time pass: it refuses what cannot end in time any more, starts what targets have room
-// for again, and probes. Call it at NextTick or every few milliseconds.
+// Tick applies all changes that are due by now: it refuses queued requests that can no longer
+// complete in time, starts queued requests on freed slots, and probes targets. It has to be called
+// at NextTick or every few milliseconds.
 func (o *Owner) Tick(now time.Time, into []Decision) []Decision {
-	o.collect(now)
+	o.removeIdleDropped(now)
 	for _, s := range o.order {
 		for _, t := range s.targets {
 			t.Tick(now)
-			into = o.probe(now, t, into)
+			into = o.probeIfNeeded(now, t, into)
 		}
-		s.retry(now)
-		into = o.pump(now, s, into)
+		s.tryEjected(now)
+		into = o.dispatch(now, s, into)
 	}
 	return into
 }
 
-// retry gives failing targets an early trial when the service has no other left. Failure: the good
-// targets leave while the rest is ejected; it shows as a service that refuses all for up to
-// patarget.EjectMost. A trial is one request at a time, so that it is safe as often as once a second.
-func (s *service) retry(now time.Time) {
+// tryEjected gives ejected targets an early trial when the service has no usable target left.
+// Otherwise, if the healthy targets leave while the rest are ejected, the service refuses all
+// requests for up to patarget.EjectMost. A trial sends one request at a time, so that it is safe as
+// often as once a second.
+func (s *service) tryEjected(now time.Time) {
 	if s.slots(now) > 0 {
 		return
 	}
--- a/paplatform/memory_change.go
+++ b/paplatform/memory_change.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Inject adds a fault to those in force; an outage ends all waiting watches that it matches.
+// Inject adds injections to the active ones. An outage ends the waiting watches that it matches.
 func (m *MemoryStore) Inject(i ...Injection) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = append(m.injections, i...)
-	m.wake()
+	m.notifyWatches()
 }
 
-// ClearInjections removes all injected faults.
+// ClearInjections removes all injections.
 func (m *MemoryStore) ClearInjections() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.injections = nil
-	m.wake()
+	m.notifyWatches()
 }
 
-// wake lets waiting watches look again; the mutex is held.
-func (m *MemoryStore) wake() {
+// notifyWatches makes waiting watches check for changes and outages. The mutex is held.
+func (m *MemoryStore) notifyWatches() {
 	if m.changed != nil {
 		close(m.changed)
 	}
 	m.changed = make(chan struct{})
 }
 
-// count records a call; the mutex is held.
-func (m *MemoryStore) count(c Caller, o Operation) {
+// countCall counts a call. The mutex is held.
+func (m *MemoryStore) countCall(c Caller, o Operation) {
 	if m.counts.Calls == nil {
 		m.counts.Calls = map[Operation]uint64{}
 		m.counts.ByCaller = map[Caller]uint64{}
@@ -40,8 +40,8 @@
 	m.counts.ByCaller[c]++
 }
 
-// injected returns the fault that a call meets and uses it up; the mutex is held.
-func (m *MemoryStore) injected(c Caller, o Operation, key Key) (Injection, bool) {
+// takeInjection returns the first injection that matches a call and counts it as used once. The mutex is held.
+func (m *MemoryStore) takeInjection(c Caller, o Operation, key Key) (Injection, bool) {
 	for n, i := range m.injections {
 		if !i.matches(c, o, key) {
 			continue
@@ -57,68 +57,68 @@
 	return Injection{}, false
 }
 
-// call runs one operation under the injected faults; effect runs with the mutex held.
+// call runs one operation subject to the injections. effect runs with the mutex held.
 func (m *MemoryStore) call(ctx context.Context, c Caller, o Operation, key Key, effect func() error) error {
 	m.mutex.Lock()
-	m.count(c, o)
-	i, hit := m.injected(c, o, key)
+	m.countCall(c, o)
+	i, hit := m.takeInjection(c, o, key)
 	m.mutex.Unlock()
 	if !hit {
 		return m.apply(ctx, o, key, effect)
 	}
-	lost := Unavailable
-	if o.writes() {
-		lost = Unknown
+	lostFault := Unavailable
+	if o.isWrite() {
+		lostFault = Unknown
 	}
 	switch i.Effect {
 	case Outage:
-		return fail(Unavailable, key, "outage")
+		return errorf(Unavailable, key, "outage")
 	case LostBefore:
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case LostAfter:
 		_ = m.apply(ctx, o, key, effect)
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case LostLate:
 		m.Clock.AfterFunc(i.Delay.Duration, func() { _ = m.apply(context.WithoutCancel(ctx), o, key, effect) })
-		return fail(lost, key, "reply lost")
+		return errorf(lostFault, key, "reply lost")
 	case Slow:
 		select {
 		case <-m.Clock.After(i.Delay.Duration):
 		case <-ctx.Done():
-			return fail(lost, key, "%v", context.Cause(ctx))
+			return errorf(lostFault, key, "%v", context.Cause(ctx))
 		}
 	}
 	return m.apply(ctx, o, key, effect)
 }
 
-// apply lets an operation take effect unless the caller has given up before.
+// apply runs effect with the mutex held, after ending expired leases. It fails with Unavailable if ctx has ended.
 func (m *MemoryStore) apply(ctx context.Context, _ Operation, key Key, effect func() error) error {
 	if ctx.Err() != nil {
-		return fail(Unavailable, key, "%v", context.Cause(ctx))
+		return errorf(Unavailable, key, "%v", context.Cause(ctx))
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.expire()
+	m.expireLeases()
 	return effect()
 }
 
-// expire ends the leases whose time is over; the mutex is held.
-func (m *MemoryStore) expire() {
+// expireLeases ends the expired leases. The mutex is held.
+func (m *MemoryStore) expireLeases() {
 	now := m.Clock.Now()
 	for id, l := range m.leases {
-		if !now.Before(l.ends) {
-			m.end(id)
+		if !now.Before(l.expires) {
+			m.endLease(id)
 		}
 	}
 }
 
-// end deletes a lease and its values; the mutex is held.
-func (m *MemoryStore) end(id LeaseID) {
+// endLease deletes a lease and its values. The mutex is held.
+func (m *MemoryStore) endLease(id LeaseID) {
 	l, ok := m.leases[id]
 	if !ok {
 		return
 	}
-	l.stop()
+	l.stopTimer()
 	delete(m.leases, id)
 	for k, c := range m.values {
 		if c.Lease == id && !c.Deleted {
@@ -127,7 +127,7 @@
 	}
 }
 
-// write puts a change under the next revision; the mutex is held.
+// write stores a change under the next revision and notifies watches. The mutex is held.
 func (m *MemoryStore) write(key Key, c Change) Revision {
 	if m.values == nil {
 		m.values = map[Key]Change{}
@@ -141,40 +141,40 @@
 		c.Created = m.revision
 	}
 	m.values[key] = c
-	m.wake()
+	m.notifyWatches()
 	return m.revision
 }
 
-// swap is the effect of CompareAndSwap and Delete. The expected revision is the fence: a holder
-// that was paused past its lease still writes with the revision it knew, which is never current
-// again once the lease's end deleted the value or another holder wrote it.
+// swap is the effect of CompareAndSwap and Delete. The expected revision is the fencing token: a lease holder
+// that was paused past its lease still writes with the revision it knows, which is never current again once
+// the end of the lease has deleted the value or another holder has written it. The mutex is held.
 func (m *MemoryStore) swap(key Key, expected Revision, c Change) (Revision, error) {
 	if c.Lease != "" && m.leases[c.Lease] == nil {
-		return 0, fail(LeaseLapsed, key, "lease %s has ended", c.Lease)
+		return 0, errorf(LeaseLapsed, key, "lease %s has ended", c.Lease)
 	}
 	v, _ := m.read(key)
 	if v.Revision != expected {
-		return 0, fail(Conflict, key, "at revision %d, expected %d", v.Revision, expected)
+		return 0, errorf(Conflict, key, "at revision %d, expected %d", v.Revision, expected)
 	}
 	m.counts.Bytes += uint64(len(c.Data))
 	return m.write(key, c), nil
 }
 
-// hold starts or restarts the time of a lease; the mutex is held.
-func (m *MemoryStore) hold(id LeaseID, ttl time.Duration) {
+// startLease starts or renews a lease. The mutex is held.
+func (m *MemoryStore) startLease(id LeaseID, ttl time.Duration) {
 	if m.leases == nil {
 		m.leases = map[LeaseID]*lease{}
 	}
 	if l := m.leases[id]; l != nil {
-		l.stop()
+		l.stopTimer()
 	}
-	t := m.Clock.AfterFunc(ttl, m.sweep)
-	m.leases[id] = &lease{ttl: ttl, ends: m.Clock.Now().Add(ttl), stop: t.Stop}
+	t := m.Clock.AfterFunc(ttl, m.expireOnTimer)
+	m.leases[id] = &lease{ttl: ttl, expires: m.Clock.Now().Add(ttl), stopTimer: t.Stop}
 }
 
-// sweep ends lapsed leases without a call, so that watches hear of it.
-func (m *MemoryStore) sweep() {
+// expireOnTimer ends expired leases at the end of a lease's ttl, so that watches are notified without a further call.
+func (m *MemoryStore) expireOnTimer() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.expire()
+	m.expireLeases()
 }
--- a/paqueue/query.go
+++ b/paqueue/query.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Length returns the number of items that wait.
-func (q *Queue) Length() int { return len(q.items) }
+// Len returns the number of queued items.
+func (q *Queue) Len() int { return len(q.items) }
 
-// Work returns the sum of the predicted costs of what waits.
+// Work returns the sum of the predicted costs of all queued items.
 func (q *Queue) Work() time.Duration { return q.work }
 
-// Stands says whether the queue has been long for longer than its Interval.
-func (q *Queue) Stands() bool { return q.standing }
+// Standing says whether the queue counts as a standing queue, which Observe decides.
+func (q *Queue) Standing() bool { return q.standing }
 
-// Backlog returns how long the given number of slots needs for what waits.
-func (q *Queue) Backlog(slots int) time.Duration {
+// DrainTime returns how long the given number of slots needs to run all queued items.
+func (q *Queue) DrainTime(slots int) time.Duration {
 	return q.work / time.Duration(max(1, slots))
 }
 
-// Ahead returns the work that would run before the item.
-func (q *Queue) Ahead(i Item) time.Duration {
+// WorkAhead returns the sum of the costs of the queued items that would run before the item.
+func (q *Queue) WorkAhead(i Item) time.Duration {
 	i.Flow %= Flows
-	e := entry{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
+	e := queuedItem{Item: i, sequence: q.sequence + 1, rank: q.rank(i)}
 	var sum time.Duration
 	for n := range q.items {
-		if q.items[n].before(&e) {
+		if q.items[n].runsBefore(&e) {
 			sum += q.items[n].Cost
 		}
 	}
 	return sum
 }
 
-// Bound returns the longest wait that an item may be admitted to: short while the queue stands,
-// else up to its deadline.
-func (q *Queue) Bound(now time.Time, i Item) time.Duration {
+// MaxWait returns the longest predicted wait with which an item may be admitted: the time left before
+// its deadline, and at most StandingWait while the queue is standing.
+func (q *Queue) MaxWait(now time.Time, i Item) time.Duration {
 	left := i.Deadline.Sub(now) - i.Cost
 	if q.standing {
-		return min(left, q.standingWait())
+		return min(left, q.standingWaitOrDefault())
 	}
 	return left
 }
 
-// NextChange returns when the queue has to be looked at next: when an item can no longer end in
-// time, or when it has stood for its Interval; ok is false when it is empty.
+// NextChange returns the earliest time at which a queued item can no longer complete before its deadline,
+// so that Expire removes it; ok is false for an empty queue.
 func (q *Queue) NextChange() (next time.Time, ok bool) {
 	for n := range q.items {
 		u := q.items[n].Deadline.Add(-q.items[n].Cost + 1)
@@ -54,20 +54,20 @@
 	return next, true
 }
 
-func (q *Queue) next() int {
+func (q *Queue) nextIndex() int {
 	best := -1
 	for n := range q.items {
-		if best < 0 || q.items[n].before(&q.items[best]) {
+		if best < 0 || q.items[n].runsBefore(&q.items[best]) {
 			best = n
 		}
 	}
 	return best
 }
 
-func (q *Queue) last() int {
+func (q *Queue) lastIndex() int {
 	worst := -1
 	for n := range q.items {
-		if worst < 0 || q.items[worst].before(&q.items[n]) {
+		if worst < 0 || q.items[worst].runsBefore(&q.items[n]) {
 			worst = n
 		}
 	}
@@ -81,19 +81,20 @@
 	return DefaultLimit
 }
 
-func (q *Queue) standingWait() time.Duration {
-	if q.Standing > 0 {
-		return q.Standing
+func (q *Queue) standingWaitOrDefault() time.Duration {
+	if q.StandingWait > 0 {
+		return q.StandingWait
 	}
-	return DefaultStanding
+	return DefaultStandingWait
 }
 
-// patience is how long the wait has to stay high or low before it counts.
-func (q *Queue) patience() time.Duration {
-	if q.over {
+// confirmTime returns how long the wait has to stay on one side of Observe's bound before Observe changes
+// whether the queue is standing.
+func (q *Queue) confirmTime() time.Duration {
+	if q.aboveBound {
 		return q.interval()
 	}
-	return min(Calm, q.interval())
+	return min(ExitInterval, q.interval())
 }
 
 func (q *Queue) interval() time.Duration {
