--- a/pamember/beat.go
+++ b/pamember/beat.go
@@ -8,111 +8,112 @@
 	"papayahead/pabundle"
 )
 
-// freshness follows numbers that only rise: the beats of zones, or of contacts with regions. A number that stands
-// still for its limit is lost; it is found again when it rises after that for a probation.
-type freshness struct {
-	items map[uint32]*beat
-	// order holds the beats by rising group.
-	order []*beat
+// heartbeatTracker follows counters that only rise: the heartbeats of zones, or of direct contacts with regions. A group
+// whose counter does not rise for staleAfter is lost; it is found again once its counter has risen for the probation.
+type heartbeatTracker struct {
+	byGroup map[uint32]*heartbeat
+	// order holds the heartbeats sorted by group.
+	order []*heartbeat
 }
 
-type beat struct {
-	group    uint32
-	value    uint64
-	name     string
-	limit    time.Duration
-	advanced time.Time
-	// since is when a lost beat was lost, returned when it began to come again.
-	lost            bool
-	since, returned time.Time
+type heartbeat struct {
+	group      uint32
+	value      uint64
+	name       string
+	staleAfter time.Duration
+	advanced   time.Time
+	// lostAt is when a lost heartbeat was lost, recoveringSince when it began to rise again.
+	lost                    bool
+	lostAt, recoveringSince time.Time
 }
 
-// follow begins to follow a group.
-func (f *freshness) follow(now time.Time, name string, limit time.Duration) *beat {
-	if f.items == nil {
-		f.items = map[uint32]*beat{}
+// track returns the heartbeat of a group, which it starts to track if it is new.
+func (f *heartbeatTracker) track(now time.Time, name string, limit time.Duration) *heartbeat {
+	if f.byGroup == nil {
+		f.byGroup = map[uint32]*heartbeat{}
 	}
 	g := group(name)
-	if b := f.items[g]; b != nil {
+	if b := f.byGroup[g]; b != nil {
 		return b
 	}
-	b := &beat{group: g, name: name, limit: limit, advanced: now}
-	f.items[g] = b
-	i, _ := slices.BinarySearchFunc(f.order, g, func(b *beat, g uint32) int { return cmp.Compare(b.group, g) })
+	b := &heartbeat{group: g, name: name, staleAfter: limit, advanced: now}
+	f.byGroup[g] = b
+	i, _ := slices.BinarySearchFunc(f.order, g, func(b *heartbeat, g uint32) int { return cmp.Compare(b.group, g) })
 	f.order = slices.Insert(f.order, i, b)
 	return b
 }
 
-// hear takes in a value that a peer knows.
-func (f *freshness) hear(now time.Time, g GroupBeat) {
-	b := f.items[g.Group]
-	if b == nil || g.Beat <= b.value || g.Beat > uint64(MaxIncarnation) {
+// observe applies a counter received from a peer; lower and out-of-range values are ignored.
+func (f *heartbeatTracker) observe(now time.Time, g GroupHeartbeat) {
+	b := f.byGroup[g.Group]
+	if b == nil || g.Counter <= b.value || g.Counter > uint64(MaxIncarnation) {
 		return
 	}
-	b.value = g.Beat
+	b.value = g.Counter
 	b.advanced = now
 }
 
-// raise lifts a number by the clock. It never falls behind what is known, so that a new process with a slow clock, or
-// the death of one with a fast clock, does not make the number stand still.
-func (f *freshness) raise(now time.Time, g uint32) {
-	b := f.items[g]
-	f.hear(now, GroupBeat{Group: g, Beat: max(b.value+1, uint64(now.Unix()))})
+// increment sets a counter to the clock's seconds, or to one more than the known value if that is higher. A process with
+// a slow clock, or the death of one with a fast clock, thus doesn't stop the counter from rising.
+func (f *heartbeatTracker) increment(now time.Time, g uint32) {
+	b := f.byGroup[g]
+	f.observe(now, GroupHeartbeat{Group: g, Counter: max(b.value+1, uint64(now.Unix()))})
 }
 
-// check moves a beat between lost and found, and reports whether it did and whether it fell silent or was heard again.
-func (b *beat) check(now time.Time) (moved, heard bool) {
-	stale := now.Sub(b.advanced) > b.limit
+// check updates whether a heartbeat is lost, and reports whether that changed and whether silent changed.
+func (b *heartbeat) check(now time.Time) (lostChanged, silentChanged bool) {
+	stale := now.Sub(b.advanced) > b.staleAfter
 	silent := b.silent()
 	switch {
 	case !b.lost && stale:
-		b.lost, b.since, b.returned = true, now, time.Time{}
-		moved = true
+		b.lost, b.lostAt, b.recoveringSince = true, now, time.Time{}
+		lostChanged = true
 	case b.lost && stale:
-		b.returned = time.Time{}
-	case b.lost && b.returned.IsZero():
-		b.returned = now
-	case b.lost && now.Sub(b.returned) >= probation:
+		b.recoveringSince = time.Time{}
+	case b.lost && b.recoveringSince.IsZero():
+		b.recoveringSince = now
+	case b.lost && now.Sub(b.recoveringSince) >= probation:
 		b.lost = false
-		moved = true
+		lostChanged = true
 	}
-	return moved, silent != b.silent()
+	return lostChanged, silent != b.silent()
 }
 
-// silent reports whether the group is lost and not even in its probation.
-func (b *beat) silent() bool { return b.lost && b.returned.IsZero() }
+// silent reports whether the group is lost and its probation has not begun.
+func (b *heartbeat) silent() bool { return b.lost && b.recoveringSince.IsZero() }
 
-// shift begins all waiting anew.
-func (f *freshness) shift(now time.Time) {
-	for _, b := range f.items {
+// restartTimers restarts the staleness timers of all groups.
+func (f *heartbeatTracker) restartTimers(now time.Time) {
+	for _, b := range f.byGroup {
 		b.advanced = now
 	}
 }
 
-func (f *freshness) lost(g uint32) bool {
-	b := f.items[g]
+func (f *heartbeatTracker) lost(g uint32) bool {
+	b := f.byGroup[g]
 	return b != nil && b.lost
 }
 
-// list returns the values that are known of groups with at most a limit: nearStale for the zones of the own region.
-func (f *freshness) list(limit time.Duration) []GroupBeat {
-	all := make([]GroupBeat, 0, len(f.order))
+// counters returns the known counters of the groups whose staleAfter is at most limit: localStaleAfter selects the
+// zones of the own region.
+func (f *heartbeatTracker) counters(limit time.Duration) []GroupHeartbeat {
+	all := make([]GroupHeartbeat, 0, len(f.order))
 	for _, b := range f.order {
-		if b.value > 0 && b.limit <= limit {
-			all = append(all, GroupBeat{Group: b.group, Beat: b.value})
+		if b.value > 0 && b.staleAfter <= limit {
+			all = append(all, GroupHeartbeat{Group: b.group, Counter: b.value})
 		}
 	}
 	return all[:min(len(all), maxGroups)]
 }
 
-// beat raises the own zone's beat and looks for zones that fell silent or came back.
-func (m *Member) beat(now time.Time, out *Output) {
+// updateHeartbeats increments the own zone's counter and reports the zones that were lost or found.
+func (m *Member) updateHeartbeats(now time.Time, out *Output) {
 	own := string(m.self.Zone)
-	m.zones.follow(now, own, nearStale)
-	if m.self.State != Left && m.isDue(now, &m.due.beat, Round) {
-		m.zones.raise(now, group(own))
+	m.zoneHeartbeats.track(now, own, localStaleAfter)
+	if m.self.State != Left && m.isDue(now, &m.schedule.heartbeat, Round) {
+		m.zoneHeartbeats.increment(now, group(own))
 	}
-	for _, b := range m.zones.order {
+	for _, b := range m.zoneHeartbeats.order {
 		if b.name == own {
 			continue
 		}
@@ -128,24 +129,24 @@
 			out.changed(ZoneFound{Zone: pabundle.ZoneName(b.name)})
 		}
 	}
-	for _, b := range m.contacts.order {
+	for _, b := range m.contactHeartbeats.order {
 		if moved, _ := b.check(now); moved {
 			m.version++
 		}
 	}
 }
 
-// followZone begins to follow the zone of a new member.
-func (m *Member) followZone(now time.Time, d Identity) *beat {
-	limit := farStale
+// trackZone tracks the zone of a new member and, for another region, the contact with that region.
+func (m *Member) trackZone(now time.Time, d Identity) *heartbeat {
+	limit := remoteStaleAfter
 	if d.Region == m.self.Region {
-		limit = nearStale
+		limit = localStaleAfter
 	} else {
-		m.contacts.follow(now, string(d.Region), contactStale)
+		m.contactHeartbeats.track(now, string(d.Region), contactStaleAfter)
 	}
-	return m.zones.follow(now, string(d.Zone), limit)
+	return m.zoneHeartbeats.track(now, string(d.Zone), limit)
 }
 
-// contactStale is how long a region may go without a message straight from another before the two count as apart.
-// A region's three relays reach each of 25 others every eight seconds and are reached as often.
-const contactStale = 30 * time.Second
+// contactStaleAfter is how long a region may go without a direct message from another before their direct contact counts
+// as lost. A region's three relays contact each of 25 other regions every eight seconds, and are contacted as often.
+const contactStaleAfter = 30 * time.Second
--- a/pamember/event.go
+++ b/pamember/event.go
@@ -6,39 +6,39 @@
 	"papayahead/pabundle"
 )
 
-// Event is something that a Member is told.
+// Event is an input of Member.Step.
 type Event interface{ event() }
 
-// Tick says that time has passed; it is due every TickInterval.
+// Tick drives the timers; the caller sends one every TickInterval.
 type Tick struct{}
 
-// Received is a message from a peer; it may be anything that the network delivers.
+// Received is a message from a peer; it is untrusted.
 type Received struct{ Message Message }
 
-// Seeds is the platform's VM list, in whole.
+// Seeds replaces the seed list by the platform's complete VM list.
 type Seeds struct{ List []Seed }
 
-// SetFacts replaces the member's own facts; the Member sets the stamp.
-type SetFacts struct{ Facts Facts }
+// SetLoadReport replaces the member's own load report; the Member sets the stamp.
+type SetLoadReport struct{ Report LoadReport }
 
-// SetAdvert says which configuration the daemon has in force.
-type SetAdvert struct{ Advert Advert }
+// SetConfigVersion says which configuration the daemon has in force.
+type SetConfigVersion struct{ Config ConfigVersion }
 
-// Leave announces a planned stop; the member keeps answering and is Leaving.
+// Leave announces a planned stop; the member becomes Leaving and keeps answering messages.
 type Leave struct{}
 
-// Depart ends the membership for good after Leave, when nothing runs any more.
-type Depart struct{}
+// FinishLeave ends the membership after Leave, once no request is running; the member becomes Left.
+type FinishLeave struct{}
 
-func (Tick) event()      {}
-func (Received) event()  {}
-func (Seeds) event()     {}
-func (SetFacts) event()  {}
-func (SetAdvert) event() {}
-func (Leave) event()     {}
-func (Depart) event()    {}
+func (Tick) event()             {}
+func (Received) event()         {}
+func (Seeds) event()            {}
+func (SetLoadReport) event()    {}
+func (SetConfigVersion) event() {}
+func (Leave) event()            {}
+func (FinishLeave) event()      {}
 
-// Change is something that the caller of Step has to know of.
+// Change is a change of the membership that Step reports to its caller.
 type Change interface{ change() }
 
 // StateChanged says that a member is new or its record changed state.
@@ -48,32 +48,32 @@
 	Old, New State
 }
 
-// ZoneLost says that there is no sign of a zone any more: its members are Unreachable.
+// ZoneLost says that a zone's heartbeat is stale: its members are Unreachable.
 type ZoneLost struct{ Zone pabundle.ZoneName }
 
-// ZoneFound says that a lost zone is back, after a probation.
+// ZoneFound says that a lost zone's heartbeat has risen again for the whole probation.
 type ZoneFound struct{ Zone pabundle.ZoneName }
 
-// Thawed says that the process stood still for Gap: leases, credits and readings from before are void.
-type Thawed struct{ Gap time.Duration }
+// PauseDetected says that the process did not run for Gap: leases, credits and measurements from before are void.
+type PauseDetected struct{ Gap time.Duration }
 
-// Refuted says that the member contradicted others who took it for dead or suspected it.
-type Refuted struct{ Said State }
+// Refuted says that the member refuted a record in which others claimed it Suspected or Dead.
+type Refuted struct{ Claimed State }
 
-// AdvertSeen says that a peer has a configuration with a higher sequence than the one set.
-type AdvertSeen struct {
+// NewerConfigSeen says that a peer has a configuration with a higher sequence than the one set.
+type NewerConfigSeen struct {
 	From   Identity
-	Advert Advert
+	Config ConfigVersion
 }
 
-func (StateChanged) change() {}
-func (ZoneLost) change()     {}
-func (ZoneFound) change()    {}
-func (Thawed) change()       {}
-func (Refuted) change()      {}
-func (AdvertSeen) change()   {}
+func (StateChanged) change()    {}
+func (ZoneLost) change()        {}
+func (ZoneFound) change()       {}
+func (PauseDetected) change()   {}
+func (Refuted) change()         {}
+func (NewerConfigSeen) change() {}
 
-// Output is what a Step decided.
+// Output holds the messages to send and the changes made by one Step.
 type Output struct {
 	Send    []Envelope
 	Changes []Change
--- a/pamember/probe.go
+++ b/pamember/probe.go
@@ -8,14 +8,14 @@
 	"papayahead/pabundle"
 )
 
-// probes is the failure detection of one daemon over the members of its zone.
+// probes is the failure detector of one daemon for the members of its zone.
 type probes struct {
 	pending []*probe
 	relayed []relayedPing
 	nonce   uint64
-	// health counts own troubles, 0 (none) to maxHealth. Who misses the answers of all helpers as well is likely in
-	// trouble itself: it probes more slowly and waits longer, instead of accusing the others. One that reports is
-	// enough to rule that out: after a rack's loss half of the helpers are silent as well.
+	// health is a local health score from 0 (healthy) to maxHealth. A daemon that misses the answers of all helpers too
+	// is probably at fault itself, so it probes more slowly and waits longer instead of accusing others. An answer of
+	// one helper rules that out: after the loss of a rack half of the helpers are silent as well.
 	health int
 }
 
@@ -25,8 +25,8 @@
 	deadline time.Time
 	indirect bool
 	round    int
-	// helped says that a helper reported, also that it got no answer.
-	helped bool
+	// helperReplied says that a helper answered, if only with a Nack.
+	helperReplied bool
 }
 
 // relayedPing is a ping sent on behalf of another daemon.
@@ -36,46 +36,47 @@
 	deadline      time.Time
 }
 
-// suspicion is a member's time to refute.
+// suspicion is the time that a member has to refute, and who accused it.
 type suspicion struct {
 	started  time.Time
 	accusers []pabundle.EntryName
-	// unjudged says that the time is over, but that this daemon hears nobody and so does not judge.
-	unjudged bool
+	// undecided says that the time is over, but that this daemon has heard from nobody and so does not declare the
+	// member dead.
+	undecided bool
 }
 
-// timeToRefute is how long a suspected member has. One that this daemon never heard from gets the minimum: it is known
-// from others' records only, as after a zone's restart, when most of those who are suspected are dead.
-func (m *Member) timeToRefute(e *entry) time.Duration {
-	if e.heard.IsZero() {
-		return m.probes.slowed(suspectMin)
+// suspicionTimeout returns how long a suspected member has to refute. One that this daemon never heard from gets the
+// minimum: it is known only from others' records, as after the restart of a zone, when most suspected members are dead.
+func (m *Member) suspicionTimeout(e *entry) time.Duration {
+	if e.lastHeard.IsZero() {
+		return m.probes.scaleTimeout(minSuspicion)
 	}
-	return m.probes.slowed(e.suspicion.timeout(len(m.index.zone)))
+	return m.probes.scaleTimeout(e.suspicion.timeout(len(m.index.zone)))
 }
 
-// timeout falls from suspectMax to suspectMin with the logarithm of the further accusers.
+// timeout falls from maxSuspicion to minSuspicion with the logarithm of the number of further accusers.
 func (s *suspicion) timeout(others int) time.Duration {
-	need := min(accusers, others-1)
+	need := min(extraAccusers, others-1)
 	if need < 1 {
-		return suspectMin
+		return minSuspicion
 	}
 	further := float64(min(len(s.accusers)-1, need))
 	part := math.Log(further+1) / math.Log(float64(need)+1)
-	return suspectMax - time.Duration(part*float64(suspectMax-suspectMin))
+	return maxSuspicion - time.Duration(part*float64(maxSuspicion-minSuspicion))
 }
 
-func (p *probes) slowed(d time.Duration) time.Duration { return d * time.Duration(1+p.health) }
+func (p *probes) scaleTimeout(d time.Duration) time.Duration { return d * time.Duration(1+p.health) }
 
-func (p *probes) ail()  { p.health = min(p.health+1, maxHealth) }
-func (p *probes) heal() { p.health = max(p.health-1, 0) }
+func (p *probes) degrade() { p.health = min(p.health+1, maxHealth) }
+func (p *probes) improve() { p.health = max(p.health-1, 0) }
 
-func (p *probes) next() uint64 {
+func (p *probes) nextNonce() uint64 {
 	p.nonce++
 	return p.nonce
 }
 
 // probeNext probes the next member of the zone in a shuffled order, which bounds the time until each is probed, and
-// some members that were never heard from: after a zone's restart those are the likely dead.
+// some members that were never heard from: after the restart of a zone those are the ones likely to be dead.
 func (m *Member) probeNext(now time.Time, out *Output) {
 	zone := m.index.zone
 	if len(zone) == 0 {
@@ -85,7 +86,7 @@
 	m.startProbe(now, zone[m.index.nextZone], 1, out)
 	extra := 0
 	for _, e := range zone {
-		if extra < newcomers && e.heard.IsZero() && m.startProbe(now, e, 1, out) {
+		if extra < unheardProbes && e.lastHeard.IsZero() && m.startProbe(now, e, 1, out) {
 			extra++
 		}
 	}
@@ -95,13 +96,13 @@
 	if slices.ContainsFunc(m.probes.pending, func(p *probe) bool { return p.target == e }) {
 		return false
 	}
-	p := &probe{target: e, nonce: m.probes.next(), round: round, deadline: now.Add(m.probes.slowed(pingTimeout))}
+	p := &probe{target: e, nonce: m.probes.nextNonce(), round: round, deadline: now.Add(m.probes.scaleTimeout(pingTimeout))}
 	m.probes.pending = append(m.probes.pending, p)
-	m.send(out, e, m.message(Ping, p.nonce))
+	m.send(out, e, m.newMessage(Ping, p.nonce))
 	return true
 }
 
-// expireProbes moves probes without an answer on: to helpers, to the next round, to a suspicion.
+// expireProbes advances probes whose deadline has passed: to indirect pings, to the next round, to a suspicion.
 func (m *Member) expireProbes(now time.Time, out *Output) {
 	var failed []*probe
 	kept := m.probes.pending[:0]
@@ -119,8 +120,8 @@
 	}
 	m.probes.pending = kept
 	for _, p := range failed {
-		if !p.helped {
-			m.probes.ail()
+		if !p.helperReplied {
+			m.probes.degrade()
 		}
 		if p.round < probeRounds {
 			m.startProbe(now, p.target, p.round+1, out)
@@ -138,22 +139,23 @@
 			kept = append(kept, r)
 			continue
 		}
-		r.to.Message = m.message(Nack, r.origin)
+		r.to.Message = m.newMessage(Nack, r.origin)
 		out.Send = append(out.Send, r.to)
 	}
 	m.probes.relayed = kept
 }
 
-// askHelpers pings once more and has some other members do so, which tells a dead member from a bad link to it.
+// askHelpers pings the target once more and asks other members to ping it too, which tells a dead member from a bad
+// link to it.
 func (m *Member) askHelpers(now time.Time, p *probe, out *Output) {
 	p.indirect = true
-	p.deadline = now.Add(m.probes.slowed(helpTimeout))
-	m.send(out, p.target, m.message(Ping, p.nonce))
+	p.deadline = now.Add(m.probes.scaleTimeout(indirectTimeout))
+	m.send(out, p.target, m.newMessage(Ping, p.nonce))
 	asked := []*entry{p.target}
 	for range 3 * helpers {
-		// Of two draws the one heard from later: after a rack's loss it is more likely to be there.
+		// Prefer the more recently heard of two random members: after the loss of a rack it is more likely to be alive.
 		e := pick(m.random, m.index.region)
-		if o := pick(m.random, m.index.region); e != nil && o.heard.After(e.heard) {
+		if o := pick(m.random, m.index.region); e != nil && o.lastHeard.After(e.lastHeard) {
 			e = o
 		}
 		if len(asked) > helpers || e == nil {
@@ -163,13 +165,13 @@
 			continue
 		}
 		asked = append(asked, e)
-		q := m.message(PingRequest, p.nonce)
+		q := m.newMessage(PingRequest, p.nonce)
 		q.Subject, q.SubjectAddress = p.target.record.Name, p.target.record.PeerAddress
 		m.send(out, e, q)
 	}
 }
 
-// suspect takes in that someone suspects a member.
+// suspect records an accusation against a member and starts its time to refute.
 func (m *Member) suspect(now time.Time, e *entry, accuser pabundle.EntryName, out *Output) {
 	if e.record.State.Gone() {
 		return
@@ -178,7 +180,7 @@
 		e.suspicion = &suspicion{started: now}
 	}
 	s := e.suspicion
-	if slices.Contains(s.accusers, accuser) || len(s.accusers) > accusers {
+	if slices.Contains(s.accusers, accuser) || len(s.accusers) > extraAccusers {
 		return
 	}
 	s.accusers = append(s.accusers, accuser)
@@ -187,52 +189,53 @@
 	}
 	r := e.record
 	r.State, r.Accuser = Suspected, accuser
-	m.store(now, e, r, out)
-	// Looking for oneself both confirms a death sooner and clears a false suspicion sooner.
-	const lookers = 5
-	if accuser != m.self.Name && e.record.Zone == m.self.Zone && m.random.IntN(max(len(m.index.zone), 1)) < lookers {
+	m.updateRecord(now, e, r, out)
+	// An own probe confirms a death sooner and clears a false suspicion sooner.
+	const confirmers = 5
+	if accuser != m.self.Name && e.record.Zone == m.self.Zone && m.random.IntN(max(len(m.index.zone), 1)) < confirmers {
 		m.startProbe(now, e, 1, out)
 	}
 }
 
-// expireSuspicions declares members of the own zone dead whose time to refute is over.
+// expireSuspicions declares suspected members of the own zone dead once their time to refute is over.
 //
-// A daemon that has heard nobody since the suspicion began is likely the one that is cut off, and does not judge:
-// otherwise an entry VM with a dead receiving side would declare its whole zone dead.
+// A daemon that has heard from nobody since the suspicion began is probably cut off itself and declares nobody dead:
+// otherwise an entry VM that can send but not receive would declare its whole zone dead.
 func (m *Member) expireSuspicions(now time.Time, out *Output) {
 	for _, e := range m.index.zone {
 		s := e.suspicion
-		if s == nil || now.Sub(s.started) < m.timeToRefute(e) {
+		if s == nil || now.Sub(s.started) < m.suspicionTimeout(e) {
 			continue
 		}
-		if !m.heard.After(s.started) {
-			m.version += s.leaveOpen()
+		if !m.lastHeard.After(s.started) {
+			m.version += s.markUndecided()
 			continue
 		}
 		r := e.record
 		r.State, r.Accuser = Dead, ""
-		m.store(now, e, r, out)
+		m.updateRecord(now, e, r, out)
 	}
 }
 
-// leaveOpen marks a suspicion as unjudged, which shows the member as Unreachable; it returns the changes made.
-func (s *suspicion) leaveOpen() uint64 {
-	if s.unjudged {
+// markUndecided marks a suspicion as undecided, which shows the member as Unreachable; it returns the number of changes
+// made.
+func (s *suspicion) markUndecided() uint64 {
+	if s.undecided {
 		return 0
 	}
-	s.unjudged = true
+	s.undecided = true
 	return 1
 }
 
-// answered takes in that a member answered a probe.
-func (m *Member) answered(now time.Time, nonce uint64, out *Output) {
+// handleAck ends the probe that an Ack answers, or passes the Ack on to the daemon for which this one pinged.
+func (m *Member) handleAck(now time.Time, nonce uint64, out *Output) {
 	for i, p := range m.probes.pending {
 		if p.nonce != nonce {
 			continue
 		}
 		m.probes.pending = slices.Delete(m.probes.pending, i, i+1)
-		m.probes.heal()
-		p.target.heard = now
+		m.probes.improve()
+		p.target.lastHeard = now
 		if p.target.record.State != Suspected {
 			p.target.suspicion = nil
 		}
@@ -241,29 +244,32 @@
 	for i, r := range m.probes.relayed {
 		if r.nonce == nonce {
 			m.probes.relayed = slices.Delete(m.probes.relayed, i, i+1)
-			r.to.Message = m.message(Ack, r.origin)
+			r.to.Message = m.newMessage(Ack, r.origin)
 			out.Send = append(out.Send, r.to)
 			return
 		}
 	}
 }
 
-// helped takes in that a helper got no answer: the helper is well, and so is the way to it.
-func (m *Member) helped(nonce uint64) {
+// handleNack notes that a helper got no answer: the helper itself is reachable.
+func (m *Member) handleNack(nonce uint64) {
 	for _, p := range m.probes.pending {
 		if p.nonce == nonce {
-			p.helped = true
+			p.helperReplied = true
 		}
 	}
 }
 
-// pingFor pings a member on behalf of another.
-func (m *Member) pingFor(now time.Time, v Message, out *Output) {
+// relayPing pings a member on behalf of another daemon.
+func (m *Member) relayPing(now time.Time, v Message, out *Output) {
 	const maxRelayed = 64
 	if len(m.probes.relayed) >= maxRelayed || !v.SubjectAddress.IsValid() {
 		return
 	}
-	r := relayedPing{nonce: m.probes.next(), origin: v.Nonce, deadline: now.Add(pingTimeout), to: Envelope{To: v.From.Name, Address: v.From.PeerAddress}}
+	r := relayedPing{
+		nonce: m.probes.nextNonce(), origin: v.Nonce, deadline: now.Add(pingTimeout),
+		to: Envelope{To: v.From.Name, Address: v.From.PeerAddress},
+	}
 	m.probes.relayed = append(m.probes.relayed, r)
-	out.Send = append(out.Send, Envelope{To: v.Subject, Address: v.SubjectAddress, Message: m.message(Ping, r.nonce)})
+	out.Send = append(out.Send, Envelope{To: v.Subject, Address: v.SubjectAddress, Message: m.newMessage(Ping, r.nonce)})
 }
