--- a/pabundle/assemble.go
+++ b/pabundle/assemble.go
@@ -55,8 +55,8 @@
 	if m.Format != FormatVersion {
 		return Manifest{}, malformed(d, "format %d, want %d", m.Format, FormatVersion)
 	}
-	if i := slices.IndexFunc(m.All(), func(d Digest) bool { return !d.Valid() }); i >= 0 {
-		return Manifest{}, malformed(d, "%q is not a digest", m.All()[i])
+	if i := slices.IndexFunc(m.Digests(), func(d Digest) bool { return !d.Valid() }); i >= 0 {
+		return Manifest{}, malformed(d, "%q is not a digest", m.Digests()[i])
 	}
 	return m, nil
 }
@@ -76,7 +76,7 @@
 	d := DigestOf(data)
 	if root {
 		m, err := DecodeManifest(d, data)
-		return m.All(), err
+		return m.Digests(), err
 	}
 	if !isList(data) {
 		return nil, nil
@@ -94,9 +94,9 @@
 // isList tells a list of digests from pieces of client blocks, services and plans.
 func isList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
 
-// Missing returns the digests that have yet to be fetched before Assemble can succeed: first the
+// MissingPieces returns the digests that have yet to be fetched before Assemble can succeed: first the
 // manifest, then what it names, then what the lists among that name.
-func Missing(d Digest, get func(Digest) ([]byte, bool)) ([]Digest, error) {
+func MissingPieces(d Digest, get func(Digest) ([]byte, bool)) ([]Digest, error) {
 	var missing []Digest
 	open := []Digest{d}
 	for depth := 0; len(open) > 0; depth++ {
@@ -171,14 +171,14 @@
 		return Bundle{}, malformed(d, "the pieces are not the canonical ones of their bundle, %s", s.Digest)
 	}
 	if faults := b.Validate(); len(faults) > 0 {
-		return Bundle{}, trace.Wrap(&FaultsError{faults})
+		return Bundle{}, trace.Wrap(&ValidationError{faults})
 	}
 	return b, nil
 }
 
-// Outline builds the bundle without its client blocks. It verifies the digest of each piece that it
+// AssembleWithoutBlocks builds the bundle without its client blocks. It verifies the digest of each piece that it
 // reads, and nothing more: it is for commands on bundles that were verified when they were proposed.
-func Outline(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
+func AssembleWithoutBlocks(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
 	data, err := verified(d, get)
 	if err != nil {
 		return Bundle{}, Manifest{}, err
--- a/pabundle/bundle_test.go
+++ b/pabundle/bundle_test.go
@@ -195,7 +195,7 @@
 			piece, ok := s.Pieces[want]
 			return piece, ok
 		}
-		_, _ = Missing(d, get)
+		_, _ = MissingPieces(d, get)
 		_, wrong := Assemble(d, get)
 		_, _, _, err := (BlockIndex{}).Update(d, get)
 		if (wrong == nil) != (err == nil) {
--- a/pabundle/decode.go
+++ b/pabundle/decode.go
@@ -19,10 +19,10 @@
 
 // Decode reads a bundle's JSON and reports every fault of its form: unknown, repeated and missing
 // fields, wrong types, and anything after the bundle. Field names are matched with their case.
-func Decode(data []byte) (Bundle, []Fault) {
+func Decode(data []byte) (Bundle, []FieldError) {
 	var b Bundle
 	if len(data) > MaxFileSize {
-		return b, []Fault{{Problem: fmt.Sprintf("%d bytes given, at most %d allowed", len(data), MaxFileSize)}}
+		return b, []FieldError{{Problem: fmt.Sprintf("%d bytes given, at most %d allowed", len(data), MaxFileSize)}}
 	}
 	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lines{data: data}}
 	d.all(reflect.ValueOf(&b).Elem())
@@ -31,7 +31,7 @@
 
 // Check reads a bundle's JSON and reports every fault of its form and its meaning, with the place
 // in the file. The bundle may be rolled out only if there is none.
-func Check(data []byte) (Bundle, []Fault) {
+func Check(data []byte) (Bundle, []FieldError) {
 	b, faults := Decode(data)
 	if len(data) > MaxFileSize {
 		return b, faults
@@ -40,7 +40,7 @@
 	for _, f := range faults {
 		known[f.Path] = true
 	}
-	var more []Fault
+	var more []FieldError
 	for _, f := range b.Validate() {
 		if !known[f.Path] && !hasSyntaxFault(faults) {
 			more = append(more, f)
@@ -53,7 +53,7 @@
 // syntaxProblem marks a fault after which nothing more could be read.
 const syntaxProblem = "not JSON"
 
-func hasSyntaxFault(faults []Fault) bool {
+func hasSyntaxFault(faults []FieldError) bool {
 	n := len(faults)
 	return n > 0 && strings.HasPrefix(faults[n-1].Problem, syntaxProblem)
 }
@@ -84,7 +84,7 @@
 	data   []byte
 	json   *json.Decoder
 	lines  lines
-	faults []Fault
+	faults []FieldError
 	// visit is called with the offset of each value, if set.
 	visit func(p *place, offset int)
 }
@@ -107,7 +107,7 @@
 
 func (d *decoder) fault(p *place, offset int, format string, arguments ...any) {
 	line, column := d.lines.position(offset)
-	d.faults = append(d.faults, Fault{line, column, p.String(), fmt.Sprintf(format, arguments...)})
+	d.faults = append(d.faults, FieldError{line, column, p.String(), fmt.Sprintf(format, arguments...)})
 }
 
 // syntax reports what ended the decoding.
@@ -238,7 +238,7 @@
 
 // locate fills in the places of faults that know only their paths; a path that the file does not
 // have takes the place of what should hold it.
-func locate(data []byte, faults []Fault) {
+func locate(data []byte, faults []FieldError) {
 	if len(faults) == 0 {
 		return
 	}
--- a/pabundle/fault.go
+++ b/pabundle/fault.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a bundle.
-type Fault struct {
+// FieldError is one thing that is wrong with a bundle.
+type FieldError struct {
 	// Line and Column are the place in the file, counted from 1 in lines and bytes; 0 where the
 	// bundle was not read from a file.
 	Line, Column int `json:",omitempty"`
@@ -18,7 +18,7 @@
 }
 
 // String returns the fault as one line.
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	path := f.Path
 	if path == "" {
 		path = "bundle"
@@ -29,14 +29,14 @@
 	return fmt.Sprintf("%d:%d: %s: %s", f.Line, f.Column, path, f.Problem)
 }
 
-// FaultsError is a bundle that was refused, with everything that is wrong with it.
-type FaultsError struct{ Faults []Fault }
+// ValidationError is a bundle that was refused, with everything that is wrong with it.
+type ValidationError struct{ Errors []FieldError }
 
 // Error returns one line for each fault.
-func (e *FaultsError) Error() string {
-	lines := make([]string, 0, len(e.Faults)+1)
-	lines = append(lines, fmt.Sprintf("bundle refused, faults: %d", len(e.Faults)))
-	for _, f := range e.Faults {
+func (e *ValidationError) Error() string {
+	lines := make([]string, 0, len(e.Errors)+1)
+	lines = append(lines, fmt.Sprintf("bundle refused, faults: %d", len(e.Errors)))
+	for _, f := range e.Errors {
 		lines = append(lines, f.String())
 	}
 	return strings.Join(lines, "\n")
--- a/pabundle/index.go
+++ b/pabundle/index.go
@@ -21,7 +21,7 @@
 
 // BlockChange is what differs between two versions' client blocks, by whole pieces: a block that is
 // in both lists stayed in a piece that changed. Both are sorted by prefix.
-type BlockChange struct{ Gone, Fresh []ClientBlock }
+type BlockChange struct{ Removed, Added []ClientBlock }
 
 // Size returns the number of client blocks.
 func (x BlockIndex) Size() int {
@@ -37,7 +37,7 @@
 // the services, the lists and the fresh pieces of d, and those pieces of x's version that are gone. The bundle
 // it returns has no client blocks.
 func (x BlockIndex) Update(d Digest, get func(Digest) ([]byte, bool)) (BlockIndex, Bundle, BlockChange, error) {
-	b, m, err := Outline(d, get)
+	b, m, err := AssembleWithoutBlocks(d, get)
 	if err != nil {
 		return BlockIndex{}, Bundle{}, BlockChange{}, err
 	}
@@ -74,7 +74,7 @@
 			if p, err = partOf(d, blocks); err != nil {
 				return next, change, err
 			}
-			change.Fresh = append(change.Fresh, blocks...)
+			change.Added = append(change.Added, blocks...)
 		}
 		delete(held, d)
 		next.parts = append(next.parts, p)
@@ -87,7 +87,7 @@
 		if err := piece(p.digest, get, &blocks); err != nil {
 			return next, change, err
 		}
-		change.Gone = append(change.Gone, blocks...)
+		change.Removed = append(change.Removed, blocks...)
 	}
 	return next, change, nil
 }
@@ -129,7 +129,7 @@
 		}
 	}
 	four, six := families(x.parts, firstAddress)
-	lists := Split{Pieces: map[Digest][]byte{}}
+	lists := SplitBundle{Pieces: map[Digest][]byte{}}
 	if !canonicalCuts(four, 0) || !canonicalCuts(six, 0) || !slices.Equal(lists.names(x.parts), m.Blocks) {
 		return malformed(d, "the client blocks are not cut into pieces in the canonical way")
 	}
@@ -138,7 +138,7 @@
 		b.ClientBlocks = []ClientBlock{{x.parts[0].first, x.parts[0].regions[0]}}
 	}
 	if faults := b.Validate(); len(faults) > 0 {
-		return &FaultsError{faults}
+		return &ValidationError{faults}
 	}
 	s, err := b.Split()
 	if err != nil {
--- a/pabundle/index_test.go
+++ b/pabundle/index_test.go
@@ -51,13 +51,13 @@
 		maps.Copy(all, s.Pieces)
 		next, outline, change, err := x.Update(s.Digest, lookUp(all))
 		g.Expect(err).NotTo(HaveOccurred())
-		for _, c := range change.Gone {
+		for _, c := range change.Removed {
 			if table[c.Prefix] != c.Region {
 				t.Fatalf("%s of %q is gone, but was in %q", c.Prefix, c.Region, table[c.Prefix])
 			}
 			delete(table, c.Prefix)
 		}
-		for _, c := range change.Fresh {
+		for _, c := range change.Added {
 			table[c.Prefix] = c.Region
 		}
 		g.Expect(len(table)).To(Equal(len(b.ClientBlocks)))
--- a/pabundle/piece.go
+++ b/pabundle/piece.go
@@ -41,15 +41,15 @@
 	Blocks []Digest
 }
 
-// All returns the digests that the manifest names.
-func (m Manifest) All() []Digest {
+// Digests returns the digests that the manifest names.
+func (m Manifest) Digests() []Digest {
 	all := []Digest{m.Plan}
 	all = append(all, m.Services...)
 	return append(all, m.Blocks...)
 }
 
-// Split is a bundle in pieces.
-type Split struct {
+// SplitBundle is a bundle in pieces.
+type SplitBundle struct {
 	// Digest names the bundle and its manifest.
 	Digest   Digest
 	Manifest Manifest
@@ -89,9 +89,9 @@
 
 // Split returns the bundle's pieces. They depend only on what the bundle says, and a small change
 // leaves most of them as they were.
-func (b Bundle) Split() (Split, error) {
+func (b Bundle) Split() (SplitBundle, error) {
 	b = b.Canonical()
-	s := Split{Pieces: map[Digest][]byte{}}
+	s := SplitBundle{Pieces: map[Digest][]byte{}}
 	s.Manifest = Manifest{Format: b.Format, Deployment: b.Deployment, Services: []Digest{}, Blocks: []Digest{}}
 	s.Manifest.Plan = s.add(plan{b.Format, b.Deployment, b.Comment, b.Policy, b.Regions, b.Links})
 	for _, v := range b.Services {
@@ -105,14 +105,14 @@
 	s.Digest = s.add(s.Manifest)
 	for d, data := range s.Pieces {
 		if len(data) > MaxPieceSize {
-			return Split{}, trace.LimitExceeded("piece %s has %d bytes, at most %d allowed", d, len(data), MaxPieceSize)
+			return SplitBundle{}, trace.LimitExceeded("piece %s has %d bytes, at most %d allowed", d, len(data), MaxPieceSize)
 		}
 	}
 	return s, nil
 }
 
 // add encodes a piece and returns its name.
-func (s *Split) add(v any) Digest {
+func (s *SplitBundle) add(v any) Digest {
 	data := encode(v)
 	d := DigestOf(data)
 	s.Pieces[d] = data
@@ -121,7 +121,7 @@
 }
 
 // names returns what a manifest names for these pieces of client blocks, and adds the lists.
-func (s *Split) names(parts []blockPart) []Digest {
+func (s *SplitBundle) names(parts []blockPart) []Digest {
 	if len(parts) <= piecesInList {
 		return digestsOf(parts)
 	}
--- a/pabundle/validate.go
+++ b/pabundle/validate.go
@@ -34,7 +34,7 @@
 )
 
 // Validate reports every fault of a bundle's meaning, without places in a file.
-func (b Bundle) Validate() []Fault {
+func (b Bundle) Validate() []FieldError {
 	c := checker{bundle: b, regions: map[RegionName]bool{}, zones: map[ZoneName]RegionName{}, links: map[regionPair]bool{}}
 	c.header()
 	c.regionList()
@@ -50,14 +50,14 @@
 // checker collects the faults of one bundle.
 type checker struct {
 	bundle  Bundle
-	faults  []Fault
+	faults  []FieldError
 	regions map[RegionName]bool
 	zones   map[ZoneName]RegionName
 	links   map[regionPair]bool
 }
 
 func (c *checker) fault(path, format string, arguments ...any) {
-	c.faults = append(c.faults, Fault{Path: path, Problem: fmt.Sprintf(format, arguments...)})
+	c.faults = append(c.faults, FieldError{Path: path, Problem: fmt.Sprintf(format, arguments...)})
 }
 
 // within reports a number outside of its limits.
--- a/pacapacity/bundle_test.go
+++ b/pacapacity/bundle_test.go
@@ -44,7 +44,7 @@
 }
 
 // assembled reads a bundle from its pieces, as a daemon does with each change.
-func assembled(t *testing.T, s pabundle.Split) pabundle.Bundle {
+func assembled(t *testing.T, s pabundle.SplitBundle) pabundle.Bundle {
 	t.Helper()
 	b, err := pabundle.Assemble(s.Digest, func(d pabundle.Digest) ([]byte, bool) {
 		p, ok := s.Pieces[d]
--- a/paoperator/change.go
+++ b/paoperator/change.go
@@ -26,7 +26,7 @@
 	}
 	b, faults := pabundle.Check(data)
 	if len(faults) > 0 {
-		return b, trace.Wrap(&pabundle.FaultsError{Faults: faults})
+		return b, trace.Wrap(&pabundle.ValidationError{Errors: faults})
 	}
 	return b, nil
 }
--- a/paoperator/exit.go
+++ b/paoperator/exit.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	code := Refused
-	var faults *pabundle.FaultsError
+	var faults *pabundle.ValidationError
 	var platform *paplatform.Error
 	switch {
 	case errors.As(err, &faults):
--- a/paoperator/show.go
+++ b/paoperator/show.go
@@ -32,7 +32,7 @@
 
 // faults prints a bundle's faults as JSON if that is asked for; the text is in the error.
 func (r run) faults(err error) error {
-	var e *pabundle.FaultsError
+	var e *pabundle.ValidationError
 	if errors.As(err, &e) && r.output.json {
 		return errors.Join(err, r.output.write(e))
 	}
--- a/paroll/calls_test.go
+++ b/paroll/calls_test.go
@@ -27,7 +27,7 @@
 func (f *follower) take(ctx context.Context, h pabundle.Head) {
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := f.have[d]; return p, ok }
 	for {
-		missing, err := pabundle.Missing(h.Digest, get)
+		missing, err := pabundle.MissingPieces(h.Digest, get)
 		if err != nil || len(missing) == 0 {
 			f.Known()
 			f.sequence.Store(uint64(h.Sequence))
--- a/paroll/operator.go
+++ b/paroll/operator.go
@@ -44,7 +44,7 @@
 		return Version{}, trace.BadParameter("bundle of deployment %q given, want %q", b.Deployment, o.Deployment)
 	}
 	if faults := b.Validate(); len(faults) > 0 {
-		return Version{}, trace.Wrap(&pabundle.FaultsError{Faults: faults})
+		return Version{}, trace.Wrap(&pabundle.ValidationError{Errors: faults})
 	}
 	s, err := b.Split()
 	if err != nil {
@@ -69,7 +69,7 @@
 // upload writes the pieces that the head in force does not name; the manifest goes last, so that
 // whoever sees it finds the rest. The bundle in force itself is written whole: proposing it again
 // is how operators heal pieces that the store lost or damaged.
-func (o *Operator) upload(ctx context.Context, s pabundle.Split) error {
+func (o *Operator) upload(ctx context.Context, s pabundle.SplitBundle) error {
 	known, err := o.inForcePieces(ctx, s)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 
 // inForcePieces returns the digests of the pieces of the head in force, unless there is none or it
 // names the bundle that is being proposed. What cannot be read is not known, and written again.
-func (o *Operator) inForcePieces(ctx context.Context, proposed pabundle.Split) (map[pabundle.Digest]bool, error) {
+func (o *Operator) inForcePieces(ctx context.Context, proposed pabundle.SplitBundle) (map[pabundle.Digest]bool, error) {
 	h, _, err := o.head(ctx)
 	if err != nil || h.Sequence == 0 || h.Digest == proposed.Digest {
 		return nil, err
@@ -101,7 +101,7 @@
 	if err != nil {
 		return known, nil
 	}
-	for _, d := range m.All() {
+	for _, d := range m.Digests() {
 		known[d] = true
 	}
 	for _, d := range m.Blocks {
--- a/paroll/prepare.go
+++ b/paroll/prepare.go
@@ -145,5 +145,5 @@
 	if err := p.load(ctx, append([]pabundle.Digest{m.Plan}, m.Services...)...); err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
-	return pabundle.Outline(d, p.get)
+	return pabundle.AssembleWithoutBlocks(d, p.get)
 }
--- a/paroll/status.go
+++ b/paroll/status.go
@@ -46,7 +46,7 @@
 func (o *Operator) Bundle(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, error) {
 	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
 	for {
-		missing, err := pabundle.Missing(d, p.get)
+		missing, err := pabundle.MissingPieces(d, p.get)
 		if err != nil {
 			return pabundle.Bundle{}, trace.Wrap(err)
 		}
