--- a/pabundle/assemble.go
+++ b/pabundle/assemble.go
@@ -78,7 +78,7 @@
 		m, err := DecodeManifest(d, data)
 		return m.Digests(), err
 	}
-	if !isList(data) {
+	if !isDigestList(data) {
 		return nil, nil
 	}
 	var list []Digest
@@ -91,8 +91,8 @@
 	return list, nil
 }
 
-// isList tells a list of digests from pieces of client blocks, services and plans.
-func isList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
+// isDigestList tells a list of digests from pieces of client blocks, services and plans.
+func isDigestList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
 
 // MissingPieces returns the digests that have yet to be fetched before Assemble can succeed: first the
 // manifest, then what it names, then what the lists among that name.
@@ -131,11 +131,11 @@
 			all = append(all, d)
 			continue
 		}
-		data, err := verified(d, get)
+		data, err := getVerified(d, get)
 		if err != nil {
 			return nil, err
 		}
-		if !isList(data) {
+		if !isDigestList(data) {
 			all = append(all, d)
 			continue
 		}
@@ -151,7 +151,7 @@
 // Assemble builds the bundle from its pieces and verifies all of it: each piece's digest, that the
 // pieces are the canonical ones, and that the bundle is valid.
 func Assemble(d Digest, get func(Digest) ([]byte, bool)) (Bundle, error) {
-	manifestData, err := verified(d, get)
+	manifestData, err := getVerified(d, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	b, err := join(m, get)
+	b, err := decodeBundle(m, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -179,7 +179,7 @@
 // AssembleWithoutBlocks builds the bundle without its client blocks. It verifies the digest of each piece that it
 // reads, and nothing more: it is for commands on bundles that were verified when they were proposed.
 func AssembleWithoutBlocks(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
-	data, err := verified(d, get)
+	data, err := getVerified(d, get)
 	if err != nil {
 		return Bundle{}, Manifest{}, err
 	}
@@ -187,13 +187,13 @@
 	if err != nil {
 		return Bundle{}, Manifest{}, err
 	}
-	b, err := outline(m, get)
+	b, err := decodeWithoutBlocks(m, get)
 	return b, m, err
 }
 
-// join decodes all pieces of a manifest.
-func join(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
-	b, err := outline(m, get)
+// decodeBundle decodes all pieces of a manifest.
+func decodeBundle(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
+	b, err := decodeWithoutBlocks(m, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -201,10 +201,10 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	b.ClientBlocks = make([]ClientBlock, 0, len(all)*blocksInPiece/2)
+	b.ClientBlocks = make([]ClientBlock, 0, len(all)*maxBlocksPerPiece/2)
 	for _, d := range all {
 		var blocks []ClientBlock
-		if err := piece(d, get, &blocks); err != nil {
+		if err := readPiece(d, get, &blocks); err != nil {
 			return Bundle{}, err
 		}
 		b.ClientBlocks = append(b.ClientBlocks, blocks...)
@@ -212,16 +212,16 @@
 	return b, nil
 }
 
-// outline decodes the plan and the services.
-func outline(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
+// decodeWithoutBlocks decodes the plan and the services.
+func decodeWithoutBlocks(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	var p plan
-	if err := piece(m.Plan, get, &p); err != nil {
+	if err := readPiece(m.Plan, get, &p); err != nil {
 		return Bundle{}, err
 	}
 	b := Bundle{Format: p.Format, Deployment: p.Deployment, Comment: p.Comment, Policy: p.Policy, Regions: p.Regions, Links: p.Links}
 	for _, d := range m.Services {
 		var s Service
-		if err := piece(d, get, &s); err != nil {
+		if err := readPiece(d, get, &s); err != nil {
 			return Bundle{}, err
 		}
 		b.Services = append(b.Services, s)
@@ -229,16 +229,16 @@
 	return b, nil
 }
 
-// piece verifies and decodes one piece.
-func piece(d Digest, get func(Digest) ([]byte, bool), into any) error {
-	data, err := verified(d, get)
+// readPiece verifies and decodes one readPiece.
+func readPiece(d Digest, get func(Digest) ([]byte, bool), into any) error {
+	data, err := getVerified(d, get)
 	if err != nil {
 		return err
 	}
 	return decodePiece(d, data, into)
 }
 
-func verified(d Digest, get func(Digest) ([]byte, bool)) ([]byte, error) {
+func getVerified(d Digest, get func(Digest) ([]byte, bool)) ([]byte, error) {
 	data, ok := get(d)
 	if !ok {
 		return nil, trace.NotFound("piece %s is missing", d)
--- a/pabundle/bench_test.go
+++ b/pabundle/bench_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// sized returns the example with n client blocks.
-func sized(b *testing.B, n int) Bundle {
+// exampleWithBlocks returns the example with n client blocks.
+func exampleWithBlocks(b *testing.B, n int) Bundle {
 	e, faults := Check(exampleFile(b))
 	if len(faults) > 0 {
 		b.Fatal(faults)
 	}
-	e.ClientBlocks = blocks(n)
+	e.ClientBlocks = makeBlocks(n)
 	return e
 }
 
-var sizes = []int{1_000, 10_000, 100_000, 1_000_000}
+var blockCounts = []int{1_000, 10_000, 100_000, 1_000_000}
 
 func BenchmarkCheckExample(b *testing.B) {
 	data := exampleFile(b)
@@ -29,9 +29,9 @@
 }
 
 func BenchmarkCheck(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range blockCounts {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			data, err := json.MarshalIndent(sized(b, n), "", "  ")
+			data, err := json.MarshalIndent(exampleWithBlocks(b, n), "", "  ")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -47,9 +47,9 @@
 
 // BenchmarkCheckAllFaulty reads a file in which each block is wrong.
 func BenchmarkCheckAllFaulty(b *testing.B) {
-	for _, n := range sizes[:3] {
+	for _, n := range blockCounts[:3] {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			e := sized(b, n)
+			e := exampleWithBlocks(b, n)
 			for i := range e.ClientBlocks {
 				e.ClientBlocks[i].Region = "nowhere"
 			}
@@ -67,9 +67,9 @@
 }
 
 func BenchmarkSplit(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range blockCounts {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			e := sized(b, n)
+			e := exampleWithBlocks(b, n)
 			for b.Loop() {
 				s, err := e.Split()
 				if err != nil {
@@ -83,15 +83,15 @@
 }
 
 func BenchmarkAssemble(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range blockCounts {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			s, err := sized(b, n).Split()
+			s, err := exampleWithBlocks(b, n).Split()
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Assemble(s.Digest, lookUp(s.Pieces)); err != nil {
+				if _, err := Assemble(s.Digest, getFrom(s.Pieces)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/pabundle/bundle_test.go
+++ b/pabundle/bundle_test.go
@@ -65,7 +65,7 @@
 	g.Expect(faults).To(BeEmpty())
 	s, err := b.Split()
 	g.Expect(err).NotTo(HaveOccurred())
-	got, err := Assemble(s.Digest, lookUp(s.Pieces))
+	got, err := Assemble(s.Digest, getFrom(s.Pieces))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(Diff(b, got)).To(BeEmpty())
 	b.Links[0], b.Links[5] = b.Links[5], b.Links[0]
@@ -75,7 +75,7 @@
 	g.Expect(Diff(got, b)).To(HaveLen(1))
 }
 
-func lookUp(pieces map[Digest][]byte) func(Digest) ([]byte, bool) {
+func getFrom(pieces map[Digest][]byte) func(Digest) ([]byte, bool) {
 	return func(d Digest) ([]byte, bool) { data, ok := pieces[d]; return data, ok }
 }
 
@@ -96,7 +96,7 @@
 				damaged[k] = v
 			}
 			damaged[d] = bad
-			_, err := Assemble(s.Digest, lookUp(damaged))
+			_, err := Assemble(s.Digest, getFrom(damaged))
 			var p *PieceError
 			g.Expect(errors.As(err, &p)).To(BeTrue(), "%d bytes for %s: %v", len(bad), d, err)
 			g.Expect(p.Digest).To(Equal(d))
@@ -106,11 +106,11 @@
 	m := s.Manifest
 	m.Services[0], m.Services[1] = m.Services[1], m.Services[0]
 	other := s.add(m)
-	_, err = Assemble(other, lookUp(s.Pieces))
+	_, err = Assemble(other, getFrom(s.Pieces))
 	g.Expect(err).To(MatchError(ContainSubstring("not the canonical ones")))
 }
 
-func blocks(n int) []ClientBlock {
+func makeBlocks(n int) []ClientBlock {
 	all := make([]ClientBlock, n)
 	for i := range all {
 		a := netip.AddrFrom4([4]byte{byte(i>>16) + 11, byte(i >> 8), byte(i), 0})
@@ -124,7 +124,7 @@
 func TestSmallChangeShipsFewPieces(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Check(exampleFile(t))
-	b.ClientBlocks = blocks(100_000)
+	b.ClientBlocks = makeBlocks(100_000)
 	before, err := b.Split()
 	g.Expect(err).NotTo(HaveOccurred())
 	b.ClientBlocks[50_000].Region = "norte"
@@ -164,7 +164,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Assemble(s.Digest, lookUp(s.Pieces))
+		got, err := Assemble(s.Digest, getFrom(s.Pieces))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/pabundle/decode.go
+++ b/pabundle/decode.go
@@ -24,9 +24,9 @@
 	if len(data) > MaxFileSize {
 		return b, []FieldError{{Problem: fmt.Sprintf("%d bytes given, at most %d allowed", len(data), MaxFileSize)}}
 	}
-	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lines{data: data}}
-	d.all(reflect.ValueOf(&b).Elem())
-	return b, d.faults
+	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lineIndex{data: data}}
+	d.document(reflect.ValueOf(&b).Elem())
+	return b, d.errors
 }
 
 // Check reads a bundle's JSON and reports every fault of its form and its meaning, with the place
@@ -42,31 +42,31 @@
 	}
 	var more []FieldError
 	for _, f := range b.Validate() {
-		if !known[f.Path] && !hasSyntaxFault(faults) {
+		if !known[f.Path] && !hasSyntaxError(faults) {
 			more = append(more, f)
 		}
 	}
-	locate(data, more)
+	fillPositions(data, more)
 	return b, append(faults, more...)
 }
 
 // syntaxProblem marks a fault after which nothing more could be read.
 const syntaxProblem = "not JSON"
 
-func hasSyntaxFault(faults []FieldError) bool {
+func hasSyntaxError(faults []FieldError) bool {
 	n := len(faults)
 	return n > 0 && strings.HasPrefix(faults[n-1].Problem, syntaxProblem)
 }
 
-// place is a value's way from the root of the bundle.
-type place struct {
-	parent *place
+// fieldPath is a value's way from the root of the bundle.
+type fieldPath struct {
+	parent *fieldPath
 	field  string
 	index  int
 }
 
 // String returns the path of the place.
-func (p *place) String() string {
+func (p *fieldPath) String() string {
 	switch {
 	case p == nil:
 		return ""
@@ -83,35 +83,35 @@
 type decoder struct {
 	data   []byte
 	json   *json.Decoder
-	lines  lines
-	faults []FieldError
+	lines  lineIndex
+	errors []FieldError
 	// visit is called with the offset of each value, if set.
-	visit func(p *place, offset int)
+	visit func(p *fieldPath, offset int)
 }
 
-// errStop ends the decoding after a fault of syntax.
-var errStop = errors.New("stop")
+// errStopDecoding ends the decoding after a fault of syntax.
+var errStopDecoding = errors.New("stop")
 
-func (d *decoder) all(v reflect.Value) {
+func (d *decoder) document(v reflect.Value) {
 	if !utf8.Valid(d.data) {
-		d.fault(nil, invalidOffset(d.data), "%s: invalid UTF-8", syntaxProblem)
+		d.report(nil, invalidOffset(d.data), "%s: invalid UTF-8", syntaxProblem)
 		return
 	}
 	if d.value(nil, v) != nil {
 		return
 	}
 	if rest := bytes.TrimLeft(d.data[d.json.InputOffset():], " \t\r\n"); len(rest) > 0 {
-		d.fault(nil, len(d.data)-len(rest), "data after the bundle, want one JSON object")
+		d.report(nil, len(d.data)-len(rest), "data after the bundle, want one JSON object")
 	}
 }
 
-func (d *decoder) fault(p *place, offset int, format string, arguments ...any) {
+func (d *decoder) report(p *fieldPath, offset int, format string, arguments ...any) {
 	line, column := d.lines.position(offset)
-	d.faults = append(d.faults, FieldError{line, column, p.String(), fmt.Sprintf(format, arguments...)})
+	d.errors = append(d.errors, FieldError{line, column, p.String(), fmt.Sprintf(format, arguments...)})
 }
 
-// syntax reports what ended the decoding.
-func (d *decoder) syntax(p *place, err error) error {
+// syntaxError reports what ended the decoding.
+func (d *decoder) syntaxError(p *fieldPath, err error) error {
 	offset := int(d.json.InputOffset())
 	var s *json.SyntaxError
 	if errors.As(err, &s) {
@@ -121,12 +121,12 @@
 		offset = len(d.data)
 		err = errors.New("the file ends in the middle")
 	}
-	d.fault(p, max(offset, 0), "%s: %v", syntaxProblem, err)
-	return errStop
+	d.report(p, max(offset, 0), "%s: %v", syntaxProblem, err)
+	return errStopDecoding
 }
 
-// next returns the offset of the next token.
-func (d *decoder) next() int {
+// nextOffset returns the offset of the nextOffset token.
+func (d *decoder) nextOffset() int {
 	at := int(d.json.InputOffset())
 	for at < len(d.data) && bytes.IndexByte([]byte(" \t\r\n,:"), d.data[at]) >= 0 {
 		at++
@@ -135,8 +135,8 @@
 }
 
 // value reads one value into v.
-func (d *decoder) value(p *place, v reflect.Value) error {
-	at := d.next()
+func (d *decoder) value(p *fieldPath, v reflect.Value) error {
+	at := d.nextOffset()
 	if d.visit != nil {
 		d.visit(p, at)
 	}
@@ -153,27 +153,27 @@
 		return err
 	}
 	if string(raw) == "null" {
-		d.fault(p, at, "null given, want %s", wanted(v))
+		d.report(p, at, "null given, want %s", expectedType(v))
 		return nil
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil || v.Kind() == reflect.Struct && !isText {
-		d.fault(p, at, "%s given, want %s", shortened(raw), wanted(v))
+		d.report(p, at, "%s given, want %s", truncated(raw), expectedType(v))
 	}
 	return nil
 }
 
-func (d *decoder) skip(p *place) (json.RawMessage, error) {
+func (d *decoder) skip(p *fieldPath) (json.RawMessage, error) {
 	var raw json.RawMessage
 	if err := d.json.Decode(&raw); err != nil {
-		return nil, d.syntax(p, err)
+		return nil, d.syntaxError(p, err)
 	}
 	return raw, nil
 }
 
-func (d *decoder) object(p *place, v reflect.Value) error {
-	at := d.next()
+func (d *decoder) object(p *fieldPath, v reflect.Value) error {
+	at := d.nextOffset()
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	seen := make([]bool, v.NumField())
 	for d.json.More() {
@@ -182,35 +182,35 @@
 		}
 	}
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	for i, s := range seen {
 		f := v.Type().Field(i)
 		if !s && !strings.Contains(f.Tag.Get("json"), "omitempty") {
-			d.fault(&place{parent: p, field: f.Name}, at, "missing, want %s", wanted(v.Field(i)))
+			d.report(&fieldPath{parent: p, field: f.Name}, at, "missing, want %s", expectedType(v.Field(i)))
 		}
 	}
 	return nil
 }
 
 // field reads one key and its value.
-func (d *decoder) field(p *place, v reflect.Value, seen []bool) error {
-	at := d.next()
+func (d *decoder) field(p *fieldPath, v reflect.Value, seen []bool) error {
+	at := d.nextOffset()
 	token, err := d.json.Token()
 	if err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	name, ok := token.(string)
 	if !ok {
-		return d.syntax(p, errors.New("an object's key is not a string"))
+		return d.syntaxError(p, errors.New("an object's key is not a string"))
 	}
-	here := &place{parent: p, field: name}
+	here := &fieldPath{parent: p, field: name}
 	f, known := v.Type().FieldByName(name)
 	switch {
 	case !known:
-		d.fault(here, at, "unknown field, want one of %s", fieldNames(v.Type()))
+		d.report(here, at, "unknown field, want one of %s", fieldNames(v.Type()))
 	case seen[f.Index[0]]:
-		d.fault(here, at, "given twice, want it once")
+		d.report(here, at, "given twice, want it once")
 	default:
 		seen[f.Index[0]] = true
 		return d.value(here, v.Field(f.Index[0]))
@@ -219,60 +219,60 @@
 	return err
 }
 
-func (d *decoder) array(p *place, v reflect.Value) error {
+func (d *decoder) array(p *fieldPath, v reflect.Value) error {
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	v.Set(reflect.MakeSlice(v.Type(), 0, 0))
 	for i := 0; d.json.More(); i++ {
 		v.Set(reflect.Append(v, reflect.Zero(v.Type().Elem())))
-		if err := d.value(&place{parent: p, index: i}, v.Index(i)); err != nil {
+		if err := d.value(&fieldPath{parent: p, index: i}, v.Index(i)); err != nil {
 			return err
 		}
 	}
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	return nil
 }
 
-// locate fills in the places of faults that know only their paths; a path that the file does not
+// fillPositions fills in the places of faults that know only their paths; a path that the file does not
 // have takes the place of what should hold it.
-func locate(data []byte, faults []FieldError) {
+func fillPositions(data []byte, faults []FieldError) {
 	if len(faults) == 0 {
 		return
 	}
 	offsets := map[string]int{}
 	for _, f := range faults {
-		for path := f.Path; path != ""; path = outer(path) {
+		for path := f.Path; path != ""; path = parentPath(path) {
 			offsets[path] = -1
 		}
 	}
-	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lines{data: data}}
-	d.visit = func(p *place, offset int) {
+	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lineIndex{data: data}}
+	d.visit = func(p *fieldPath, offset int) {
 		path := p.String()
 		if _, ok := offsets[path]; ok {
 			offsets[path] = offset
 		}
 	}
 	var b Bundle
-	d.all(reflect.ValueOf(&b).Elem())
+	d.document(reflect.ValueOf(&b).Elem())
 	for i, f := range faults {
 		path := f.Path
 		for path != "" && offsets[path] < 0 {
-			path = outer(path)
+			path = parentPath(path)
 		}
 		faults[i].Line, faults[i].Column = d.lines.position(max(offsets[path], 0))
 	}
 }
 
-// outer returns the path of what holds a path.
-func outer(path string) string {
+// parentPath returns the path of what holds a path.
+func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// wanted says what a value must look like.
-func wanted(v reflect.Value) string {
+// expectedType says what a value must look like.
+func expectedType(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case Duration:
 		return "a duration such as \"1.5s\""
@@ -305,14 +305,14 @@
 	return strings.Join(names, ", ")
 }
 
-// shownBytes bounds what a fault repeats of the file.
-const shownBytes = 40
+// maxQuotedBytes bounds what a fault repeats of the file.
+const maxQuotedBytes = 40
 
-func shortened(raw []byte) string {
-	if len(raw) <= shownBytes {
+func truncated(raw []byte) string {
+	if len(raw) <= maxQuotedBytes {
 		return string(raw)
 	}
-	return strings.ToValidUTF8(string(raw[:shownBytes]), "") + "..."
+	return strings.ToValidUTF8(string(raw[:maxQuotedBytes]), "") + "..."
 }
 
 func invalidOffset(data []byte) int {
--- a/pabundle/diff.go
+++ b/pabundle/diff.go
@@ -31,11 +31,11 @@
 func Diff(from, to Bundle) []Difference {
 	var d differ
 	d.value("", reflect.ValueOf(from.Canonical()), reflect.ValueOf(to.Canonical()))
-	return d.found
+	return d.differences
 }
 
 // differ collects differences.
-type differ struct{ found []Difference }
+type differ struct{ differences []Difference }
 
 func (d *differ) value(path string, from, to reflect.Value) {
 	_, isText := from.Interface().(encoding.TextMarshaler)
@@ -51,7 +51,7 @@
 	case from.Kind() == reflect.Slice:
 		d.list(path, from, to)
 	case from.Interface() != to.Interface():
-		d.found = append(d.found, Difference{path, shown(from), shown(to)})
+		d.differences = append(d.differences, Difference{path, jsonText(from), jsonText(to)})
 	}
 }
 
@@ -60,13 +60,13 @@
 	old := map[string]reflect.Value{}
 	var keys []string
 	for i := range from.Len() {
-		k := keyOf(from.Index(i))
+		k := elementKey(from.Index(i))
 		old[k] = from.Index(i)
 		keys = append(keys, k)
 	}
 	fresh := map[string]reflect.Value{}
 	for i := range to.Len() {
-		k := keyOf(to.Index(i))
+		k := elementKey(to.Index(i))
 		fresh[k] = to.Index(i)
 		if _, ok := old[k]; !ok {
 			keys = append(keys, k)
@@ -81,15 +81,15 @@
 		case had && has:
 			d.value(here, o, n)
 		case had:
-			d.found = append(d.found, Difference{Path: here, Old: shown(o)})
+			d.differences = append(d.differences, Difference{Path: here, Old: jsonText(o)})
 		default:
-			d.found = append(d.found, Difference{Path: here, New: shown(n)})
+			d.differences = append(d.differences, Difference{Path: here, New: jsonText(n)})
 		}
 	}
 }
 
-// keyOf returns what identifies an element of a list.
-func keyOf(v reflect.Value) string {
+// elementKey returns what identifies an element of a list.
+func elementKey(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case Region:
 		return string(e.Name)
@@ -108,5 +108,5 @@
 	}
 }
 
-// shown returns a value as the bundle writes it.
-func shown(v reflect.Value) string { return string(encode(v.Interface())) }
+// jsonText returns a value as the bundle writes it.
+func jsonText(v reflect.Value) string { return string(encode(v.Interface())) }
--- a/pabundle/example_test.go
+++ b/pabundle/example_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write the example bundles anew")
 
-// user is what differs between the two example deployments.
-type user struct {
+// exampleDeployment is what differs between the two example deployments.
+type exampleDeployment struct {
 	file     string
 	comment  string
 	regions  []RegionName
@@ -28,7 +28,7 @@
 	services []Service
 }
 
-func service(name ServiceName, timeout, longest, typical time.Duration) Service {
+func makeService(name ServiceName, timeout, longest, typical time.Duration) Service {
 	d := func(t time.Duration) Duration { return Duration{t} }
 	return Service{
 		Name: name, Timeout: d(timeout), MaxTimeout: d(longest), TypicalRun: d(typical), KeyMemory: d(2 * longest),
@@ -36,36 +36,36 @@
 	}
 }
 
-func tunnelBooking() user {
-	return user{
+func tunnelBooking() exampleDeployment {
+	return exampleDeployment{
 		file: "../examples/instituto.json", comment: "Wind tunnel bookings: links are narrow, so headroom goes first.",
 		regions: []RegionName{"centro", "occidente", "norte"}, first: HeadroomFirst, reserve: 0.2,
 		capacity: 280_000_000, port: 21001, limit: 330,
 		services: []Service{
-			service("availability", 2*time.Second, 10*time.Second, 20*time.Millisecond),
-			service("deposits", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("reservations", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("archive", 30*time.Second, 10*time.Minute, 500*time.Millisecond),
+			makeService("availability", 2*time.Second, 10*time.Second, 20*time.Millisecond),
+			makeService("deposits", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("reservations", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("archive", 30*time.Second, 10*time.Minute, 500*time.Millisecond),
 		},
 	}
 }
 
-func footageVault() user {
-	return user{
+func footageVault() exampleDeployment {
+	return exampleDeployment{
 		file: "../examples/kartuli.json", comment: "Action camera footage: slow browsing looks like lost footage, so latency goes first.",
 		regions: []RegionName{"tbilisi", "frankfurt", "dubai"}, first: LatencyFirst, reserve: 0.05,
 		capacity: 4_000_000_000, port: 22001, limit: 360,
 		services: []Service{
-			service("library", 2*time.Second, 10*time.Second, 20*time.Millisecond),
-			service("trim-and-share", 30*time.Second, 5*time.Minute, 500*time.Millisecond),
-			service("billing", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("restore", time.Minute, 10*time.Minute, time.Second),
+			makeService("library", 2*time.Second, 10*time.Second, 20*time.Millisecond),
+			makeService("trim-and-share", 30*time.Second, 5*time.Minute, 500*time.Millisecond),
+			makeService("billing", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("restore", time.Minute, 10*time.Minute, time.Second),
 		},
 	}
 }
 
-// bundle writes a user's deployment at the sizes of today.
-func (u user) bundle() Bundle {
+// makeBundle writes a user's deployment at the sizes of today.
+func (u exampleDeployment) makeBundle() Bundle {
 	b := Bundle{Format: FormatVersion, Deployment: strings.TrimSuffix(filepath.Base(u.file), ".json"), Comment: u.comment, Policy: Policy{u.first, u.reserve}}
 	var zones []ZoneName
 	for i, r := range u.regions {
@@ -99,8 +99,8 @@
 }
 
 func TestExamplesAreCurrentAndValid(t *testing.T) {
-	for _, u := range []user{tunnelBooking(), footageVault()} {
-		want, err := json.MarshalIndent(u.bundle(), "", "  ")
+	for _, u := range []exampleDeployment{tunnelBooking(), footageVault()} {
+		want, err := json.MarshalIndent(u.makeBundle(), "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/pabundle/fault.go
+++ b/pabundle/fault.go
@@ -42,15 +42,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// lines finds places in a file; the line starts are looked up once, so that a file with a fault in
+// lineIndex finds places in a file; the line starts are looked up once, so that a file with a fault in
 // each of millions of blocks is reported in the time of reading it.
-type lines struct {
+type lineIndex struct {
 	data   []byte
 	starts []int
 }
 
 // position returns the line and column of an offset, counted from 1.
-func (l *lines) position(offset int) (line, column int) {
+func (l *lineIndex) position(offset int) (line, column int) {
 	if l.starts == nil {
 		l.starts = []int{0}
 		for i, b := range l.data {
--- a/pabundle/index.go
+++ b/pabundle/index.go
@@ -9,10 +9,10 @@
 // is verified and applied by the pieces that differ. At 3.9 million blocks and 4,900 changes a day,
 // assembling each version whole would take more processor time than all else that a daemon does.
 // The zero BlockIndex is that of no bundle. It is immutable.
-type BlockIndex struct{ parts []blockPart }
+type BlockIndex struct{ pieces []blockPiece }
 
-// blockPart is one piece of client blocks.
-type blockPart struct {
+// blockPiece is one piece of client blocks.
+type blockPiece struct {
 	digest      Digest
 	first, last netip.Prefix
 	size        int
@@ -26,7 +26,7 @@
 // Size returns the number of client blocks.
 func (x BlockIndex) Size() int {
 	n := 0
-	for _, p := range x.parts {
+	for _, p := range x.pieces {
 		n += p.size
 	}
 	return n
@@ -41,7 +41,7 @@
 	if err != nil {
 		return BlockIndex{}, Bundle{}, BlockChange{}, err
 	}
-	next, change, err := x.follow(m, get)
+	next, change, err := x.apply(m, get)
 	if err != nil {
 		return BlockIndex{}, Bundle{}, BlockChange{}, err
 	}
@@ -51,10 +51,10 @@
 	return next, b, change, nil
 }
 
-// follow reads the pieces that differ.
-func (x BlockIndex) follow(m Manifest, get func(Digest) ([]byte, bool)) (BlockIndex, BlockChange, error) {
-	held := map[Digest]blockPart{}
-	for _, p := range x.parts {
+// apply reads the pieces that differ.
+func (x BlockIndex) apply(m Manifest, get func(Digest) ([]byte, bool)) (BlockIndex, BlockChange, error) {
+	held := map[Digest]blockPiece{}
+	for _, p := range x.pieces {
 		held[p.digest] = p
 	}
 	var next BlockIndex
@@ -67,24 +67,24 @@
 		p, ok := held[d]
 		if !ok {
 			var blocks []ClientBlock
-			if err := piece(d, get, &blocks); err != nil {
+			if err := readPiece(d, get, &blocks); err != nil {
 				return next, change, err
 			}
 			var err error
-			if p, err = partOf(d, blocks); err != nil {
+			if p, err = newBlockPiece(d, blocks); err != nil {
 				return next, change, err
 			}
 			change.Added = append(change.Added, blocks...)
 		}
 		delete(held, d)
-		next.parts = append(next.parts, p)
+		next.pieces = append(next.pieces, p)
 	}
-	for _, p := range x.parts {
+	for _, p := range x.pieces {
 		if _, gone := held[p.digest]; !gone {
 			continue
 		}
 		var blocks []ClientBlock
-		if err := piece(p.digest, get, &blocks); err != nil {
+		if err := readPiece(p.digest, get, &blocks); err != nil {
 			return next, change, err
 		}
 		change.Removed = append(change.Removed, blocks...)
@@ -92,12 +92,12 @@
 	return next, change, nil
 }
 
-// partOf verifies the blocks of one piece.
-func partOf(d Digest, blocks []ClientBlock) (blockPart, error) {
+// newBlockPiece verifies the blocks of one piece.
+func newBlockPiece(d Digest, blocks []ClientBlock) (blockPiece, error) {
 	if len(blocks) == 0 {
-		return blockPart{}, malformed(d, "no client blocks")
+		return blockPiece{}, malformed(d, "no client blocks")
 	}
-	p := blockPart{digest: d, first: blocks[0].Prefix, last: blocks[len(blocks)-1].Prefix, size: len(blocks)}
+	p := blockPiece{digest: d, first: blocks[0].Prefix, last: blocks[len(blocks)-1].Prefix, size: len(blocks)}
 	for i, b := range blocks {
 		if !canonicalPrefix(b.Prefix) {
 			return p, malformed(d, "block %s is not in canonical form", b.Prefix)
@@ -118,8 +118,8 @@
 	for _, r := range b.Regions {
 		known[r.Name] = true
 	}
-	for i, p := range x.parts {
-		if i > 0 && x.parts[i-1].last.Compare(p.first) >= 0 {
+	for i, p := range x.pieces {
+		if i > 0 && x.pieces[i-1].last.Compare(p.first) >= 0 {
 			return malformed(d, "piece %s does not come after the one before", p.digest)
 		}
 		for _, r := range p.regions {
@@ -128,14 +128,14 @@
 			}
 		}
 	}
-	four, six := families(x.parts, firstAddress)
+	four, six := splitByFamily(x.pieces, pieceAddress)
 	lists := SplitBundle{Pieces: map[Digest][]byte{}}
-	if !canonicalCuts(four, 0) || !canonicalCuts(six, 0) || !slices.Equal(lists.names(x.parts), m.Blocks) {
+	if !canonicalBoundaries(four, 0) || !canonicalBoundaries(six, 0) || !slices.Equal(lists.addLists(x.pieces), m.Blocks) {
 		return malformed(d, "the client blocks are not cut into pieces in the canonical way")
 	}
 	// The rest is small: it is verified as Assemble does, with one block in place of all.
-	if len(x.parts) > 0 {
-		b.ClientBlocks = []ClientBlock{{x.parts[0].first, x.parts[0].regions[0]}}
+	if len(x.pieces) > 0 {
+		b.ClientBlocks = []ClientBlock{{x.pieces[0].first, x.pieces[0].regions[0]}}
 	}
 	if faults := b.Validate(); len(faults) > 0 {
 		return &ValidationError{faults}
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// canonicalCuts reports whether groups would cut the blocks of these parts in the same places.
-func canonicalCuts(parts []blockPart, bits int) bool {
+// canonicalBoundaries reports whether groups would cut the blocks of these parts in the same places.
+func canonicalBoundaries(parts []blockPiece, bits int) bool {
 	total := 0
 	for _, p := range parts {
 		total += p.size
@@ -159,15 +159,15 @@
 	switch {
 	case total == 0:
 		return true
-	case total <= blocksInPiece || bits == parts[0].first.Addr().BitLen():
+	case total <= maxBlocksPerPiece || bits == parts[0].first.Addr().BitLen():
 		return len(parts) == 1
 	}
 	n := 0
-	for n < len(parts) && !bitOf(parts[n].last.Addr(), bits) {
+	for n < len(parts) && !addressBit(parts[n].last.Addr(), bits) {
 		n++
 	}
-	if n < len(parts) && !bitOf(parts[n].first.Addr(), bits) {
+	if n < len(parts) && !addressBit(parts[n].first.Addr(), bits) {
 		return false
 	}
-	return canonicalCuts(parts[:n], bits+1) && canonicalCuts(parts[n:], bits+1)
+	return canonicalBoundaries(parts[:n], bits+1) && canonicalBoundaries(parts[n:], bits+1)
 }
--- a/pabundle/index_test.go
+++ b/pabundle/index_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// random changes some client blocks.
-func random(r *rand.Rand, all []ClientBlock, n int) []ClientBlock {
+// mutateBlocks changes some client blocks.
+func mutateBlocks(r *rand.Rand, all []ClientBlock, n int) []ClientBlock {
 	byPrefix := map[netip.Prefix]ClientBlock{}
 	for _, b := range all {
 		byPrefix[b.Prefix] = b
@@ -43,13 +43,13 @@
 	var x BlockIndex
 	table := map[netip.Prefix]RegionName{}
 	all := map[Digest][]byte{}
-	b.ClientBlocks = append(b.ClientBlocks, blocks(60_000)...)
+	b.ClientBlocks = append(b.ClientBlocks, makeBlocks(60_000)...)
 	for range 6 {
-		b.ClientBlocks = random(r, b.ClientBlocks, 1+r.IntN(60))
+		b.ClientBlocks = mutateBlocks(r, b.ClientBlocks, 1+r.IntN(60))
 		s, err := b.Split()
 		g.Expect(err).NotTo(HaveOccurred())
 		maps.Copy(all, s.Pieces)
-		next, outline, change, err := x.Update(s.Digest, lookUp(all))
+		next, outline, change, err := x.Update(s.Digest, getFrom(all))
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, c := range change.Removed {
 			if table[c.Prefix] != c.Region {
@@ -77,16 +77,16 @@
 // sorts otherwise. Whatever Assemble refuses, an update by pieces must refuse.
 func TestUpdateRefusesWhatAssembleRefuses(t *testing.T) {
 	b, _ := Check(exampleFile(t))
-	b.ClientBlocks = blocks(70_000)
+	b.ClientBlocks = makeBlocks(70_000)
 	s, err := b.Split()
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _, _, err := (BlockIndex{}).Update(s.Digest, lookUp(s.Pieces))
+	whole, _, _, err := (BlockIndex{}).Update(s.Digest, getFrom(s.Pieces))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := groups(b.Canonical().ClientBlocks)
+	cut := partitionBlocks(b.Canonical().ClientBlocks)
 	swapped := slices.Clone(cut)
 	swapped[0], swapped[1] = swapped[1], swapped[0]
 	joined := append([][]ClientBlock{append(slices.Clone(cut[0]), cut[1]...)}, cut[2:]...)
@@ -104,25 +104,25 @@
 		"flat": cut,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var parts []blockPart
+			var parts []blockPiece
 			for _, c := range wrong {
-				p, _ := partOf("", c)
+				p, _ := newBlockPiece("", c)
 				p.digest = s.add(c)
 				parts = append(parts, p)
 			}
 			m := s.Manifest
-			m.Blocks = s.names(parts)
+			m.Blocks = s.addLists(parts)
 			if name == "flat" {
 				m.Blocks = digestsOf(parts)
 			}
 			d := s.add(m)
-			if _, err := Assemble(d, lookUp(s.Pieces)); err == nil {
+			if _, err := Assemble(d, getFrom(s.Pieces)); err == nil {
 				t.Fatal("Assemble took it")
 			}
-			if _, _, _, err := (BlockIndex{}).Update(d, lookUp(s.Pieces)); err == nil {
+			if _, _, _, err := (BlockIndex{}).Update(d, getFrom(s.Pieces)); err == nil {
 				t.Fatal("Update took it")
 			}
-			if _, _, _, err := whole.Update(d, lookUp(s.Pieces)); err == nil {
+			if _, _, _, err := whole.Update(d, getFrom(s.Pieces)); err == nil {
 				t.Fatal("Update from the right version took it")
 			}
 		})
@@ -145,16 +145,16 @@
 	}
 	m := s.Manifest
 	m.Blocks = []Digest{m.Blocks[1], m.Blocks[0]}
-	if _, _, _, err := (BlockIndex{}).Update(s.add(m), lookUp(s.Pieces)); err == nil {
+	if _, _, _, err := (BlockIndex{}).Update(s.add(m), getFrom(s.Pieces)); err == nil {
 		t.Fatal("Update took it")
 	}
 }
 
 // BenchmarkUpdate applies a change of one client block.
 func BenchmarkUpdate(b *testing.B) {
-	for _, n := range append(slices.Clone(sizes), 3_900_000) {
+	for _, n := range append(slices.Clone(blockCounts), 3_900_000) {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			e := sized(b, n)
+			e := exampleWithBlocks(b, n)
 			old, err := e.Split()
 			if err != nil {
 				b.Fatal(err)
@@ -171,13 +171,13 @@
 				}
 			}
 			maps.Copy(old.Pieces, s.Pieces)
-			x, _, _, err := (BlockIndex{}).Update(old.Digest, lookUp(old.Pieces))
+			x, _, _, err := (BlockIndex{}).Update(old.Digest, getFrom(old.Pieces))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, _, err := x.Update(s.Digest, lookUp(old.Pieces)); err != nil {
+				if _, _, _, err := x.Update(s.Digest, getFrom(old.Pieces)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/pabundle/piece.go
+++ b/pabundle/piece.go
@@ -22,10 +22,10 @@
 // both be small: a change would ship over 200 KB, which at 4,900 changes a day is more than the 10 KB
 // a second that control may use.
 const (
-	// blocksInPiece bounds the client blocks of one piece.
-	blocksInPiece = 512
-	// piecesInList bounds the pieces that one list, or the manifest itself, names.
-	piecesInList = 128
+	// maxBlocksPerPiece bounds the client blocks of one piece.
+	maxBlocksPerPiece = 512
+	// maxPiecesPerList bounds the pieces that one list, or the manifest itself, names.
+	maxPiecesPerList = 128
 )
 
 // Manifest names the pieces of a bundle; a bundle's Digest is the digest of its manifest.
@@ -97,11 +97,11 @@
 	for _, v := range b.Services {
 		s.Manifest.Services = append(s.Manifest.Services, s.add(v))
 	}
-	var parts []blockPart
-	for _, g := range groups(b.ClientBlocks) {
-		parts = append(parts, blockPart{digest: s.add(g), first: g[0].Prefix, last: g[len(g)-1].Prefix, size: len(g)})
+	var parts []blockPiece
+	for _, g := range partitionBlocks(b.ClientBlocks) {
+		parts = append(parts, blockPiece{digest: s.add(g), first: g[0].Prefix, last: g[len(g)-1].Prefix, size: len(g)})
 	}
-	s.Manifest.Blocks = s.names(parts)
+	s.Manifest.Blocks = s.addLists(parts)
 	s.Digest = s.add(s.Manifest)
 	for d, data := range s.Pieces {
 		if len(data) > MaxPieceSize {
@@ -120,22 +120,22 @@
 	return d
 }
 
-// names returns what a manifest names for these pieces of client blocks, and adds the lists.
-func (s *SplitBundle) names(parts []blockPart) []Digest {
-	if len(parts) <= piecesInList {
+// addLists returns what a manifest addLists for these pieces of client blocks, and adds the lists.
+func (s *SplitBundle) addLists(parts []blockPiece) []Digest {
+	if len(parts) <= maxPiecesPerList {
 		return digestsOf(parts)
 	}
-	four, six := families(parts, firstAddress)
+	four, six := splitByFamily(parts, pieceAddress)
 	names := []Digest{}
-	for _, list := range append(halve(nil, four, 0, piecesInList, firstAddress), halve(nil, six, 0, piecesInList, firstAddress)...) {
+	for _, list := range append(splitByPrefix(nil, four, 0, maxPiecesPerList, pieceAddress), splitByPrefix(nil, six, 0, maxPiecesPerList, pieceAddress)...) {
 		names = append(names, s.add(digestsOf(list)))
 	}
 	return names
 }
 
-func firstAddress(p blockPart) netip.Addr { return p.first.Addr() }
+func pieceAddress(p blockPiece) netip.Addr { return p.first.Addr() }
 
-func digestsOf(parts []blockPart) []Digest {
+func digestsOf(parts []blockPiece) []Digest {
 	all := make([]Digest, len(parts))
 	for i, p := range parts {
 		all[i] = p.digest
@@ -158,25 +158,25 @@
 // Canonical returns the bundle with its lists in the order of their names, so that two bundles
 // that say the same are written the same.
 func (b Bundle) Canonical() Bundle {
-	b.Regions = ordered(b.Regions, func(x, y Region) int { return cmp.Compare(x.Name, y.Name) })
+	b.Regions = sortedCopy(b.Regions, func(x, y Region) int { return cmp.Compare(x.Name, y.Name) })
 	for i := range b.Regions {
-		b.Regions[i].Zones = ordered(b.Regions[i].Zones, cmp.Compare)
+		b.Regions[i].Zones = sortedCopy(b.Regions[i].Zones, cmp.Compare)
 	}
-	b.Links = ordered(b.Links, func(x, y Link) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
-	b.Services = ordered(b.Services, func(x, y Service) int { return cmp.Compare(x.Name, y.Name) })
+	b.Links = sortedCopy(b.Links, func(x, y Link) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
+	b.Services = sortedCopy(b.Services, func(x, y Service) int { return cmp.Compare(x.Name, y.Name) })
 	for i := range b.Services {
 		s := &b.Services[i]
-		s.Targets = ordered(s.Targets, func(x, y Target) int { return cmp.Compare(x.Name, y.Name) })
-		s.Shares = ordered(s.Shares, func(x, y Share) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
+		s.Targets = sortedCopy(s.Targets, func(x, y Target) int { return cmp.Compare(x.Name, y.Name) })
+		s.Shares = sortedCopy(s.Shares, func(x, y Share) int { return cmp.Or(cmp.Compare(x.From, y.From), cmp.Compare(x.To, y.To)) })
 	}
-	b.ClientBlocks = ordered(b.ClientBlocks, compareBlocks)
+	b.ClientBlocks = sortedCopy(b.ClientBlocks, compareBlocks)
 	return b
 }
 
 func compareBlocks(x, y ClientBlock) int { return x.Prefix.Compare(y.Prefix) }
 
-// ordered returns a sorted copy that is never nil.
-func ordered[E any](list []E, compare func(x, y E) int) []E {
+// sortedCopy returns a sorted copy that is never nil.
+func sortedCopy[E any](list []E, compare func(x, y E) int) []E {
 	if slices.IsSortedFunc(list, compare) && list != nil {
 		return slices.Clone(list)
 	}
@@ -185,18 +185,18 @@
 	return sorted
 }
 
-// groups cuts sorted client blocks into the lists of single pieces. Where to cut depends on the
+// partitionBlocks cuts sorted client blocks into the lists of single pieces. Where to cut depends on the
 // addresses alone: a part of the address space with too many blocks is halved. A block that comes
 // or goes thus changes its own piece and no other.
-func groups(blocks []ClientBlock) [][]ClientBlock {
-	four, six := families(blocks, address)
-	return append(halve(nil, four, 0, blocksInPiece, address), halve(nil, six, 0, blocksInPiece, address)...)
+func partitionBlocks(blocks []ClientBlock) [][]ClientBlock {
+	four, six := splitByFamily(blocks, blockAddress)
+	return append(splitByPrefix(nil, four, 0, maxBlocksPerPiece, blockAddress), splitByPrefix(nil, six, 0, maxBlocksPerPiece, blockAddress)...)
 }
 
-func address(b ClientBlock) netip.Addr { return b.Prefix.Addr() }
+func blockAddress(b ClientBlock) netip.Addr { return b.Prefix.Addr() }
 
-// families parts a sorted list into IPv4 and IPv6.
-func families[E any](all []E, address func(E) netip.Addr) (four, six []E) {
+// splitByFamily parts a sorted list into IPv4 and IPv6.
+func splitByFamily[E any](all []E, address func(E) netip.Addr) (four, six []E) {
 	n, _ := slices.BinarySearchFunc(all, true, func(e E, _ bool) int {
 		if address(e).Is4() {
 			return -1
@@ -206,8 +206,8 @@
 	return all[:n], all[n:]
 }
 
-// halve appends the groups of at most limit elements whose addresses share the first bits.
-func halve[E any](groups [][]E, all []E, bits, limit int, address func(E) netip.Addr) [][]E {
+// splitByPrefix appends the groups of at most limit elements whose addresses share the first bits.
+func splitByPrefix[E any](groups [][]E, all []E, bits, limit int, address func(E) netip.Addr) [][]E {
 	if len(all) == 0 {
 		return groups
 	}
@@ -215,16 +215,16 @@
 		return append(groups, all)
 	}
 	n, _ := slices.BinarySearchFunc(all, true, func(e E, _ bool) int {
-		if bitOf(address(e), bits) {
+		if addressBit(address(e), bits) {
 			return 1
 		}
 		return -1
 	})
-	return halve(halve(groups, all[:n], bits+1, limit, address), all[n:], bits+1, limit, address)
+	return splitByPrefix(splitByPrefix(groups, all[:n], bits+1, limit, address), all[n:], bits+1, limit, address)
 }
 
-// bitOf returns a bit of an address, counted from the most significant.
-func bitOf(a netip.Addr, n int) bool {
+// addressBit returns a bit of an address, counted from the most significant.
+func addressBit(a netip.Addr, n int) bool {
 	b := a.As16()
 	if a.Is4() {
 		n += 96
--- a/pabundle/validate.go
+++ b/pabundle/validate.go
@@ -35,153 +35,153 @@
 
 // Validate reports every fault of a bundle's meaning, without places in a file.
 func (b Bundle) Validate() []FieldError {
-	c := checker{bundle: b, regions: map[RegionName]bool{}, zones: map[ZoneName]RegionName{}, links: map[regionPair]bool{}}
-	c.header()
-	c.regionList()
-	c.linkList()
-	c.serviceList()
-	c.blockList()
-	return c.faults
+	c := validator{bundle: b, regions: map[RegionName]bool{}, zones: map[ZoneName]RegionName{}, links: map[regionPair]bool{}}
+	c.checkGeneral()
+	c.checkRegions()
+	c.checkLinks()
+	c.checkServices()
+	c.checkClientBlocks()
+	return c.errors
 }
 
 // regionPair is a direction between two regions.
 type regionPair struct{ from, to RegionName }
 
-// checker collects the faults of one bundle.
-type checker struct {
+// validator collects the faults of one bundle.
+type validator struct {
 	bundle  Bundle
-	faults  []FieldError
+	errors  []FieldError
 	regions map[RegionName]bool
 	zones   map[ZoneName]RegionName
 	links   map[regionPair]bool
 }
 
-func (c *checker) fault(path, format string, arguments ...any) {
-	c.faults = append(c.faults, FieldError{Path: path, Problem: fmt.Sprintf(format, arguments...)})
+func (c *validator) report(path, format string, arguments ...any) {
+	c.errors = append(c.errors, FieldError{Path: path, Problem: fmt.Sprintf(format, arguments...)})
 }
 
-// within reports a number outside of its limits.
-func within[N int | BitRate](c *checker, path string, given, low, high N) {
+// checkRange reports a number outside of its limits.
+func checkRange[N int | BitRate](c *validator, path string, given, low, high N) {
 	if given < low || given > high {
-		c.fault(path, "%d given, want %d to %d", given, low, high)
+		c.report(path, "%d given, want %d to %d", given, low, high)
 	}
 }
 
-// span reports a duration outside of its limits.
-func (c *checker) span(path string, given Duration, low, high time.Duration) {
+// checkDuration reports a duration outside of its limits.
+func (c *validator) checkDuration(path string, given Duration, low, high time.Duration) {
 	if given.Duration < low || given.Duration > high {
-		c.fault(path, "%s given, want %s to %s", given, low, high)
+		c.report(path, "%s given, want %s to %s", given, low, high)
 	}
 }
 
-// name reports a name that is not fit for host names, headers and metrics.
-func (c *checker) name(path, given string) {
+// checkName reports a checkName that is not fit for host names, headers and metrics.
+func (c *validator) checkName(path, given string) {
 	if given == "" || len(given) > maxNameLength {
-		c.fault(path, "%q given, want 1 to %d characters", given, maxNameLength)
+		c.report(path, "%q given, want 1 to %d characters", given, maxNameLength)
 		return
 	}
 	for i, r := range given {
 		letter := 'a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9'
 		if !letter && (i == 0 || r != '-' && r != '_' && r != '.') {
-			c.fault(path, "%q given, want letters and digits, and after the first also - _ .", given)
+			c.report(path, "%q given, want letters and digits, and after the first also - _ .", given)
 			return
 		}
 	}
 }
 
-func (c *checker) header() {
+func (c *validator) checkGeneral() {
 	b := c.bundle
 	if b.Format != FormatVersion {
-		c.fault("Format", "%d given, want %d", b.Format, FormatVersion)
+		c.report("Format", "%d given, want %d", b.Format, FormatVersion)
 	}
-	c.name("Deployment", b.Deployment)
+	c.checkName("Deployment", b.Deployment)
 	if b.Policy.First != HeadroomFirst && b.Policy.First != LatencyFirst {
-		c.fault("Policy.First", "%q given, want %q or %q", b.Policy.First, HeadroomFirst, LatencyFirst)
+		c.report("Policy.First", "%q given, want %q or %q", b.Policy.First, HeadroomFirst, LatencyFirst)
 	}
 	if !(b.Policy.Reserve >= 0 && b.Policy.Reserve <= maxReserve) {
-		c.fault("Policy.Reserve", "%v given, want 0 to %v", b.Policy.Reserve, maxReserve)
+		c.report("Policy.Reserve", "%v given, want 0 to %v", b.Policy.Reserve, maxReserve)
 	}
 }
 
-func (c *checker) regionList() {
+func (c *validator) checkRegions() {
 	if len(c.bundle.Regions) == 0 {
-		c.fault("Regions", "no region given, want at least one")
+		c.report("Regions", "no region given, want at least one")
 	}
 	for i, r := range c.bundle.Regions {
 		path := fmt.Sprintf("Regions[%d]", i)
-		c.name(path+".Name", string(r.Name))
+		c.checkName(path+".Name", string(r.Name))
 		if c.regions[r.Name] {
-			c.fault(path+".Name", "%q is given twice, want unique names", r.Name)
+			c.report(path+".Name", "%q is given twice, want unique names", r.Name)
 		}
 		c.regions[r.Name] = true
-		within(c, path+".MaxInFlight", r.MaxInFlight, 1, maxInFlight)
+		checkRange(c, path+".MaxInFlight", r.MaxInFlight, 1, maxInFlight)
 		if len(r.Zones) == 0 {
-			c.fault(path+".Zones", "no zone given, want at least one")
+			c.report(path+".Zones", "no zone given, want at least one")
 		}
 		for j, z := range r.Zones {
-			c.zone(fmt.Sprintf("%s.Zones[%d]", path, j), r.Name, z)
+			c.checkZone(fmt.Sprintf("%s.Zones[%d]", path, j), r.Name, z)
 		}
 	}
 }
 
-func (c *checker) zone(path string, r RegionName, z ZoneName) {
-	c.name(path, string(z))
+func (c *validator) checkZone(path string, r RegionName, z ZoneName) {
+	c.checkName(path, string(z))
 	if other, ok := c.zones[z]; ok {
-		c.fault(path, "%q is already a zone of region %q, want unique names", z, other)
+		c.report(path, "%q is already a zone of region %q, want unique names", z, other)
 		return
 	}
 	c.zones[z] = r
 }
 
-func (c *checker) region(path string, r RegionName) bool {
+func (c *validator) checkRegionName(path string, r RegionName) bool {
 	if !c.regions[r] {
-		c.fault(path, "%q given, want the name of a region of this bundle", r)
+		c.report(path, "%q given, want the name of a region of this bundle", r)
 		return false
 	}
 	return true
 }
 
-func (c *checker) linkList() {
+func (c *validator) checkLinks() {
 	for i, l := range c.bundle.Links {
 		path := fmt.Sprintf("Links[%d]", i)
-		c.region(path+".From", l.From)
-		c.region(path+".To", l.To)
+		c.checkRegionName(path+".From", l.From)
+		c.checkRegionName(path+".To", l.To)
 		if l.From == l.To {
-			c.fault(path+".To", "%q is also From, want two regions", l.To)
+			c.report(path+".To", "%q is also From, want two regions", l.To)
 		}
 		if c.links[regionPair{l.From, l.To}] {
-			c.fault(path, "the link from %q to %q is given twice", l.From, l.To)
+			c.report(path, "the link from %q to %q is given twice", l.From, l.To)
 		}
 		c.links[regionPair{l.From, l.To}] = true
-		within(c, path+".Capacity", l.Capacity, 1, maxBitRate)
+		checkRange(c, path+".Capacity", l.Capacity, 1, maxBitRate)
 	}
 }
 
-// block is one client block with its place in the list.
-type block struct {
+// indexedPrefix is one client indexedPrefix with its place in the list.
+type indexedPrefix struct {
 	prefix netip.Prefix
 	index  int
 }
 
-func (c *checker) blockList() {
+func (c *validator) checkClientBlocks() {
 	if len(c.bundle.ClientBlocks) == 0 {
-		c.fault("ClientBlocks", "no block given, want at least one")
+		c.report("ClientBlocks", "no block given, want at least one")
 	}
-	blocks := make([]block, len(c.bundle.ClientBlocks))
+	blocks := make([]indexedPrefix, len(c.bundle.ClientBlocks))
 	for i, b := range c.bundle.ClientBlocks {
-		blocks[i] = block{b.Prefix, i}
+		blocks[i] = indexedPrefix{b.Prefix, i}
 		if !canonicalPrefix(b.Prefix) {
-			c.fault(blockPath(i)+".Prefix", "%s given, want a block in canonical form, such as %s", b.Prefix, b.Prefix.Masked())
+			c.report(blockPath(i)+".Prefix", "%s given, want a block in canonical form, such as %s", b.Prefix, b.Prefix.Masked())
 		}
 		if !c.regions[b.Region] {
-			c.region(blockPath(i)+".Region", b.Region)
+			c.checkRegionName(blockPath(i)+".Region", b.Region)
 		}
 	}
-	byPrefix := func(a, b block) int { return a.prefix.Compare(b.prefix) }
+	byPrefix := func(a, b indexedPrefix) int { return a.prefix.Compare(b.prefix) }
 	slices.SortStableFunc(blocks, byPrefix)
 	for i := 1; i < len(blocks); i++ {
 		if blocks[i].prefix == blocks[i-1].prefix {
-			c.fault(blockPath(blocks[i].index)+".Prefix", "%s is already ClientBlocks[%d], want each block once", blocks[i].prefix, blocks[i-1].index)
+			c.report(blockPath(blocks[i].index)+".Prefix", "%s is already ClientBlocks[%d], want each block once", blocks[i].prefix, blocks[i-1].index)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	return p.IsValid() && p == p.Masked() && !p.Addr().Is4In6()
 }
 
-// finite reports whether a share is a number from low to 1.
-func finite(share, low float64) bool {
+// validFraction reports whether a share is a number from low to 1.
+func validFraction(share, low float64) bool {
 	return !math.IsNaN(share) && share >= low && share <= 1
 }
