--- a/pabundle/assemble.go
+++ b/pabundle/assemble.go
@@ -9,33 +9,34 @@
 	"github.com/gravitational/trace"
 )
 
-// PieceProblem is the closed set of reasons to refuse a piece.
+// PieceProblem is the reason why a piece was refused; the constants below are all its values.
 type PieceProblem string
 
-// The reasons to refuse a piece.
+// The reasons for refusing a piece.
 const (
-	// WrongDigest is a piece whose bytes are not what its name says: corrupt or truncated.
+	// WrongDigest means that the bytes don't have the expected digest: they are corrupt or truncated.
 	WrongDigest PieceProblem = "WrongDigest"
-	// Oversize is a piece over MaxPieceSize.
+	// Oversize means that the piece is larger than MaxPieceSize.
 	Oversize PieceProblem = "Oversize"
-	// Malformed is a piece that is what its name says but not what the manifest needs.
+	// Malformed means that the digest is right, but the content is not valid where the piece is used.
 	Malformed PieceProblem = "Malformed"
 )
 
-// PieceError is a piece that was refused.
+// PieceError reports a piece that was refused.
 type PieceError struct {
 	Digest  Digest
 	Problem PieceProblem
 	Detail  string
 }
 
-// Error says which piece was refused and why.
+// Error returns the digest, the problem and its details.
 func (e *PieceError) Error() string {
 	return fmt.Sprintf("piece %s: %s: %s", e.Digest, e.Problem, e.Detail)
 }
 
-// VerifyPiece reports a piece whose bytes are not what its name says. Whoever fetches a piece from
-// the store or a neighbour calls it before anything else reads the bytes.
+// VerifyPiece checks that data has the digest d and at most MaxPieceSize bytes, and returns a
+// *PieceError otherwise. Code that fetches a piece from the store or a neighbour calls it before it
+// decodes the bytes.
 func VerifyPiece(d Digest, data []byte) error {
 	if len(data) > MaxPieceSize {
 		return trace.Wrap(&PieceError{d, Oversize, fmt.Sprintf("%d bytes, at most %d allowed", len(data), MaxPieceSize)})
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// DecodeManifest reads a manifest that VerifyPiece accepted.
+// DecodeManifest decodes a manifest that VerifyPiece accepted. Errors are of type *PieceError.
 func DecodeManifest(d Digest, data []byte) (Manifest, error) {
 	var m Manifest
 	if err := decodePiece(d, data, &m); err != nil {
@@ -61,7 +62,7 @@
 	return m, nil
 }
 
-// DecodeBlocks reads a piece of client blocks that VerifyPiece accepted.
+// DecodeBlocks decodes a piece of client blocks that VerifyPiece accepted. Errors are of type *PieceError.
 func DecodeBlocks(d Digest, data []byte) ([]ClientBlock, error) {
 	var blocks []ClientBlock
 	if err := decodePiece(d, data, &blocks); err != nil {
@@ -70,8 +71,8 @@
 	return blocks, nil
 }
 
-// Children returns the digests that a piece names: those of a manifest (the root) or of a list of
-// pieces of client blocks; all other pieces name none.
+// Children returns the digests that a piece refers to. Only a manifest (root is true) and a list of
+// pieces of client blocks refer to others; for any other piece the result is empty.
 func Children(root bool, data []byte) ([]Digest, error) {
 	d := DigestOf(data)
 	if root {
@@ -91,23 +92,24 @@
 	return list, nil
 }
 
-// isDigestList tells a list of digests from pieces of client blocks, services and plans.
+// isDigestList reports whether a piece is a list of digests, rather than client blocks, a service or a plan.
 func isDigestList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
 
-// MissingPieces returns the digests that have yet to be fetched before Assemble can succeed: first the
-// manifest, then what it names, then what the lists among that name.
+// MissingPieces returns the digests of the bundle d that get does not have and that Assemble needs.
+// Children of a missing piece are unknown, so the caller fetches the result and calls again: first
+// for the manifest, then for the pieces that it names, then for those that its lists name.
 func MissingPieces(d Digest, get func(Digest) ([]byte, bool)) ([]Digest, error) {
 	var missing []Digest
-	open := []Digest{d}
-	for depth := 0; len(open) > 0; depth++ {
-		var deeper []Digest
-		for _, o := range open {
-			data, ok := get(o)
+	level := []Digest{d}
+	for depth := 0; len(level) > 0; depth++ {
+		var next []Digest
+		for _, p := range level {
+			data, ok := get(p)
 			if !ok {
-				missing = append(missing, o)
+				missing = append(missing, p)
 				continue
 			}
-			// Lists name pieces of blocks and never other lists.
+			// Lists are not nested: they name only pieces of client blocks.
 			if depth > 1 {
 				continue
 			}
@@ -115,15 +117,16 @@
 			if err != nil {
 				return nil, err
 			}
-			deeper = append(deeper, children...)
+			next = append(next, children...)
 		}
-		open = deeper
+		level = next
 	}
 	return missing, nil
 }
 
-// blockPieces returns the digests of all pieces of client blocks. A digest for which known is true is
-// such a piece; all others are read to see whether they are lists.
+// blockPieces returns the digests of all pieces of client blocks, with the lists of the manifest
+// expanded. A digest for which known is true is a piece of client blocks and is not read; the others
+// are read to find out whether they are lists.
 func blockPieces(m Manifest, get func(Digest) ([]byte, bool), known func(Digest) bool) ([]Digest, error) {
 	var all []Digest
 	for _, d := range m.Blocks {
@@ -148,8 +151,10 @@
 	return all, nil
 }
 
-// Assemble builds the bundle from its pieces and verifies all of it: each piece's digest, that the
-// pieces are the canonical ones, and that the bundle is valid.
+// Assemble decodes the bundle d from its pieces and verifies it completely: the digest of each piece,
+// that Split would produce the same pieces, and that Validate finds no error. It returns a
+// trace.NotFound error for a missing piece, a *PieceError for a bad one, and a *ValidationError for
+// an invalid bundle.
 func Assemble(d Digest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	manifestData, err := getVerified(d, get)
 	if err != nil {
@@ -168,16 +173,17 @@
 		return Bundle{}, err
 	}
 	if s.Digest != d {
-		return Bundle{}, malformed(d, "the pieces are not the canonical ones of their bundle, %s", s.Digest)
+		return Bundle{}, malformed(d, "the pieces are not the canonical ones of their bundle, which has digest %s", s.Digest)
 	}
-	if faults := b.Validate(); len(faults) > 0 {
-		return Bundle{}, trace.Wrap(&ValidationError{faults})
+	if errs := b.Validate(); len(errs) > 0 {
+		return Bundle{}, trace.Wrap(&ValidationError{errs})
 	}
 	return b, nil
 }
 
-// AssembleWithoutBlocks builds the bundle without its client blocks. It verifies the digest of each piece that it
-// reads, and nothing more: it is for commands on bundles that were verified when they were proposed.
+// AssembleWithoutBlocks decodes the bundle d without its client blocks. It verifies only the digests
+// of the pieces that it reads, which is enough for commands on bundles that were verified when they
+// were proposed.
 func AssembleWithoutBlocks(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
 	data, err := getVerified(d, get)
 	if err != nil {
@@ -191,7 +197,7 @@
 	return b, m, err
 }
 
-// decodeBundle decodes all pieces of a manifest.
+// decodeBundle decodes all pieces that a manifest names.
 func decodeBundle(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	b, err := decodeWithoutBlocks(m, get)
 	if err != nil {
@@ -212,7 +218,7 @@
 	return b, nil
 }
 
-// decodeWithoutBlocks decodes the plan and the services.
+// decodeWithoutBlocks decodes the plan and the services that a manifest names.
 func decodeWithoutBlocks(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	var p plan
 	if err := readPiece(m.Plan, get, &p); err != nil {
@@ -238,6 +244,7 @@
 	return decodePiece(d, data, into)
 }
 
+// getVerified returns the bytes of a piece after VerifyPiece accepted them.
 func getVerified(d Digest, get func(Digest) ([]byte, bool)) ([]byte, error) {
 	data, ok := get(d)
 	if !ok {
@@ -246,7 +253,8 @@
 	return data, VerifyPiece(d, data)
 }
 
-// decodePiece reads a piece and refuses any bytes but those that encode would write.
+// decodePiece decodes a piece and refuses any encoding but the one that encode writes, so that equal
+// content always has the same digest.
 func decodePiece(d Digest, data []byte, into any) error {
 	if err := json.Unmarshal(data, into); err != nil {
 		return malformed(d, "%v", err)
--- a/pabundle/bench_test.go
+++ b/pabundle/bench_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// exampleWithBlocks returns the example with n client blocks.
+// exampleWithBlocks returns the example bundle with n client blocks.
 func exampleWithBlocks(b *testing.B, n int) Bundle {
-	e, faults := Check(exampleFile(b))
-	if len(faults) > 0 {
-		b.Fatal(faults)
+	e, errs := Check(exampleFile(b))
+	if len(errs) > 0 {
+		b.Fatal(errs)
 	}
 	e.ClientBlocks = makeBlocks(n)
 	return e
@@ -22,8 +22,8 @@
 	data := exampleFile(b)
 	b.SetBytes(int64(len(data)))
 	for b.Loop() {
-		if _, faults := Check(data); len(faults) > 0 {
-			b.Fatal(faults)
+		if _, errs := Check(data); len(errs) > 0 {
+			b.Fatal(errs)
 		}
 	}
 }
@@ -37,16 +37,16 @@
 			}
 			b.SetBytes(int64(len(data)))
 			for b.Loop() {
-				if _, faults := Check(data); len(faults) > 0 {
-					b.Fatal(faults)
+				if _, errs := Check(data); len(errs) > 0 {
+					b.Fatal(errs)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkCheckAllFaulty reads a file in which each block is wrong.
-func BenchmarkCheckAllFaulty(b *testing.B) {
+// BenchmarkCheckAllInvalid checks a file in which each client block has an error.
+func BenchmarkCheckAllInvalid(b *testing.B) {
 	for _, n := range blockCounts[:3] {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
 			e := exampleWithBlocks(b, n)
@@ -58,8 +58,8 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				if _, faults := Check(data); len(faults) != n {
-					b.Fatal(len(faults))
+				if _, errs := Check(data); len(errs) != n {
+					b.Fatal(len(errs))
 				}
 			}
 		})
--- a/pabundle/bundle_test.go
+++ b/pabundle/bundle_test.go
@@ -20,9 +20,10 @@
 	return data
 }
 
-// An operator repairs the one fault that check showed, checks again, finds the next, and rolls out
-// an hour late. Check must name all faults at once, of form and of meaning, each with its place.
-func TestCheckReportsEveryFaultWithItsPlace(t *testing.T) {
+// Check must report all errors of structure and of values in one run, each with its path and position.
+// If it stopped at the first, an operator would correct and check a bundle once for each error, which
+// delays an urgent roll-out.
+func TestCheckReportsEveryErrorWithItsPosition(t *testing.T) {
 	g := NewWithT(t)
 	data := string(exampleFile(t))
 	edit := func(old, with string) {
@@ -41,9 +42,9 @@
 	edit(`"From": "norte",
           "To": "norte",
           "Share": 1`, `"From": "norte", "To": "norte", "Share": 0.5`)
-	_, faults := Check([]byte(data + "x"))
+	_, errs := Check([]byte(data + "x"))
 	var got []string
-	for _, f := range faults {
+	for _, f := range errs {
 		g.Expect(f.Line).To(BeNumerically(">", 0))
 		lines := strings.Split(data, "\n")
 		got = append(got, f.Path+" at "+strings.TrimSpace(lines[f.Line-1][f.Column-1:]))
@@ -61,28 +62,29 @@
 
 func TestSplitAndAssembleRoundTrip(t *testing.T) {
 	g := NewWithT(t)
-	b, faults := Check(exampleFile(t))
-	g.Expect(faults).To(BeEmpty())
+	b, errs := Check(exampleFile(t))
+	g.Expect(errs).To(BeEmpty())
 	s, err := b.Split()
 	g.Expect(err).NotTo(HaveOccurred())
 	got, err := Assemble(s.Digest, getFrom(s.Pieces))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(Diff(b, got)).To(BeEmpty())
 	b.Links[0], b.Links[5] = b.Links[5], b.Links[0]
-	g.Expect(b.Digest()).To(Equal(s.Digest), "the order of a list says nothing")
+	g.Expect(b.Digest()).To(Equal(s.Digest), "the digest must not depend on the order of a list")
 	b.Links[0].Capacity++
 	g.Expect(b.Digest()).NotTo(Equal(s.Digest))
 	g.Expect(Diff(got, b)).To(HaveLen(1))
 }
 
+// getFrom returns a get function for Assemble and Update that reads from a map.
 func getFrom(pieces map[Digest][]byte) func(Digest) ([]byte, bool) {
 	return func(d Digest) ([]byte, bool) { data, ok := pieces[d]; return data, ok }
 }
 
-// A disk-less daemon fetches pieces from the store and from neighbours. One is cut short, one has a
-// flipped bit, one is huge, and one was written by a program that orders lists differently. None
-// may become part of a bundle, because callers would be steered by something nobody signed off.
-func TestEveryDamagedPieceIsRefused(t *testing.T) {
+// Daemons fetch pieces from the store and from neighbours. Assemble must refuse a piece that is truncated,
+// corrupt or oversized, and a manifest with lists in another order than the canonical one. Otherwise
+// requests would be routed by a configuration that nobody signed off.
+func TestAssembleRefusesDamagedPieces(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Check(exampleFile(t))
 	s, err := b.Split()
@@ -90,7 +92,8 @@
 	for d, data := range s.Pieces {
 		flipped := append([]byte{}, data...)
 		flipped[len(data)/2] ^= 1
-		for _, bad := range [][]byte{data[:len(data)-1], flipped, append(data[:len(data):len(data)], ' '), make([]byte, MaxPieceSize+1), {}} {
+		padded := append(data[:len(data):len(data)], ' ')
+		for _, bad := range [][]byte{data[:len(data)-1], flipped, padded, make([]byte, MaxPieceSize+1), {}} {
 			damaged := map[Digest][]byte{}
 			for k, v := range s.Pieces {
 				damaged[k] = v
@@ -110,6 +113,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("not the canonical ones")))
 }
 
+// makeBlocks returns n client blocks of 256 IPv4 addresses each.
 func makeBlocks(n int) []ClientBlock {
 	all := make([]ClientBlock, n)
 	for i := range all {
@@ -119,9 +123,9 @@
 	return all
 }
 
-// At 4,900 changes a day and 3.9 million client blocks, a change that shipped the whole table
-// would cost every daemon gigabytes a day.
-func TestSmallChangeShipsFewPieces(t *testing.T) {
+// A small change of the client blocks must add only a few pieces. If each of 4,900 changes a day
+// transferred the whole table of 3.9 million blocks, each daemon would receive gigabytes a day.
+func TestSmallChangeAddsFewPieces(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Check(exampleFile(t))
 	b.ClientBlocks = makeBlocks(100_000)
@@ -131,14 +135,14 @@
 	b.ClientBlocks = append(b.ClientBlocks, ClientBlock{netip.MustParsePrefix("11.0.7.128/25"), "norte"})
 	after, err := b.Split()
 	g.Expect(err).NotTo(HaveOccurred())
-	fresh := 0
+	added := 0
 	for d := range after.Pieces {
 		if _, ok := before.Pieces[d]; !ok {
-			fresh++
+			added++
 		}
 	}
 	g.Expect(len(after.Pieces)).To(BeNumerically(">", 30))
-	g.Expect(fresh).To(Equal(6), "the manifest, two lists, the changed piece, and the halves of one that grew too large")
+	g.Expect(added).To(Equal(6), "the manifest, two lists, the changed piece, and the two halves of a piece that exceeded its limit")
 }
 
 func FuzzCheck(f *testing.F) {
@@ -146,18 +150,20 @@
 	for _, cut := range []int{0, 1, 10, 100, 1000, len(data) - 2, len(data)} {
 		f.Add(data[:cut])
 	}
-	for _, s := range []string{"null", "[]", `{"Format":1e9}`, `{"Regions":[null,{}]}`, "\xff", `{"Services":[{"Targets":[{"Address":"::1"}]}]}`,
-		`{"ClientBlocks":[{"Prefix":"1.2.3.4/33","Region":""}]}`, `{"Policy":{"Reserve":1e400}}`, strings.Repeat(`[`, 20000)} {
+	for _, s := range []string{
+		"null", "[]", `{"Format":1e9}`, `{"Regions":[null,{}]}`, "\xff", `{"Services":[{"Targets":[{"Address":"::1"}]}]}`,
+		`{"ClientBlocks":[{"Prefix":"1.2.3.4/33","Region":""}]}`, `{"Policy":{"Reserve":1e400}}`, strings.Repeat(`[`, 20000),
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b, faults := Check(data)
-		for _, x := range faults {
+		b, errs := Check(data)
+		for _, x := range errs {
 			if x.Line < 1 || x.Column < 1 || x.Problem == "" {
-				t.Fatalf("fault without a place: %+v", x)
+				t.Fatalf("error without a position: %+v", x)
 			}
 		}
-		if len(faults) > 0 {
+		if len(errs) > 0 {
 			return
 		}
 		s, err := b.Split()
@@ -196,10 +202,10 @@
 			return piece, ok
 		}
 		_, _ = MissingPieces(d, get)
-		_, wrong := Assemble(d, get)
-		_, _, _, err := (BlockIndex{}).Update(d, get)
-		if (wrong == nil) != (err == nil) {
-			t.Fatalf("Assemble says %v, Update says %v", wrong, err)
+		_, assembleErr := Assemble(d, get)
+		_, _, _, updateErr := (BlockIndex{}).Update(d, get)
+		if (assembleErr == nil) != (updateErr == nil) {
+			t.Fatalf("Assemble returned %v, Update returned %v", assembleErr, updateErr)
 		}
 		_, _ = DecodeBlocks(d, data)
 		_, _ = Children(false, data)
--- a/pabundle/decode.go
+++ b/pabundle/decode.go
@@ -13,12 +13,13 @@
 	"unicode/utf8"
 )
 
-// MaxFileSize bounds a bundle's file. 3.9 million client blocks of about 60 bytes fit twice; what
-// is larger is not a bundle and must not fill an operator's memory.
+// MaxFileSize is the maximum size of a bundle's file in bytes. It is over twice the size of 3.9 million
+// client blocks of about 60 bytes each. Larger files are refused, so that a wrong file does not exhaust
+// the memory of the operator's machine.
 const MaxFileSize = 512 << 20
 
-// Decode reads a bundle's JSON and reports every fault of its form: unknown, repeated and missing
-// fields, wrong types, and anything after the bundle. Field names are matched with their case.
+// Decode parses a bundle's JSON and returns all errors of syntax and structure: unknown, duplicate and
+// missing fields, wrong types, and data after the bundle. Field names are case-sensitive.
 func Decode(data []byte) (Bundle, []FieldError) {
 	var b Bundle
 	if len(data) > MaxFileSize {
@@ -29,43 +30,43 @@
 	return b, d.errors
 }
 
-// Check reads a bundle's JSON and reports every fault of its form and its meaning, with the place
-// in the file. The bundle may be rolled out only if there is none.
+// Check parses and validates a bundle's JSON and returns all errors of Decode and Validate with their
+// positions in the file. The bundle may be rolled out only if there are none.
 func Check(data []byte) (Bundle, []FieldError) {
-	b, faults := Decode(data)
+	b, errs := Decode(data)
 	if len(data) > MaxFileSize {
-		return b, faults
+		return b, errs
 	}
 	known := map[string]bool{}
-	for _, f := range faults {
+	for _, f := range errs {
 		known[f.Path] = true
 	}
 	var more []FieldError
 	for _, f := range b.Validate() {
-		if !known[f.Path] && !hasSyntaxError(faults) {
+		if !known[f.Path] && !hasSyntaxError(errs) {
 			more = append(more, f)
 		}
 	}
 	fillPositions(data, more)
-	return b, append(faults, more...)
+	return b, append(errs, more...)
 }
 
-// syntaxProblem marks a fault after which nothing more could be read.
+// syntaxProblem starts the Problem of a syntax error, after which the rest of the file is not parsed.
 const syntaxProblem = "not JSON"
 
-func hasSyntaxError(faults []FieldError) bool {
-	n := len(faults)
-	return n > 0 && strings.HasPrefix(faults[n-1].Problem, syntaxProblem)
+func hasSyntaxError(errs []FieldError) bool {
+	n := len(errs)
+	return n > 0 && strings.HasPrefix(errs[n-1].Problem, syntaxProblem)
 }
 
-// fieldPath is a value's way from the root of the bundle.
+// fieldPath is the path of a value from the root of the bundle; nil is the root.
 type fieldPath struct {
 	parent *fieldPath
 	field  string
 	index  int
 }
 
-// String returns the path of the place.
+// String formats the path like FieldError.Path.
 func (p *fieldPath) String() string {
 	switch {
 	case p == nil:
@@ -79,17 +80,17 @@
 	}
 }
 
-// decoder fills Go values from JSON tokens and goes on after a fault, so that all are reported.
+// decoder decodes JSON into Go values and continues after an error, so that all errors are reported.
 type decoder struct {
 	data   []byte
 	json   *json.Decoder
 	lines  lineIndex
 	errors []FieldError
-	// visit is called with the offset of each value, if set.
+	// visit, if set, is called with the path and offset of each value.
 	visit func(p *fieldPath, offset int)
 }
 
-// errStopDecoding ends the decoding after a fault of syntax.
+// errStopDecoding ends the decoding after a syntax error, which has been reported.
 var errStopDecoding = errors.New("stop")
 
 func (d *decoder) document(v reflect.Value) {
@@ -110,7 +111,7 @@
 	d.errors = append(d.errors, FieldError{line, column, p.String(), fmt.Sprintf(format, arguments...)})
 }
 
-// syntaxError reports what ended the decoding.
+// syntaxError reports an error of the JSON decoder and returns errStopDecoding.
 func (d *decoder) syntaxError(p *fieldPath, err error) error {
 	offset := int(d.json.InputOffset())
 	var s *json.SyntaxError
@@ -119,7 +120,7 @@
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		offset = len(d.data)
-		err = errors.New("the file ends in the middle")
+		err = errors.New("unexpected end of file")
 	}
 	d.report(p, max(offset, 0), "%s: %v", syntaxProblem, err)
 	return errStopDecoding
@@ -134,7 +135,7 @@
 	return at
 }
 
-// value reads one value into v.
+// value decodes one value into v.
 func (d *decoder) value(p *fieldPath, v reflect.Value) error {
 	at := d.nextOffset()
 	if d.visit != nil {
@@ -162,6 +163,7 @@
 	return nil
 }
 
+// skip reads the next value without decoding it.
 func (d *decoder) skip(p *fieldPath) (json.RawMessage, error) {
 	var raw json.RawMessage
 	if err := d.json.Decode(&raw); err != nil {
@@ -170,6 +172,7 @@
 	return raw, nil
 }
 
+// object decodes a JSON object into the struct v and reports fields that are missing.
 func (d *decoder) object(p *fieldPath, v reflect.Value) error {
 	at := d.nextOffset()
 	if _, err := d.json.Token(); err != nil {
@@ -193,7 +196,7 @@
 	return nil
 }
 
-// field reads one key and its value.
+// field decodes one key of an object and its value; seen marks the fields of v that were given so far.
 func (d *decoder) field(p *fieldPath, v reflect.Value, seen []bool) error {
 	at := d.nextOffset()
 	token, err := d.json.Token()
@@ -202,7 +205,7 @@
 	}
 	name, ok := token.(string)
 	if !ok {
-		return d.syntaxError(p, errors.New("an object's key is not a string"))
+		return d.syntaxError(p, errors.New("object key is not a string"))
 	}
 	here := &fieldPath{parent: p, field: name}
 	f, known := v.Type().FieldByName(name)
@@ -210,7 +213,7 @@
 	case !known:
 		d.report(here, at, "unknown field, want one of %s", fieldNames(v.Type()))
 	case seen[f.Index[0]]:
-		d.report(here, at, "given twice, want it once")
+		d.report(here, at, "duplicate field")
 	default:
 		seen[f.Index[0]] = true
 		return d.value(here, v.Field(f.Index[0]))
@@ -236,14 +239,14 @@
 	return nil
 }
 
-// fillPositions fills in the places of faults that know only their paths; a path that the file does not
-// have takes the place of what should hold it.
-func fillPositions(data []byte, faults []FieldError) {
-	if len(faults) == 0 {
+// fillPositions sets the line and column of errors that have only a path. If the file has no value at a
+// path, the position is that of the innermost enclosing value.
+func fillPositions(data []byte, errs []FieldError) {
+	if len(errs) == 0 {
 		return
 	}
 	offsets := map[string]int{}
-	for _, f := range faults {
+	for _, f := range errs {
 		for path := f.Path; path != ""; path = parentPath(path) {
 			offsets[path] = -1
 		}
@@ -257,21 +260,21 @@
 	}
 	var b Bundle
 	d.document(reflect.ValueOf(&b).Elem())
-	for i, f := range faults {
+	for i, f := range errs {
 		path := f.Path
 		for path != "" && offsets[path] < 0 {
 			path = parentPath(path)
 		}
-		faults[i].Line, faults[i].Column = d.lines.position(max(offsets[path], 0))
+		errs[i].Line, errs[i].Column = d.lines.position(max(offsets[path], 0))
 	}
 }
 
-// parentPath returns the path of what holds a path.
+// parentPath returns the path of the value that contains the one at path.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// expectedType says what a value must look like.
+// expectedType describes the values that v accepts, for error messages.
 func expectedType(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case Duration:
@@ -305,7 +308,7 @@
 	return strings.Join(names, ", ")
 }
 
-// maxQuotedBytes bounds what a fault repeats of the file.
+// maxQuotedBytes limits how much of a wrong value an error message quotes.
 const maxQuotedBytes = 40
 
 func truncated(raw []byte) string {
@@ -315,6 +318,7 @@
 	return strings.ToValidUTF8(string(raw[:maxQuotedBytes]), "") + "..."
 }
 
+// invalidOffset returns the offset of the first byte that is not valid UTF-8.
 func invalidOffset(data []byte) int {
 	for i := 0; i < len(data); {
 		r, n := utf8.DecodeRune(data[i:])
--- a/pabundle/diff.go
+++ b/pabundle/diff.go
@@ -7,15 +7,16 @@
 	"slices"
 )
 
-// Difference is one place where two bundles say different things.
+// Difference is one value that differs between two bundles.
 type Difference struct {
-	// Path names the place by names and not by positions, such as Services[deposits].Targets[dep-01].Slots.
+	// Path is the path of the field, with names of list elements instead of indexes, such as
+	// Services[deposits].Targets[dep-01].Slots.
 	Path string
-	// Old and New are the values as the bundle writes them; empty where there is none.
+	// Old and New are the values as JSON; Old is empty for an added element, New for a removed one.
 	Old, New string `json:",omitempty"`
 }
 
-// String returns the difference as one line.
+// String formats the difference as one line that starts with +, - or ~ for added, removed and changed.
 func (d Difference) String() string {
 	switch {
 	case d.Old == "":
@@ -27,7 +28,8 @@
 	}
 }
 
-// Diff returns what changes from one bundle to the other, in the order of the format.
+// Diff returns the differences between two bundles, in the order of the fields of Bundle. The order of
+// list elements is ignored.
 func Diff(from, to Bundle) []Difference {
 	var d differ
 	d.value("", reflect.ValueOf(from.Canonical()), reflect.ValueOf(to.Canonical()))
@@ -55,7 +57,7 @@
 	}
 }
 
-// list compares two lists by the keys of their elements.
+// list compares two lists, matching their elements by elementKey.
 func (d *differ) list(path string, from, to reflect.Value) {
 	old := map[string]reflect.Value{}
 	var keys []string
@@ -64,10 +66,10 @@
 		old[k] = from.Index(i)
 		keys = append(keys, k)
 	}
-	fresh := map[string]reflect.Value{}
+	added := map[string]reflect.Value{}
 	for i := range to.Len() {
 		k := elementKey(to.Index(i))
-		fresh[k] = to.Index(i)
+		added[k] = to.Index(i)
 		if _, ok := old[k]; !ok {
 			keys = append(keys, k)
 		}
@@ -76,7 +78,7 @@
 	for _, k := range keys {
 		here := path + "[" + k + "]"
 		o, had := old[k]
-		n, has := fresh[k]
+		n, has := added[k]
 		switch {
 		case had && has:
 			d.value(here, o, n)
@@ -88,7 +90,7 @@
 	}
 }
 
-// elementKey returns what identifies an element of a list.
+// elementKey returns the key that identifies an element within its list.
 func elementKey(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case Region:
@@ -108,5 +110,5 @@
 	}
 }
 
-// jsonText returns a value as the bundle writes it.
+// jsonText returns the JSON encoding of a value in the bundle.
 func jsonText(v reflect.Value) string { return string(encode(v.Interface())) }
--- a/pabundle/example_test.go
+++ b/pabundle/example_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the example bundles anew")
+var update = flag.Bool("update", false, "rewrite the example bundles")
 
-// exampleDeployment is what differs between the two example deployments.
+// exampleDeployment holds the values that differ between the two example deployments.
 type exampleDeployment struct {
 	file     string
 	comment  string
@@ -28,10 +28,10 @@
 	services []Service
 }
 
-func makeService(name ServiceName, timeout, longest, typical time.Duration) Service {
+func makeService(name ServiceName, timeout, maxTimeout, typical time.Duration) Service {
 	d := func(t time.Duration) Duration { return Duration{t} }
 	return Service{
-		Name: name, Timeout: d(timeout), MaxTimeout: d(longest), TypicalRun: d(typical), KeyMemory: d(2 * longest),
+		Name: name, Timeout: d(timeout), MaxTimeout: d(maxTimeout), TypicalRun: d(typical), KeyMemory: d(2 * maxTimeout),
 		Shift: ShiftCap{Share: 0.1, Window: d(30 * time.Second)},
 	}
 }
@@ -64,9 +64,12 @@
 	}
 }
 
-// makeBundle writes a user's deployment at the sizes of today.
+// makeBundle returns the bundle of the deployment at its present size.
 func (u exampleDeployment) makeBundle() Bundle {
-	b := Bundle{Format: FormatVersion, Deployment: strings.TrimSuffix(filepath.Base(u.file), ".json"), Comment: u.comment, Policy: Policy{u.first, u.reserve}}
+	b := Bundle{
+		Format: FormatVersion, Deployment: strings.TrimSuffix(filepath.Base(u.file), ".json"),
+		Comment: u.comment, Policy: Policy{u.first, u.reserve},
+	}
 	var zones []ZoneName
 	for i, r := range u.regions {
 		own := []ZoneName{ZoneName(r + "-1"), ZoneName(r + "-2")}
@@ -117,8 +120,8 @@
 		if !bytes.Equal(got, want) {
 			t.Errorf("%s is not current: run go test ./pabundle -run Examples -update", u.file)
 		}
-		if _, faults := Check(got); len(faults) > 0 {
-			t.Errorf("%s: %v", u.file, faults)
+		if _, errs := Check(got); len(errs) > 0 {
+			t.Errorf("%s: %v", u.file, errs)
 		}
 	}
 }
--- a/pabundle/fault.go
+++ b/pabundle/fault.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// FieldError is one thing that is wrong with a bundle.
+// FieldError is one error in a bundle: a value that is malformed, missing or not allowed.
 type FieldError struct {
-	// Line and Column are the place in the file, counted from 1 in lines and bytes; 0 where the
-	// bundle was not read from a file.
+	// Line and Column (in bytes) are the position in the file, counted from 1; both are 0 if the bundle
+	// was not read from a file.
 	Line, Column int `json:",omitempty"`
-	// Path is the place in the bundle, such as Services[2].Targets[0].Address; empty for all of it.
+	// Path is the path of the field, such as Services[2].Targets[0].Address; empty for the whole bundle.
 	Path string
-	// Problem says what was given and what is allowed.
+	// Problem describes the given value and the allowed ones.
 	Problem string
 }
 
-// String returns the fault as one line.
+// String formats the error as one line.
 func (f FieldError) String() string {
 	path := f.Path
 	if path == "" {
@@ -29,10 +29,10 @@
 	return fmt.Sprintf("%d:%d: %s: %s", f.Line, f.Column, path, f.Problem)
 }
 
-// ValidationError is a bundle that was refused, with everything that is wrong with it.
+// ValidationError reports a bundle that was refused, with all errors found in it.
 type ValidationError struct{ Errors []FieldError }
 
-// Error returns one line for each fault.
+// Error returns a line with the number of errors and one line for each.
 func (e *ValidationError) Error() string {
 	lines := make([]string, 0, len(e.Errors)+1)
 	lines = append(lines, fmt.Sprintf("bundle refused, faults: %d", len(e.Errors)))
@@ -42,8 +42,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// lineIndex finds places in a file; the line starts are looked up once, so that a file with a fault in
-// each of millions of blocks is reported in the time of reading it.
+// lineIndex converts offsets in a file to lines and columns. It scans the file for line starts only
+// once, so that reporting an error in each of millions of blocks takes no longer than reading the file.
 type lineIndex struct {
 	data   []byte
 	starts []int
--- a/pabundle/index.go
+++ b/pabundle/index.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// BlockIndex knows which piece of a bundle holds which client blocks, so that a change of the bundle
-// is verified and applied by the pieces that differ. At 3.9 million blocks and 4,900 changes a day,
-// assembling each version whole would take more processor time than all else that a daemon does.
-// The zero BlockIndex is that of no bundle. It is immutable.
+// BlockIndex lists the pieces of client blocks of one bundle version, so that the next version can be
+// verified and applied by reading only the pieces that differ. At 3.9 million blocks and 4,900 changes a
+// day, assembling each version from all pieces would take more CPU time than everything else that a
+// daemon does. The zero BlockIndex has no blocks. A BlockIndex is immutable.
 type BlockIndex struct{ pieces []blockPiece }
 
-// blockPiece is one piece of client blocks.
+// blockPiece describes one piece of client blocks: its first and last prefix, the number of blocks and
+// the regions that they name.
 type blockPiece struct {
 	digest      Digest
 	first, last netip.Prefix
@@ -19,8 +20,9 @@
 	regions     []RegionName
 }
 
-// BlockChange is what differs between two versions' client blocks, by whole pieces: a block that is
-// in both lists stayed in a piece that changed. Both are sorted by prefix.
+// BlockChange is the difference between the client blocks of two versions. It consists of whole pieces:
+// Removed has all blocks of the pieces that only the old version has, Added those of the pieces that only
+// the new version has, so an unchanged block of a changed piece is in both. Both are sorted by prefix.
 type BlockChange struct{ Removed, Added []ClientBlock }
 
 // Size returns the number of client blocks.
@@ -32,10 +34,10 @@
 	return n
 }
 
-// Update returns the index of the version d and the change from x to it. It verifies what Assemble
-// verifies, but reads only the pieces of blocks that differ: get must hold the manifest, the plan,
-// the services, the lists and the fresh pieces of d, and those pieces of x's version that are gone. The bundle
-// it returns has no client blocks.
+// Update returns the index of the bundle d, the bundle without its client blocks, and the change from x.
+// It verifies as much as Assemble and returns the same types of errors, but reads only the pieces of
+// client blocks that differ: get must have the manifest, the plan, the services, the lists and the new
+// pieces of d, and the pieces of x's version that d no longer has.
 func (x BlockIndex) Update(d Digest, get func(Digest) ([]byte, bool)) (BlockIndex, Bundle, BlockChange, error) {
 	b, m, err := AssembleWithoutBlocks(d, get)
 	if err != nil {
@@ -51,20 +53,20 @@
 	return next, b, change, nil
 }
 
-// apply reads the pieces that differ.
+// apply reads the pieces of client blocks that differ and returns the index of the new version.
 func (x BlockIndex) apply(m Manifest, get func(Digest) ([]byte, bool)) (BlockIndex, BlockChange, error) {
-	held := map[Digest]blockPiece{}
+	old := map[Digest]blockPiece{}
 	for _, p := range x.pieces {
-		held[p.digest] = p
+		old[p.digest] = p
 	}
 	var next BlockIndex
 	var change BlockChange
-	all, err := blockPieces(m, get, func(d Digest) bool { _, ok := held[d]; return ok })
+	all, err := blockPieces(m, get, func(d Digest) bool { _, ok := old[d]; return ok })
 	if err != nil {
 		return next, change, err
 	}
 	for _, d := range all {
-		p, ok := held[d]
+		p, ok := old[d]
 		if !ok {
 			var blocks []ClientBlock
 			if err := readPiece(d, get, &blocks); err != nil {
@@ -76,11 +78,11 @@
 			}
 			change.Added = append(change.Added, blocks...)
 		}
-		delete(held, d)
+		delete(old, d)
 		next.pieces = append(next.pieces, p)
 	}
 	for _, p := range x.pieces {
-		if _, gone := held[p.digest]; !gone {
+		if _, removed := old[p.digest]; !removed {
 			continue
 		}
 		var blocks []ClientBlock
@@ -92,7 +94,8 @@
 	return next, change, nil
 }
 
-// newBlockPiece verifies the blocks of one piece.
+// newBlockPiece describes one piece of client blocks, after verifying that they are in canonical form and
+// order.
 func newBlockPiece(d Digest, blocks []ClientBlock) (blockPiece, error) {
 	if len(blocks) == 0 {
 		return blockPiece{}, malformed(d, "no client blocks")
@@ -112,7 +115,7 @@
 	return p, nil
 }
 
-// verify makes sure that the parts are the canonical ones of one valid bundle.
+// verify checks that the indexed pieces are those that Split would produce and that the bundle is valid.
 func (x BlockIndex) verify(d Digest, b Bundle, m Manifest) error {
 	known := map[RegionName]bool{}
 	for _, r := range b.Regions {
@@ -120,7 +123,7 @@
 	}
 	for i, p := range x.pieces {
 		if i > 0 && x.pieces[i-1].last.Compare(p.first) >= 0 {
-			return malformed(d, "piece %s does not come after the one before", p.digest)
+			return malformed(d, "piece %s does not come after the previous piece", p.digest)
 		}
 		for _, r := range p.regions {
 			if !known[r] {
@@ -128,17 +131,18 @@
 			}
 		}
 	}
-	four, six := splitByFamily(x.pieces, pieceAddress)
+	v4, v6 := splitByFamily(x.pieces, pieceAddress)
 	lists := SplitBundle{Pieces: map[Digest][]byte{}}
-	if !canonicalBoundaries(four, 0) || !canonicalBoundaries(six, 0) || !slices.Equal(lists.addLists(x.pieces), m.Blocks) {
-		return malformed(d, "the client blocks are not cut into pieces in the canonical way")
+	if !canonicalBoundaries(v4, 0) || !canonicalBoundaries(v6, 0) || !slices.Equal(lists.addLists(x.pieces), m.Blocks) {
+		return malformed(d, "the client blocks are not split into the canonical pieces")
 	}
-	// The rest is small: it is verified as Assemble does, with one block in place of all.
+	// The plan and the services are small, so they are verified as in Assemble, with one client block in
+	// place of all, because Validate refuses a bundle without any.
 	if len(x.pieces) > 0 {
 		b.ClientBlocks = []ClientBlock{{x.pieces[0].first, x.pieces[0].regions[0]}}
 	}
-	if faults := b.Validate(); len(faults) > 0 {
-		return &ValidationError{faults}
+	if errs := b.Validate(); len(errs) > 0 {
+		return &ValidationError{errs}
 	}
 	s, err := b.Split()
 	if err != nil {
@@ -150,24 +154,25 @@
 	return nil
 }
 
-// canonicalBoundaries reports whether groups would cut the blocks of these parts in the same places.
-func canonicalBoundaries(parts []blockPiece, bits int) bool {
+// canonicalBoundaries reports whether partitionBlocks would split the blocks of these pieces in the same
+// places; bits is the number of leading address bits that they have in common.
+func canonicalBoundaries(pieces []blockPiece, bits int) bool {
 	total := 0
-	for _, p := range parts {
+	for _, p := range pieces {
 		total += p.size
 	}
 	switch {
 	case total == 0:
 		return true
-	case total <= maxBlocksPerPiece || bits == parts[0].first.Addr().BitLen():
-		return len(parts) == 1
+	case total <= maxBlocksPerPiece || bits == pieces[0].first.Addr().BitLen():
+		return len(pieces) == 1
 	}
 	n := 0
-	for n < len(parts) && !addressBit(parts[n].last.Addr(), bits) {
+	for n < len(pieces) && !addressBit(pieces[n].last.Addr(), bits) {
 		n++
 	}
-	if n < len(parts) && !addressBit(parts[n].first.Addr(), bits) {
+	if n < len(pieces) && !addressBit(pieces[n].first.Addr(), bits) {
 		return false
 	}
-	return canonicalBoundaries(parts[:n], bits+1) && canonicalBoundaries(parts[n:], bits+1)
+	return canonicalBoundaries(pieces[:n], bits+1) && canonicalBoundaries(pieces[n:], bits+1)
 }
--- a/pabundle/index_test.go
+++ b/pabundle/index_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// mutateBlocks changes some client blocks.
+// mutateBlocks returns the sorted client blocks after n random changes: blocks are added, moved or removed.
 func mutateBlocks(r *rand.Rand, all []ClientBlock, n int) []ClientBlock {
 	byPrefix := map[netip.Prefix]ClientBlock{}
 	for _, b := range all {
@@ -34,9 +34,9 @@
 	return slices.SortedFunc(maps.Values(byPrefix), compareBlocks)
 }
 
-// A daemon applies a change by the pieces that differ. If that ever gave another table than the
-// whole bundle does, callers' look-ups would depend on how long the daemon has been running.
-func TestUpdatesByPiecesGiveTheWholeBundle(t *testing.T) {
+// A series of updates must give the same table of client blocks as the whole bundle. Otherwise the region
+// of a caller would depend on which versions a daemon has seen since its start.
+func TestUpdatesMatchWholeBundle(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Check(exampleFile(t))
 	r := rand.New(rand.NewPCG(1, 1))
@@ -49,11 +49,11 @@
 		s, err := b.Split()
 		g.Expect(err).NotTo(HaveOccurred())
 		maps.Copy(all, s.Pieces)
-		next, outline, change, err := x.Update(s.Digest, getFrom(all))
+		next, withoutBlocks, change, err := x.Update(s.Digest, getFrom(all))
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, c := range change.Removed {
 			if table[c.Prefix] != c.Region {
-				t.Fatalf("%s of %q is gone, but was in %q", c.Prefix, c.Region, table[c.Prefix])
+				t.Fatalf("%s of %q was removed, but the table had it in %q", c.Prefix, c.Region, table[c.Prefix])
 			}
 			delete(table, c.Prefix)
 		}
@@ -67,14 +67,14 @@
 			}
 		}
 		g.Expect(next.Size()).To(Equal(len(b.ClientBlocks)))
-		outline.ClientBlocks = b.ClientBlocks
-		g.Expect(outline.Digest()).To(Equal(s.Digest))
+		withoutBlocks.ClientBlocks = b.ClientBlocks
+		g.Expect(withoutBlocks.Digest()).To(Equal(s.Digest))
 		x = next
 	}
 }
 
-// Pieces whose digests are right can still be wrong together: written by a program that cuts or
-// sorts otherwise. Whatever Assemble refuses, an update by pieces must refuse.
+// Pieces with the right digests can still be invalid together, if the program that wrote them splits or
+// sorts blocks differently. Update must refuse all that Assemble refuses.
 func TestUpdateRefusesWhatAssembleRefuses(t *testing.T) {
 	b, _ := Check(exampleFile(t))
 	b.ClientBlocks = makeBlocks(70_000)
@@ -86,50 +86,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := partitionBlocks(b.Canonical().ClientBlocks)
-	swapped := slices.Clone(cut)
+	canonical := partitionBlocks(b.Canonical().ClientBlocks)
+	swapped := slices.Clone(canonical)
 	swapped[0], swapped[1] = swapped[1], swapped[0]
-	joined := append([][]ClientBlock{append(slices.Clone(cut[0]), cut[1]...)}, cut[2:]...)
-	parted := append([][]ClientBlock{cut[0][:9], cut[0][9:]}, cut[1:]...)
-	shifted := append([][]ClientBlock{append(slices.Clone(cut[0]), cut[1][0]), cut[1][1:]}, cut[2:]...)
-	strange := slices.Clone(cut)
-	strange[2] = slices.Clone(cut[2])
-	strange[2][5].Region = "nowhere"
-	bent := slices.Clone(cut)
-	bent[2] = slices.Clone(cut[2])
-	bent[2][5].Prefix = netip.PrefixFrom(bent[2][5].Prefix.Addr().Next(), 24)
+	mergedPieces := append([][]ClientBlock{append(slices.Clone(canonical[0]), canonical[1]...)}, canonical[2:]...)
+	splitPiece := append([][]ClientBlock{canonical[0][:9], canonical[0][9:]}, canonical[1:]...)
+	movedBoundary := append([][]ClientBlock{append(slices.Clone(canonical[0]), canonical[1][0]), canonical[1][1:]}, canonical[2:]...)
+	unknownRegion := slices.Clone(canonical)
+	unknownRegion[2] = slices.Clone(canonical[2])
+	unknownRegion[2][5].Region = "nowhere"
+	nonCanonical := slices.Clone(canonical)
+	nonCanonical[2] = slices.Clone(canonical[2])
+	nonCanonical[2][5].Prefix = netip.PrefixFrom(nonCanonical[2][5].Prefix.Addr().Next(), 24)
 	for name, wrong := range map[string][][]ClientBlock{
-		"swapped": swapped, "joined": joined, "parted": parted, "shifted": shifted, "strange": strange, "bent": bent,
-		"twice": append(slices.Clone(cut), cut[len(cut)-1]), "empty": append(slices.Clone(cut), []ClientBlock{}),
-		"flat": cut,
+		"swapped": swapped, "mergedPieces": mergedPieces, "splitPiece": splitPiece, "movedBoundary": movedBoundary,
+		"unknownRegion": unknownRegion, "nonCanonical": nonCanonical,
+		"duplicatePiece": append(slices.Clone(canonical), canonical[len(canonical)-1]),
+		"emptyPiece":     append(slices.Clone(canonical), []ClientBlock{}),
+		"withoutLists":   canonical,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var parts []blockPiece
+			var pieces []blockPiece
 			for _, c := range wrong {
 				p, _ := newBlockPiece("", c)
 				p.digest = s.add(c)
-				parts = append(parts, p)
+				pieces = append(pieces, p)
 			}
 			m := s.Manifest
-			m.Blocks = s.addLists(parts)
-			if name == "flat" {
-				m.Blocks = digestsOf(parts)
+			m.Blocks = s.addLists(pieces)
+			if name == "withoutLists" {
+				m.Blocks = digestsOf(pieces)
 			}
 			d := s.add(m)
 			if _, err := Assemble(d, getFrom(s.Pieces)); err == nil {
-				t.Fatal("Assemble took it")
+				t.Fatal("Assemble accepted the pieces")
 			}
 			if _, _, _, err := (BlockIndex{}).Update(d, getFrom(s.Pieces)); err == nil {
-				t.Fatal("Update took it")
+				t.Fatal("Update accepted the pieces")
 			}
 			if _, _, _, err := whole.Update(d, getFrom(s.Pieces)); err == nil {
-				t.Fatal("Update from the right version took it")
+				t.Fatal("Update from a valid version accepted the pieces")
 			}
 		})
 	}
 }
 
-// Pieces in the wrong order, whose cuts are right one by one.
+// Update must refuse pieces in the wrong order, even if each piece is canonical on its own.
 func TestUpdateRefusesPiecesOutOfOrder(t *testing.T) {
 	b, _ := Check(exampleFile(t))
 	b.ClientBlocks = nil
@@ -146,11 +148,11 @@
 	m := s.Manifest
 	m.Blocks = []Digest{m.Blocks[1], m.Blocks[0]}
 	if _, _, _, err := (BlockIndex{}).Update(s.add(m), getFrom(s.Pieces)); err == nil {
-		t.Fatal("Update took it")
+		t.Fatal("Update accepted the pieces")
 	}
 }
 
-// BenchmarkUpdate applies a change of one client block.
+// BenchmarkUpdate measures the update for a change of one client block.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range append(slices.Clone(blockCounts), 3_900_000) {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
--- a/pabundle/piece.go
+++ b/pabundle/piece.go
@@ -13,18 +13,18 @@
 	"github.com/gravitational/trace"
 )
 
-// MaxPieceSize is the most bytes of one piece: what the platform's store takes as one value.
+// MaxPieceSize is the maximum size of a piece in bytes, which is the largest value that the platform's
+// store accepts.
 const MaxPieceSize = 1 << 20
 
-// The sizes of pieces decide what a change of one client block ships: the manifest, a list and a
-// piece of blocks. At 3.9 million blocks there are some 10,000 pieces of blocks in a hundred lists,
-// and each of the three stays under 30 KB. With one level less, the manifest and the pieces could not
-// both be small: a change would ship over 200 KB, which at 4,900 changes a day is more than the 10 KB
-// a second that control may use.
+// A change of one client block transfers the manifest, one list and one piece of blocks. With these
+// limits, 3.9 million blocks make some 10,000 pieces in a hundred lists, and each of the three is under
+// 30 KB. Without the lists, the manifest and the pieces could not both be small: a change would transfer
+// over 200 KB, which at 4,900 changes a day exceeds the 10 KB/s allowed for control traffic.
 const (
-	// maxBlocksPerPiece bounds the client blocks of one piece.
+	// maxBlocksPerPiece is the maximum number of client blocks in a piece.
 	maxBlocksPerPiece = 512
-	// maxPiecesPerList bounds the pieces that one list, or the manifest itself, names.
+	// maxPiecesPerList is the maximum number of pieces of client blocks that a list or the manifest names.
 	maxPiecesPerList = 128
 )
 
@@ -32,16 +32,16 @@
 type Manifest struct {
 	Format     int
 	Deployment string
-	// Plan names the piece with everything but services and client blocks.
+	// Plan is the digest of the piece with everything but services and client blocks.
 	Plan Digest
-	// Services names one piece for each service, in the order of their names.
+	// Services holds the digests of the pieces with one service each, sorted by service name.
 	Services []Digest
-	// Blocks names the pieces of client blocks, in the order of their prefixes, or, where they are
-	// many, the lists that name them.
+	// Blocks holds the digests of the pieces of client blocks, sorted by prefix. With more than
+	// maxPiecesPerList pieces, it holds the digests of lists of these digests instead.
 	Blocks []Digest
 }
 
-// Digests returns the digests that the manifest names.
+// Digests returns all digests that the manifest names.
 func (m Manifest) Digests() []Digest {
 	all := []Digest{m.Plan}
 	all = append(all, m.Services...)
@@ -50,12 +50,12 @@
 
 // SplitBundle is a bundle in pieces.
 type SplitBundle struct {
-	// Digest names the bundle and its manifest.
+	// Digest identifies the bundle; it is the digest of the manifest.
 	Digest   Digest
 	Manifest Manifest
-	// Pieces holds all pieces and the manifest, by digest.
+	// Pieces holds the encoded pieces and manifest by digest.
 	Pieces map[Digest][]byte
-	// Order lists the digests so that whatever names a piece comes after it; the manifest is last.
+	// Order lists the digests with children before their parents; the manifest is last.
 	Order []Digest
 }
 
@@ -75,20 +75,22 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Valid reports whether the digest has the form of one, so that it is fit to be part of a key.
+// Valid reports whether d has the syntax of a digest. A valid digest is safe to use in a key of the store.
 func (d Digest) Valid() bool {
 	raw, err := hex.DecodeString(string(d))
 	return err == nil && len(raw) == sha256.Size && strings.ToLower(string(d)) == string(d)
 }
 
-// Digest returns the name of the bundle; the order of its lists does not matter.
+// Digest returns the digest that identifies the bundle; it does not depend on the order of its lists. An
+// error is that of Split.
 func (b Bundle) Digest() (Digest, error) {
 	s, err := b.Split()
 	return s.Digest, err
 }
 
-// Split returns the bundle's pieces. They depend only on what the bundle says, and a small change
-// leaves most of them as they were.
+// Split encodes the bundle as pieces. They depend only on the bundle's content and not on the order of
+// its lists, and a small change leaves most of them unchanged. It returns a trace.LimitExceeded error if a
+// piece is larger than MaxPieceSize.
 func (b Bundle) Split() (SplitBundle, error) {
 	b = b.Canonical()
 	s := SplitBundle{Pieces: map[Digest][]byte{}}
@@ -97,11 +99,11 @@
 	for _, v := range b.Services {
 		s.Manifest.Services = append(s.Manifest.Services, s.add(v))
 	}
-	var parts []blockPiece
+	var pieces []blockPiece
 	for _, g := range partitionBlocks(b.ClientBlocks) {
-		parts = append(parts, blockPiece{digest: s.add(g), first: g[0].Prefix, last: g[len(g)-1].Prefix, size: len(g)})
+		pieces = append(pieces, blockPiece{digest: s.add(g), first: g[0].Prefix, last: g[len(g)-1].Prefix, size: len(g)})
 	}
-	s.Manifest.Blocks = s.addLists(parts)
+	s.Manifest.Blocks = s.addLists(pieces)
 	s.Digest = s.add(s.Manifest)
 	for d, data := range s.Pieces {
 		if len(data) > MaxPieceSize {
@@ -111,7 +113,7 @@
 	return s, nil
 }
 
-// add encodes a piece and returns its name.
+// add encodes and adds a piece and returns its digest.
 func (s *SplitBundle) add(v any) Digest {
 	data := encode(v)
 	d := DigestOf(data)
@@ -120,31 +122,33 @@
 	return d
 }
 
-// addLists returns what a manifest addLists for these pieces of client blocks, and adds the lists.
-func (s *SplitBundle) addLists(parts []blockPiece) []Digest {
-	if len(parts) <= maxPiecesPerList {
-		return digestsOf(parts)
+// addLists returns the digests for Manifest.Blocks and adds the lists if the pieces need them.
+func (s *SplitBundle) addLists(pieces []blockPiece) []Digest {
+	if len(pieces) <= maxPiecesPerList {
+		return digestsOf(pieces)
 	}
-	four, six := splitByFamily(parts, pieceAddress)
-	names := []Digest{}
-	for _, list := range append(splitByPrefix(nil, four, 0, maxPiecesPerList, pieceAddress), splitByPrefix(nil, six, 0, maxPiecesPerList, pieceAddress)...) {
-		names = append(names, s.add(digestsOf(list)))
+	v4, v6 := splitByFamily(pieces, pieceAddress)
+	lists := splitByPrefix(nil, v4, 0, maxPiecesPerList, pieceAddress)
+	lists = append(lists, splitByPrefix(nil, v6, 0, maxPiecesPerList, pieceAddress)...)
+	digests := []Digest{}
+	for _, l := range lists {
+		digests = append(digests, s.add(digestsOf(l)))
 	}
-	return names
+	return digests
 }
 
 func pieceAddress(p blockPiece) netip.Addr { return p.first.Addr() }
 
-func digestsOf(parts []blockPiece) []Digest {
-	all := make([]Digest, len(parts))
-	for i, p := range parts {
+func digestsOf(pieces []blockPiece) []Digest {
+	all := make([]Digest, len(pieces))
+	for i, p := range pieces {
 		all[i] = p.digest
 	}
 	return all
 }
 
-// encode returns the one encoding of a piece. Its types hold nothing that JSON cannot write, but
-// for shares that are not numbers, which Validate refuses.
+// encode returns the canonical JSON encoding of a piece. It returns nil if encoding fails, which only
+// happens for fractions that are infinite or NaN; Validate refuses them.
 func encode(v any) []byte {
 	var buffer bytes.Buffer
 	e := json.NewEncoder(&buffer)
@@ -155,8 +159,8 @@
 	return bytes.TrimSuffix(buffer.Bytes(), []byte{'\n'})
 }
 
-// Canonical returns the bundle with its lists in the order of their names, so that two bundles
-// that say the same are written the same.
+// Canonical returns a copy of the bundle with sorted lists, so that bundles with equal content have equal
+// encodings.
 func (b Bundle) Canonical() Bundle {
 	b.Regions = sortedCopy(b.Regions, func(x, y Region) int { return cmp.Compare(x.Name, y.Name) })
 	for i := range b.Regions {
@@ -175,7 +179,7 @@
 
 func compareBlocks(x, y ClientBlock) int { return x.Prefix.Compare(y.Prefix) }
 
-// sortedCopy returns a sorted copy that is never nil.
+// sortedCopy returns a sorted copy that is never nil, because JSON encodes a nil slice as null.
 func sortedCopy[E any](list []E, compare func(x, y E) int) []E {
 	if slices.IsSortedFunc(list, compare) && list != nil {
 		return slices.Clone(list)
@@ -185,18 +189,19 @@
 	return sorted
 }
 
-// partitionBlocks cuts sorted client blocks into the lists of single pieces. Where to cut depends on the
-// addresses alone: a part of the address space with too many blocks is halved. A block that comes
-// or goes thus changes its own piece and no other.
+// partitionBlocks splits sorted client blocks into those of single pieces. A range of the address space
+// with more than maxBlocksPerPiece blocks is split in two halves, recursively. The boundaries depend
+// only on the addresses, so that adding or removing a block changes only its own piece.
 func partitionBlocks(blocks []ClientBlock) [][]ClientBlock {
-	four, six := splitByFamily(blocks, blockAddress)
-	return append(splitByPrefix(nil, four, 0, maxBlocksPerPiece, blockAddress), splitByPrefix(nil, six, 0, maxBlocksPerPiece, blockAddress)...)
+	v4, v6 := splitByFamily(blocks, blockAddress)
+	groups := splitByPrefix(nil, v4, 0, maxBlocksPerPiece, blockAddress)
+	return append(groups, splitByPrefix(nil, v6, 0, maxBlocksPerPiece, blockAddress)...)
 }
 
 func blockAddress(b ClientBlock) netip.Addr { return b.Prefix.Addr() }
 
-// splitByFamily parts a sorted list into IPv4 and IPv6.
-func splitByFamily[E any](all []E, address func(E) netip.Addr) (four, six []E) {
+// splitByFamily splits a sorted list into the elements with IPv4 and with IPv6 addresses.
+func splitByFamily[E any](all []E, address func(E) netip.Addr) (v4, v6 []E) {
 	n, _ := slices.BinarySearchFunc(all, true, func(e E, _ bool) int {
 		if address(e).Is4() {
 			return -1
@@ -206,7 +211,8 @@
 	return all[:n], all[n:]
 }
 
-// splitByPrefix appends the groups of at most limit elements whose addresses share the first bits.
+// splitByPrefix appends groups of at most limit elements of all, whose addresses have the first bits in
+// common. A group that is too large is split by the next bit, recursively.
 func splitByPrefix[E any](groups [][]E, all []E, bits, limit int, address func(E) netip.Addr) [][]E {
 	if len(all) == 0 {
 		return groups
@@ -223,7 +229,7 @@
 	return splitByPrefix(splitByPrefix(groups, all[:n], bits+1, limit, address), all[n:], bits+1, limit, address)
 }
 
-// addressBit returns a bit of an address, counted from the most significant.
+// addressBit returns bit n of an address, counted from the most significant, which is bit 0.
 func addressBit(a netip.Addr, n int) bool {
 	b := a.As16()
 	if a.Is4() {
