--- a/paentry/loop.go
+++ b/paentry/loop.go
@@ -112,9 +112,9 @@
 
 // followHeads lets this daemon watch the store if it is one of those that do so for their zone.
 func (d *Daemon) followHeads(s *pacontrol.Snapshot) {
-	d.heads.Follow(s.Watches)
+	d.heads.SetFollowing(s.Watches)
 	if s.Bundle != nil {
-		d.heads.Known()
+		d.heads.SetHeadKnown()
 	}
 }
 
--- a/paroll/calls_test.go
+++ b/paroll/calls_test.go
@@ -16,20 +16,20 @@
 	"papayahead/paplatform"
 )
 
-// follower is what a daemon does with the store: it follows the head, and fetches pieces that no
+// testDaemon is what a daemon does with the store: it follows the head, and fetches pieces that no
 // neighbour has.
-type follower struct {
+type testDaemon struct {
 	HeadWatch
 	have     map[pabundle.Digest][]byte
 	sequence atomic.Uint64
 }
 
-func (f *follower) take(ctx context.Context, h pabundle.Head) {
+func (f *testDaemon) take(ctx context.Context, h pabundle.Head) {
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := f.have[d]; return p, ok }
 	for {
 		missing, err := pabundle.MissingPieces(h.Digest, get)
 		if err != nil || len(missing) == 0 {
-			f.Known()
+			f.SetHeadKnown()
 			f.sequence.Store(uint64(h.Sequence))
 			return
 		}
@@ -77,31 +77,31 @@
 		calls("roll out, first bundle", 14, func() { ok(operator("ana").RollOut(ctx, Request{Digest: s.Digest})) })
 		calls("status", 2, func() { ok(operator("ana").Status(ctx)) })
 
-		run := func(have map[pabundle.Digest][]byte, follow bool) *follower {
-			f := &follower{have: maps.Clone(have)}
+		run := func(have map[pabundle.Digest][]byte, follow bool) *testDaemon {
+			f := &testDaemon{have: maps.Clone(have)}
 			f.HeadWatch = HeadWatch{
 				Deployment: "kartuli", Store: store, Clock: clockwork.NewRealClock(), Random: rand.New(rand.NewPCG(1, 1)),
-				Heard: func(h pabundle.Head) { f.take(ctx, h) },
+				OnHead: func(h pabundle.Head) { f.take(ctx, h) },
 			}
-			f.Follow(follow)
+			f.SetFollowing(follow)
 			go f.Run(ctx)
 			return f
 		}
 		none := map[pabundle.Digest][]byte{}
 		calls("boot of a daemon that does not watch, neighbours there", 1, func() { run(s.Pieces, false) })
 		calls("boot of a daemon that does not watch, alone", 9, func() { run(none, false) })
-		var watcher *follower
+		var watcher *testDaemon
 		calls("boot of a daemon that watches, with its first watch", 10, func() { watcher = run(none, true) })
 		calls("an idle hour of one watching and two other daemons", 450, func() { time.Sleep(time.Hour) })
 		calls("an hour's outage, the same daemons", 1201, func() {
 			store.Inject(paplatform.Injection{Effect: paplatform.Outage})
 			for range 3600 {
-				watcher.Follow(true)
+				watcher.SetFollowing(true)
 				time.Sleep(time.Second)
 			}
 		})
 		store.ClearInjections()
-		time.Sleep(lastBackoff)
+		time.Sleep(maxBackoff)
 		synctest.Wait()
 
 		calls("propose, one service changed", 7, func() { ok(operator("ana").Propose(ctx, two)) })
--- a/paroll/head_watch.go
+++ b/paroll/head_watch.go
@@ -18,14 +18,14 @@
 	// a roll-out until the wait ends, so it is below the ten seconds in which a change must be in
 	// force; shorter ones would only cost calls.
 	watchWait = 8 * time.Second
-	// firstBackoff and lastBackoff bound the pause after a failed call to the store. At two
+	// minBackoff and lastBackoff bound the pause after a failed call to the store. At two
 	// watching daemons in each of 83 zones, the last one means some 50 calls a second at a store
 	// that is coming back, and a healed cut is noticed within it.
-	firstBackoff = 250 * time.Millisecond
-	lastBackoff  = 4 * time.Second
-	// readPause is the pause between the reads of a daemon that has no bundle yet and does not
+	minBackoff = 250 * time.Millisecond
+	maxBackoff  = 4 * time.Second
+	// readInterval is the pause between the reads of a daemon that has no bundle yet and does not
 	// watch: its neighbours usually tell it sooner.
-	readPause = 2 * time.Second
+	readInterval = 2 * time.Second
 )
 
 // Recorder takes events.
@@ -42,18 +42,18 @@
 	Clock      clockwork.Clock
 	// Random jitters pauses; only Run's goroutine uses it.
 	Random *rand.Rand
-	// Heard is called with each head that the store names, from Run's goroutine; the same head may
+	// OnHead is called with each head that the store names, from Run's goroutine; the same head may
 	// come again after an outage.
-	Heard func(pabundle.Head)
+	OnHead func(pabundle.Head)
 	// Events takes what happens; nil drops it.
 	Events Recorder
 
 	mutex     sync.Mutex
 	following bool
 	known     bool
-	down      time.Time
+	downSince      time.Time
 	counts    HeadWatchCounts
-	changed   signal
+	changed   notifier
 }
 
 // HeadWatchCounts counts the calls to the store.
@@ -73,24 +73,24 @@
 	return w.following
 }
 
-// Follow says whether to watch the store. Saying the same again changes nothing: daemons say it with
+// SetFollowing says whether to watch the store. Saying the same again changes nothing: daemons say it with
 // every step of theirs, and a pause after a failed call must not end by that.
-func (w *HeadWatch) Follow(following bool) {
+func (w *HeadWatch) SetFollowing(following bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.following != following {
 		w.following = following
-		w.changed.raise()
+		w.changed.notify()
 	}
 }
 
-// Known says that some head is known, from whatever side; reads without a watch end then.
-func (w *HeadWatch) Known() {
+// SetHeadKnown says that some head is known, from whatever side; reads without a watch end then.
+func (w *HeadWatch) SetHeadKnown() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if !w.known {
 		w.known = true
-		w.changed.raise()
+		w.changed.notify()
 	}
 }
 
@@ -115,7 +115,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		w.reachable(err)
+		w.recordReachability(err)
 		switch {
 		case err != nil:
 			// The store may have lost writes: its revisions say nothing any more.
@@ -123,7 +123,7 @@
 			sleep(ctx, w.Clock, pause.next(), changed)
 		case !following:
 			pause.reset()
-			sleep(ctx, w.Clock, readPause, changed)
+			sleep(ctx, w.Clock, readInterval, changed)
 		default:
 			pause.reset()
 		}
@@ -148,7 +148,7 @@
 	}
 	for _, c := range r.Changes {
 		if !c.Deleted {
-			w.tell(c.Data)
+			w.handleHead(c.Data)
 		}
 	}
 	return r.Revision, nil
@@ -161,30 +161,30 @@
 	w.mutex.Unlock()
 	v, found, err := w.Store.Get(ctx, HeadKey(w.Deployment))
 	if err == nil && found {
-		w.tell(v.Data)
+		w.handleHead(v.Data)
 	}
 	return err
 }
 
-// tell passes on a head as the store wrote it.
-func (w *HeadWatch) tell(data []byte) {
+// handleHead passes on a head as the store wrote it.
+func (w *HeadWatch) handleHead(data []byte) {
 	h, err := decodeHead(data)
 	if err != nil {
 		record(w.Events, paevent.HeadRefused{Source: "store", Reason: err.Error()})
 		return
 	}
-	w.Heard(h)
+	w.OnHead(h)
 }
 
-// reachable records the start and the end of an outage.
-func (w *HeadWatch) reachable(err error) {
+// recordReachability records the start and the end of an outage.
+func (w *HeadWatch) recordReachability(err error) {
 	w.mutex.Lock()
-	since := w.down
+	since := w.downSince
 	switch {
 	case err != nil && since.IsZero():
-		w.down = w.Clock.Now()
+		w.downSince = w.Clock.Now()
 	case err == nil:
-		w.down = time.Time{}
+		w.downSince = time.Time{}
 	}
 	w.mutex.Unlock()
 	switch {
--- a/paroll/operator.go
+++ b/paroll/operator.go
@@ -19,8 +19,8 @@
 // changed nothing or says that it does not know.
 const writeAttempts = 4
 
-// writePause is the pause before a write is sent again; it doubles with each.
-const writePause = 200 * time.Millisecond
+// retryDelay is the pause before a write is sent again; it doubles with each.
+const retryDelay = 200 * time.Millisecond
 
 // Operator carries out the commands of one operator on one deployment. All commands may be
 // repeated: what is done already is not done again.
@@ -93,11 +93,11 @@
 		return nil, err
 	}
 	known := map[pabundle.Digest]bool{}
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
 	if p.load(ctx, h.Digest) != nil {
 		return known, nil
 	}
-	m, err := pabundle.DecodeManifest(h.Digest, p.held[h.Digest])
+	m, err := pabundle.DecodeManifest(h.Digest, p.loaded[h.Digest])
 	if err != nil {
 		return known, nil
 	}
@@ -106,7 +106,7 @@
 	}
 	for _, d := range m.Blocks {
 		if data, ok := proposed.Pieces[d]; ok {
-			p.held[d] = data
+			p.loaded[d] = data
 		}
 		children, err := p.children(ctx, d)
 		if err != nil {
@@ -126,7 +126,7 @@
 	var expected paplatform.Revision
 	for n := 0; ; n++ {
 		_, err := o.Store.CompareAndSwap(ctx, key, expected, data, "")
-		if err == nil || !again(err) || n+1 >= writeAttempts {
+		if err == nil || !retryable(err) || n+1 >= writeAttempts {
 			return err
 		}
 		if paplatform.FaultOf(err) != paplatform.Conflict {
@@ -150,12 +150,12 @@
 	if err != nil {
 		return Version{}, err
 	}
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
-	if _, _, err := p.both(ctx, h.Digest, d); err != nil {
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
+	if _, _, err := p.loadBoth(ctx, h.Digest, d); err != nil {
 		return Version{}, trace.Wrap(err, "the version cannot be read whole from the store; propose it again")
 	}
 	return o.update(ctx, d, func(v *Version) (bool, error) {
-		if err := o.known(d, v); err != nil {
+		if err := o.checkVersion(d, v); err != nil {
 			return false, err
 		}
 		if v.Proposer == o.Name {
@@ -164,7 +164,7 @@
 		if slices.ContainsFunc(v.Reviews, func(r Review) bool { return r.Operator == o.Name }) {
 			return false, nil
 		}
-		if err := v.take(stepReview); err != nil {
+		if err := v.transition(stepReview); err != nil {
 			return false, err
 		}
 		v.Reviews = append(v.Reviews, Review{o.Name, o.now(), note})
@@ -180,7 +180,7 @@
 		return Version{}, err
 	}
 	return o.update(ctx, d, func(v *Version) (bool, error) {
-		if err := o.known(d, v); err != nil {
+		if err := o.checkVersion(d, v); err != nil {
 			return false, err
 		}
 		if v.Proposer == o.Name {
@@ -189,7 +189,7 @@
 		if v.SignOff != nil && v.SignOff.After == h.Sequence && v.SignOff.Operator == o.Name {
 			return false, nil
 		}
-		if err := v.take(stepSignOff); err != nil {
+		if err := v.transition(stepSignOff); err != nil {
 			return false, err
 		}
 		v.SignOff = &SignOff{Operator: o.Name, At: o.now(), Digest: d, After: h.Sequence}
@@ -197,8 +197,8 @@
 	})
 }
 
-// known refuses a command on a version that was never proposed, or without an operator's name.
-func (o *Operator) known(d pabundle.Digest, v *Version) error {
+// checkVersion refuses a command on a version that was never proposed, or without an operator's name.
+func (o *Operator) checkVersion(d pabundle.Digest, v *Version) error {
 	if o.Name == "" {
 		return trace.BadParameter("no operator given, want the name of who does this")
 	}
@@ -229,7 +229,7 @@
 			return Version{}, trace.Wrap(err)
 		}
 		_, err = o.Store.CompareAndSwap(ctx, key, revision, data, "")
-		if err == nil || !again(err) || n+1 >= writeAttempts {
+		if err == nil || !retryable(err) || n+1 >= writeAttempts {
 			return v, err
 		}
 		if paplatform.FaultOf(err) != paplatform.Conflict {
@@ -238,8 +238,8 @@
 	}
 }
 
-// again reports whether a write may be tried again after reading back what is there.
-func again(err error) bool {
+// retryable reports whether a write may be tried retryable after reading back what is there.
+func retryable(err error) bool {
 	switch paplatform.FaultOf(err) {
 	case paplatform.Conflict, paplatform.Unknown, paplatform.Unavailable:
 		return true
@@ -250,7 +250,7 @@
 
 // pause waits before a write is sent again.
 func (o *Operator) pause(ctx context.Context, n int) {
-	d := writePause << n
+	d := retryDelay << n
 	if o.Random != nil {
 		d = d/2 + time.Duration(o.Random.Int64N(int64(d/2)))
 	}
--- a/paroll/prepare.go
+++ b/paroll/prepare.go
@@ -15,8 +15,8 @@
 // Guards against a jump: a daemon that boots in mid-shift, or after a second roll, knows the head in
 // force and its bundle but no history. With the start in the head it stands where the others stand.
 func (o *Operator) prepare(ctx context.Context, current, next pabundle.Head) (pashift.Position, error) {
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
-	was, will, err := p.both(ctx, current.Digest, next.Digest)
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
+	was, will, err := p.loadBoth(ctx, current.Digest, next.Digest)
 	if err != nil || current.Sequence == 0 {
 		return nil, err
 	}
@@ -24,52 +24,52 @@
 	return pashift.Moves(stands, &will), nil
 }
 
-// pieces reads pieces for one command, each once.
-type pieces struct {
+// pieceReader reads pieceReader for one command, each once.
+type pieceReader struct {
 	operator *Operator
-	held     map[pabundle.Digest][]byte
+	loaded     map[pabundle.Digest][]byte
 }
 
 // load reads pieces from the store and verifies them.
-func (p pieces) load(ctx context.Context, all ...pabundle.Digest) error {
+func (p pieceReader) load(ctx context.Context, all ...pabundle.Digest) error {
 	for _, d := range all {
-		if _, ok := p.held[d]; ok {
+		if _, ok := p.loaded[d]; ok {
 			continue
 		}
 		data, err := p.operator.piece(ctx, d)
 		if err != nil {
 			return err
 		}
-		p.held[d] = data
+		p.loaded[d] = data
 	}
 	return nil
 }
 
-// both reads two versions without their client blocks, and makes sure that the store has those
+// loadBoth reads two versions without their client blocks, and makes sure that the store has those
 // pieces of client blocks that only the second has.
-func (p pieces) both(ctx context.Context, from, to pabundle.Digest) (was, will pabundle.Bundle, err error) {
-	was, known, err := p.outline(ctx, from)
+func (p pieceReader) loadBoth(ctx context.Context, from, to pabundle.Digest) (was, will pabundle.Bundle, err error) {
+	was, known, err := p.loadWithoutBlocks(ctx, from)
 	if err != nil {
 		return was, will, err
 	}
-	will, m, err := p.outline(ctx, to)
+	will, m, err := p.loadWithoutBlocks(ctx, to)
 	if err != nil {
 		return was, will, err
 	}
-	_, fresh, err := p.difference(ctx, known, m)
+	_, fresh, err := p.diffBlockPieces(ctx, known, m)
 	if err != nil {
 		return was, will, err
 	}
 	return was, will, p.load(ctx, fresh...)
 }
 
-// difference returns the pieces of client blocks that only the one or only the other version has.
+// diffBlockPieces returns the pieces of client blocks that only the one or only the other version has.
 // It reads the lists that differ.
-func (p pieces) difference(ctx context.Context, from, to pabundle.Manifest) (gone, fresh []pabundle.Digest, err error) {
-	if gone, err = p.own(ctx, from, to); err != nil {
+func (p pieceReader) diffBlockPieces(ctx context.Context, from, to pabundle.Manifest) (gone, fresh []pabundle.Digest, err error) {
+	if gone, err = p.ownBlockPieces(ctx, from, to); err != nil {
 		return nil, nil, err
 	}
-	if fresh, err = p.own(ctx, to, from); err != nil {
+	if fresh, err = p.ownBlockPieces(ctx, to, from); err != nil {
 		return nil, nil, err
 	}
 	shared := map[pabundle.Digest]bool{}
@@ -80,9 +80,9 @@
 	return slices.DeleteFunc(gone, isShared), slices.DeleteFunc(fresh, isShared), nil
 }
 
-// own returns the pieces of client blocks of a version under those names in its manifest that the
+// ownBlockPieces returns the pieces of client blocks of a version under those names in its manifest that the
 // other's manifest does not have.
-func (p pieces) own(ctx context.Context, m, other pabundle.Manifest) ([]pabundle.Digest, error) {
+func (p pieceReader) ownBlockPieces(ctx context.Context, m, other pabundle.Manifest) ([]pabundle.Digest, error) {
 	theirs := map[pabundle.Digest]bool{}
 	for _, d := range other.Blocks {
 		theirs[d] = true
@@ -105,23 +105,23 @@
 }
 
 // children reads a piece and returns what it names.
-func (p pieces) children(ctx context.Context, d pabundle.Digest) ([]pabundle.Digest, error) {
+func (p pieceReader) children(ctx context.Context, d pabundle.Digest) ([]pabundle.Digest, error) {
 	if err := p.load(ctx, d); err != nil {
 		return nil, err
 	}
-	return pabundle.Children(false, p.held[d])
+	return pabundle.Children(false, p.loaded[d])
 }
 
-func (p pieces) get(d pabundle.Digest) ([]byte, bool) { data, ok := p.held[d]; return data, ok }
+func (p pieceReader) get(d pabundle.Digest) ([]byte, bool) { data, ok := p.loaded[d]; return data, ok }
 
 // clientBlocks reads the blocks of some pieces.
-func (p pieces) clientBlocks(ctx context.Context, all []pabundle.Digest) ([]pabundle.ClientBlock, error) {
+func (p pieceReader) clientBlocks(ctx context.Context, all []pabundle.Digest) ([]pabundle.ClientBlock, error) {
 	if err := p.load(ctx, all...); err != nil {
 		return nil, err
 	}
 	var blocks []pabundle.ClientBlock
 	for _, d := range all {
-		more, err := pabundle.DecodeBlocks(d, p.held[d])
+		more, err := pabundle.DecodeBlocks(d, p.loaded[d])
 		if err != nil {
 			return nil, err
 		}
@@ -130,15 +130,15 @@
 	return blocks, nil
 }
 
-// outline reads a bundle without its client blocks; an empty digest is the empty bundle.
-func (p pieces) outline(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, pabundle.Manifest, error) {
+// loadWithoutBlocks reads a bundle without its client blocks; an empty digest is the empty bundle.
+func (p pieceReader) loadWithoutBlocks(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, pabundle.Manifest, error) {
 	if d == "" {
 		return pabundle.Bundle{}, pabundle.Manifest{}, nil
 	}
 	if err := p.load(ctx, d); err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
-	m, err := pabundle.DecodeManifest(d, p.held[d])
+	m, err := pabundle.DecodeManifest(d, p.loaded[d])
 	if err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
--- a/paroll/race_test.go
+++ b/paroll/race_test.go
@@ -18,8 +18,8 @@
 	"papayahead/paplatform"
 )
 
-// small returns a valid bundle of one target, which costs little to split and assemble.
-func small(comment string) pabundle.Bundle {
+// smallBundle returns a valid bundle of one target, which costs little to split and assemble.
+func smallBundle(comment string) pabundle.Bundle {
 	d := pabundle.Duration{Duration: time.Second}
 	return pabundle.Bundle{
 		Format: pabundle.FormatVersion, Deployment: "kartuli", Comment: comment, Policy: pabundle.Policy{First: pabundle.LatencyFirst},
@@ -40,7 +40,7 @@
 // loses calls and replies on the way.
 type schedule struct {
 	random *rand.Rand
-	arrive chan turn
+	arrive chan pendingCall
 	done   chan struct{}
 	late   []func()
 	steps  int64
@@ -49,8 +49,8 @@
 	thaw   int64
 }
 
-// turn is a call that waits for its turn.
-type turn struct {
+// pendingCall is a call that waits for its pendingCall.
+type pendingCall struct {
 	client int
 	begin  chan struct{}
 }
@@ -62,7 +62,7 @@
 		go func() { o(); s.done <- struct{}{} }()
 	}
 	running, alive := len(operators), len(operators)
-	var waiting []turn
+	var waiting []pendingCall
 	for alive > 0 {
 		for running > 0 {
 			select {
@@ -73,7 +73,7 @@
 			}
 			running--
 		}
-		slices.SortFunc(waiting, func(a, b turn) int { return a.client - b.client })
+		slices.SortFunc(waiting, func(a, b pendingCall) int { return a.client - b.client })
 		each()
 		if len(s.late) > 0 && s.random.IntN(3) == 0 {
 			s.late[0]()
@@ -91,7 +91,7 @@
 
 // pick chooses whose call is next. Now and then it freezes one operator for as long as another
 // needs for a whole command.
-func (s *schedule) pick(waiting []turn) int {
+func (s *schedule) pick(waiting []pendingCall) int {
 	n := s.random.IntN(len(waiting))
 	if s.steps >= s.thaw && s.random.IntN(10) == 0 {
 		s.frozen, s.thaw = waiting[n].client, s.steps+40
@@ -102,21 +102,21 @@
 	return n
 }
 
-// scheduled is a store whose calls wait for the schedule.
-type scheduled struct {
+// scheduledStore is a store whose calls wait for the schedule.
+type scheduledStore struct {
 	paplatform.Store
 	schedule *schedule
 	client   int
 }
 
-func (s scheduled) turn() {
-	w := turn{s.client, make(chan struct{})}
+func (s scheduledStore) turn() {
+	w := pendingCall{s.client, make(chan struct{})}
 	s.schedule.arrive <- w
 	<-w.begin
 	s.schedule.steps++
 }
 
-func (s scheduled) Get(ctx context.Context, key paplatform.Key) (paplatform.Value, bool, error) {
+func (s scheduledStore) Get(ctx context.Context, key paplatform.Key) (paplatform.Value, bool, error) {
 	s.turn()
 	if s.schedule.random.IntN(12) == 0 {
 		return paplatform.Value{}, false, &paplatform.Error{Fault: paplatform.Unavailable, Key: key}
@@ -124,7 +124,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-func (s scheduled) CompareAndSwap(ctx context.Context, key paplatform.Key, r paplatform.Revision, data []byte, l paplatform.LeaseID) (paplatform.Revision, error) {
+func (s scheduledStore) CompareAndSwap(ctx context.Context, key paplatform.Key, r paplatform.Revision, data []byte, l paplatform.LeaseID) (paplatform.Revision, error) {
 	s.turn()
 	unknown := &paplatform.Error{Fault: paplatform.Unknown, Key: key}
 	swap := func() { _, _ = s.Store.CompareAndSwap(ctx, key, r, data, l) }
@@ -201,23 +201,23 @@
 	Step: func(state, in, out any) []any { return state.(oracle).step(in.(rollInput), out.(rollOutput)) },
 }
 
-// raceOf runs one race of three operators, one of them at two terminals, and returns its history and
+// runRace runs one race of three operators, one of them at two terminals, and returns its history and
 // the heads there were.
-func raceOf(t *testing.T, seed uint64) ([]porcupine.Operation, []pabundle.Head) {
+func runRace(t *testing.T, seed uint64) ([]porcupine.Operation, []pabundle.Head) {
 	d := newDesk()
-	s := &schedule{random: rand.New(rand.NewPCG(seed, 0)), arrive: make(chan turn), done: make(chan struct{})}
+	s := &schedule{random: rand.New(rand.NewPCG(seed, 0)), arrive: make(chan pendingCall), done: make(chan struct{})}
 	var history []porcupine.Operation
 	var heads []pabundle.Head
 	var operators []func()
 	for client, name := range []string{"ana", "beso", "carla", "ana"} {
-		v, err := d.operator("proposer").Propose(context.Background(), small(name))
+		v, err := d.operator("proposer").Propose(context.Background(), smallBundle(name))
 		if err != nil {
 			t.Fatal(err)
 		}
 		o := d.operator(name)
 		_, _ = o.Review(context.Background(), v.Digest, "")
 		_, _ = o.SignOff(context.Background(), v.Digest)
-		o.Store = scheduled{o.Store, s, client}
+		o.Store = scheduledStore{o.Store, s, client}
 		do := func(command func(context.Context, Request) (Result, error), q Request) Result {
 			call := s.steps
 			r, err := command(context.Background(), q)
@@ -262,7 +262,7 @@
 func TestRacingOperatorsHaveOneWinnerForEachSequence(t *testing.T) {
 	outcomes := map[Outcome]int{}
 	for seed := range uint64(1000) {
-		history, heads := raceOf(t, seed)
+		history, heads := runRace(t, seed)
 		winners := map[pabundle.Sequence]string{}
 		for i, h := range heads {
 			if h.Sequence != pabundle.Sequence(i+1) {
--- a/paroll/roll.go
+++ b/paroll/roll.go
@@ -54,12 +54,12 @@
 	Advice string
 }
 
-// kind tells roll-outs and roll-backs apart in the roll ID.
-type kind string
+// rollKind tells roll-outs and roll-backs apart in the roll ID.
+type rollKind string
 
 const (
-	kindOut  kind = "RollOut"
-	kindBack kind = "RollBack"
+	kindOut  rollKind = "RollOut"
+	kindBack rollKind = "RollBack"
 )
 
 // RollOut brings a signed-off version into force. Faults before the head could be written are
@@ -69,7 +69,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if err := o.known(q.Digest, &v); err != nil {
+	if err := o.checkVersion(q.Digest, &v); err != nil {
 		return Result{}, err
 	}
 	if v.SignOff == nil || v.SignOff.Digest != q.Digest {
@@ -89,14 +89,14 @@
 		return Result{}, err
 	}
 	// The head goes before the records: the version in force may not be recorded as such yet.
-	if err := o.settle(ctx, h); err != nil {
+	if err := o.updateRecords(ctx, h); err != nil {
 		return Result{}, err
 	}
 	v, _, err := o.version(ctx, q.Digest)
 	if err != nil {
 		return Result{}, err
 	}
-	if err := o.known(q.Digest, &v); err != nil {
+	if err := o.checkVersion(q.Digest, &v); err != nil {
 		return Result{}, err
 	}
 	if len(v.Rolls) == 0 {
@@ -111,7 +111,7 @@
 
 // roll writes the head. It reads the record after the head: whoever replaced a head settled its
 // records first, so a record that is read later knows of every head that was replaced.
-func (o *Operator) roll(ctx context.Context, k kind, q Request, after pabundle.Sequence) (Result, error) {
+func (o *Operator) roll(ctx context.Context, k rollKind, q Request, after pabundle.Sequence) (Result, error) {
 	current, revision, err := o.head(ctx)
 	if err != nil {
 		return Result{}, err
@@ -124,7 +124,7 @@
 		Deployment: o.Deployment, Sequence: max(after, q.Floor) + 1, Digest: q.Digest, Previous: current.Digest,
 		RolledAt: o.rolledAt(current), RollID: o.rollID(k, q, after), Operator: o.Name,
 	}
-	if done, ok := o.earlier(next, current, v); ok {
+	if done, ok := o.findEarlier(next, current, v); ok {
 		return done, nil
 	}
 	if current.Sequence != after {
@@ -138,7 +138,7 @@
 	}
 	// The records of the head that is about to be replaced must be right first: they are what tells
 	// a command whose reply was lost, and that was superseded since, that it had won.
-	if err := o.settle(ctx, current); err != nil {
+	if err := o.updateRecords(ctx, current); err != nil {
 		return Result{}, trace.Wrap(err, "nothing was rolled out")
 	}
 	return o.write(ctx, next, revision)
@@ -157,17 +157,17 @@
 
 // rollID names a command. It is made of what the command says, so that an operator who repeats a
 // command after its reply was lost, even from another machine, is recognised as the same.
-func (o *Operator) rollID(k kind, q Request, after pabundle.Sequence) string {
+func (o *Operator) rollID(k rollKind, q Request, after pabundle.Sequence) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s|%s|%s|%d|%d|%s", k, o.Deployment, q.Digest, after, q.Floor, o.Name))
 	return hex.EncodeToString(sum[:8])
 }
 
-// earlier recognises a command that was carried out before.
-func (o *Operator) earlier(next, current pabundle.Head, v Version) (Result, bool) {
+// findEarlier recognises a command that was carried out before.
+func (o *Operator) findEarlier(next, current pabundle.Head, v Version) (Result, bool) {
 	if current.RollID == next.RollID {
 		return won(current, current), true
 	}
-	if r, ok := v.rolled(next.RollID); ok {
+	if r, ok := v.findRoll(next.RollID); ok {
 		next.Sequence, next.RolledAt = r.Sequence, r.At
 		return won(next, current), true
 	}
@@ -234,7 +234,7 @@
 // confirm brings the records up to date after a win. If that fails, the next command does it.
 func (o *Operator) confirm(ctx context.Context, next pabundle.Head) Result {
 	r := won(next, next)
-	if err := o.settle(ctx, next); err != nil {
+	if err := o.updateRecords(ctx, next); err != nil {
 		r.Advice = "the records could not be brought up to date; the next command does it"
 	}
 	return r
@@ -254,15 +254,15 @@
 	if err != nil {
 		return Result{}, false
 	}
-	if r, ok := v.rolled(next.RollID); ok {
+	if r, ok := v.findRoll(next.RollID); ok {
 		next.Sequence, next.RolledAt = r.Sequence, r.At
 		return won(next, current), true
 	}
 	return lost(next, current), true
 }
 
-// settle brings the records of versions up to date with a head.
-func (o *Operator) settle(ctx context.Context, h pabundle.Head) error {
+// updateRecords brings the records of versions up to date with a head.
+func (o *Operator) updateRecords(ctx context.Context, h pabundle.Head) error {
 	if h.Sequence == 0 {
 		return nil
 	}
@@ -275,17 +275,17 @@
 		end = stepRollBack
 	}
 	_, err = o.update(ctx, h.Previous, func(p *Version) (bool, error) {
-		if p.State != RolledOut || p.latest() >= h.Sequence {
+		if p.State != RolledOut || p.lastSequence() >= h.Sequence {
 			return false, nil
 		}
-		return true, p.take(end)
+		return true, p.transition(end)
 	})
 	return err
 }
 
 // recordRoll notes that a head brought the version into force.
 func recordRoll(v *Version, h pabundle.Head) (bool, error) {
-	if _, ok := v.rolled(h.RollID); ok {
+	if _, ok := v.findRoll(h.RollID); ok {
 		return false, nil
 	}
 	if v.SignOff == nil {
@@ -293,5 +293,5 @@
 		v.Digest, v.State = h.Digest, SignedOff
 	}
 	v.Rolls = append(v.Rolls, Roll{h.Sequence, h.RollID, h.Operator, h.RolledAt})
-	return true, v.take(stepRollOut)
+	return true, v.transition(stepRollOut)
 }
--- a/paroll/roll_test.go
+++ b/paroll/roll_test.go
@@ -16,10 +16,10 @@
 	"papayahead/paplatform"
 )
 
-// instant is a clock whose pauses are over at once.
-type instant struct{ clockwork.Clock }
+// instantClock is a clock whose pauses are over at once.
+type instantClock struct{ clockwork.Clock }
 
-func (instant) After(time.Duration) <-chan time.Time {
+func (instantClock) After(time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	c <- time.Time{}
 	return c
@@ -45,23 +45,23 @@
 	return b
 }
 
-// desk is a store with operators on it.
-type desk struct {
+// testStore is a store with operators on it.
+type testStore struct {
 	clock *clockwork.FakeClock
 	store *paplatform.MemoryStore
 }
 
-func newDesk() desk {
+func newDesk() testStore {
 	c := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
-	return desk{c, &paplatform.MemoryStore{Clock: c}}
+	return testStore{c, &paplatform.MemoryStore{Clock: c}}
 }
 
-func (d desk) operator(name string) *Operator {
-	return &Operator{Name: name, Deployment: "kartuli", Store: d.store.As(paplatform.Caller(name)), Clock: instant{d.clock}}
+func (d testStore) operator(name string) *Operator {
+	return &Operator{Name: name, Deployment: "kartuli", Store: d.store.As(paplatform.Caller(name)), Clock: instantClock{d.clock}}
 }
 
 // signedOff brings a bundle to the state in which it may be rolled out.
-func (d desk) signedOff(g *WithT, b pabundle.Bundle) pabundle.Digest {
+func (d testStore) signedOff(g *WithT, b pabundle.Bundle) pabundle.Digest {
 	ctx := context.Background()
 	v, err := d.operator("ana").Propose(ctx, b)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -216,7 +216,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	two := d.signedOff(g, variant(t, "two"))
 	slow := d.operator("ana")
-	slow.Clock = instant{clockwork.NewFakeClockAt(first.Head.RolledAt.Add(-10 * time.Minute))}
+	slow.Clock = instantClock{clockwork.NewFakeClockAt(first.Head.RolledAt.Add(-10 * time.Minute))}
 	second, err := slow.RollOut(ctx, Request{Digest: two})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(second.Outcome).To(Equal(Won))
--- a/paroll/status.go
+++ b/paroll/status.go
@@ -44,7 +44,7 @@
 
 // Bundle reads a bundle's pieces from the store and verifies all of it.
 func (o *Operator) Bundle(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, error) {
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
 	for {
 		missing, err := pabundle.MissingPieces(d, p.get)
 		if err != nil {
@@ -64,16 +64,16 @@
 // Changes returns what differs between two versions. It reads their plans and services, and of the
 // client blocks only the pieces that differ. An empty digest is the empty bundle.
 func (o *Operator) Changes(ctx context.Context, from, to pabundle.Digest) ([]pabundle.Difference, error) {
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
-	old, was, err := p.outline(ctx, from)
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
+	old, was, err := p.loadWithoutBlocks(ctx, from)
 	if err != nil {
 		return nil, err
 	}
-	fresh, will, err := p.outline(ctx, to)
+	fresh, will, err := p.loadWithoutBlocks(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	goneBlocks, freshBlocks, err := p.difference(ctx, was, will)
+	goneBlocks, freshBlocks, err := p.diffBlockPieces(ctx, was, will)
 	if err != nil {
 		return nil, err
 	}
--- a/paroll/version.go
+++ b/paroll/version.go
@@ -101,8 +101,8 @@
 	At       time.Time
 }
 
-// take moves the version along its life cycle, or says what is allowed instead.
-func (v *Version) take(s step) error {
+// transition moves the version along its life cycle, or says what is allowed instead.
+func (v *Version) transition(s step) error {
 	machine := fsm.NewFSM(string(v.State), lifeCycle(), nil)
 	err := machine.Event(context.Background(), string(s))
 	var same fsm.NoTransitionError
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// rolled reports whether the version came into force under a roll ID.
-func (v *Version) rolled(id string) (Roll, bool) {
+// findRoll reports whether the version came into force under a roll ID.
+func (v *Version) findRoll(id string) (Roll, bool) {
 	i := slices.IndexFunc(v.Rolls, func(r Roll) bool { return r.RollID == id })
 	if i < 0 {
 		return Roll{}, false
@@ -124,8 +124,8 @@
 	return v.Rolls[i], true
 }
 
-// latest returns the highest sequence under which the version came into force, or 0.
-func (v *Version) latest() pabundle.Sequence {
+// lastSequence returns the highest sequence under which the version came into force, or 0.
+func (v *Version) lastSequence() pabundle.Sequence {
 	var s pabundle.Sequence
 	for _, r := range v.Rolls {
 		s = max(s, r.Sequence)
--- a/paroll/wait.go
+++ b/paroll/wait.go
@@ -8,19 +8,19 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// signal tells waiters that something changed; its user's mutex guards it.
-type signal struct{ c chan struct{} }
+// notifier tells waiters that something changed; its user's mutex guards it.
+type notifier struct{ c chan struct{} }
 
 // next returns the channel that closes at the next change.
-func (s *signal) next() <-chan struct{} {
+func (s *notifier) next() <-chan struct{} {
 	if s.c == nil {
 		s.c = make(chan struct{})
 	}
 	return s.c
 }
 
-// raise wakes all waiters.
-func (s *signal) raise() {
+// notify wakes all waiters.
+func (s *notifier) notify() {
 	if s.c != nil {
 		close(s.c)
 		s.c = nil
@@ -51,7 +51,7 @@
 
 // next returns the pause before the next attempt.
 func (b *backoff) next() time.Duration {
-	b.last = min(max(2*b.last, firstBackoff), lastBackoff)
+	b.last = min(max(2*b.last, minBackoff), maxBackoff)
 	return b.last/2 + time.Duration(b.random.Int64N(int64(b.last/2)+1))
 }
 
