--- a/pabundle/assemble.go
+++ b/pabundle/assemble.go
@@ -34,9 +34,9 @@
 	return fmt.Sprintf("piece %s: %s: %s", e.Digest, e.Problem, e.Detail)
 }
 
-// VerifyPiece checks that data has the digest d and at most MaxPieceSize bytes, and returns a
-// *PieceError otherwise. Code that fetches a piece from the store or a neighbour calls it before it
-// decodes the bytes.
+// VerifyPiece checks that data has the digest d and at most MaxPieceSize bytes, and otherwise
+// returns an error that wraps a *PieceError. Code that fetches a piece from the store or a neighbour calls
+// it before it decodes the bytes.
 func VerifyPiece(d Digest, data []byte) error {
 	if len(data) > MaxPieceSize {
 		return trace.Wrap(&PieceError{d, Oversize, fmt.Sprintf("%d bytes, at most %d allowed", len(data), MaxPieceSize)})
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// DecodeManifest decodes a manifest that VerifyPiece accepted. Errors are of type *PieceError.
+// DecodeManifest decodes a manifest that VerifyPiece accepted. Errors wrap a *PieceError.
 func DecodeManifest(d Digest, data []byte) (Manifest, error) {
 	var m Manifest
 	if err := decodePiece(d, data, &m); err != nil {
@@ -62,7 +62,7 @@
 	return m, nil
 }
 
-// DecodeBlocks decodes a piece of client blocks that VerifyPiece accepted. Errors are of type *PieceError.
+// DecodeBlocks decodes a piece of client blocks that VerifyPiece accepted. Errors wrap a *PieceError.
 func DecodeBlocks(d Digest, data []byte) ([]ClientBlock, error) {
 	var blocks []ClientBlock
 	if err := decodePiece(d, data, &blocks); err != nil {
@@ -152,8 +152,8 @@
 }
 
 // Assemble decodes the bundle d from its pieces and verifies it completely: the digest of each piece,
-// that Split would produce the same pieces, and that Validate finds no error. It returns a
-// trace.NotFound error for a missing piece, a *PieceError for a bad one, and a *ValidationError for
+// that Split would produce the same pieces, and that Validate finds no error. The error is
+// trace.NotFound for a missing piece, wraps a *PieceError for a bad one, and wraps a *ValidationError for
 // an invalid bundle.
 func Assemble(d Digest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	manifestData, err := getVerified(d, get)
--- a/pabundle/example_test.go
+++ b/pabundle/example_test.go
@@ -52,7 +52,8 @@
 
 func footageVault() exampleDeployment {
 	return exampleDeployment{
-		file: "../examples/kartuli.json", comment: "Action camera footage: slow browsing looks like lost footage, so latency goes first.",
+		file:    "../examples/kartuli.json",
+		comment: "Action camera footage: slow browsing looks like lost footage, so latency goes first.",
 		regions: []RegionName{"tbilisi", "frankfurt", "dubai"}, first: LatencyFirst, reserve: 0.05,
 		capacity: 4_000_000_000, port: 22001, limit: 360,
 		services: []Service{
--- a/pabundle/validate.go
+++ b/pabundle/validate.go
@@ -49,7 +49,7 @@
 type regionPair struct{ from, to RegionName }
 
 // validator checks one bundle and collects its errors. The maps are filled by
-// checkRegions and checkLinks, so those run before the other checks.
+// checkRegions and checkLinks, so those run before the checks that use them.
 type validator struct {
 	bundle  Bundle
 	errors  []FieldError
--- a/paroll/accept.go
+++ b/paroll/accept.go
@@ -2,39 +2,41 @@
 
 import "papayahead/pabundle"
 
-// Decision is what a daemon does with a head that it hears of.
+// Decision is the result of Accept: what a daemon does with a head that it received.
 type Decision string
 
-// The decisions on a head.
+// The values of Decision.
 const (
-	// Take is a head that goes before the current one.
+	// Take means that the head has a higher sequence and replaces the current one.
 	Take Decision = "Take"
-	// Same is the current head.
+	// Same means that the head is the current one.
 	Same Decision = "Same"
-	// Older is a head that the current one has replaced.
+	// Older means that the head has a lower sequence than the current one.
 	Older Decision = "Older"
-	// Foreign is a head of another deployment.
+	// Foreign means that the head belongs to another deployment.
 	Foreign Decision = "Foreign"
-	// Malformed is a head that no roll-out writes.
+	// Malformed means that the head has no sequence or no valid digest.
 	Malformed Decision = "Malformed"
-	// Fork is another head under the current sequence: an alarm, and the current one stays.
+	// Fork means that the head differs from the current one but has the same sequence. An alarm is raised
+	// and the current head stays.
 	Fork Decision = "Fork"
 )
 
 // String returns the decision's name.
 func (d Decision) String() string { return string(d) }
 
-// Accept decides on a head from the store or a neighbour, given the current one; the zero Head is
-// none.
+// Accept decides whether a head from the store or a neighbour replaces the current one; the zero Head
+// means that there is none.
 //
-// It is made for heads that arrive from many sides, late and out of order: after an outage, after a
-// cut, from a neighbour that booted from a stale one. Only the sequence decides, and it must rise,
-// so every daemon ends at the same head whatever the order, and none goes back.
+// Heads arrive from several sources, late and out of order: after an outage, after a network partition,
+// or from a neighbour that started with an old one. Only a higher sequence is accepted, so all daemons
+// converge to the same head in any order of arrival, and none goes back.
 //
-// Two heads under one sequence cannot come of the store's compare-and-swap. They mean that the
-// store lost writes, such as after its operators restored it from a copy. No side wins then, not
-// even the store: a daemon that switched would go back and forth as it hears of both. The current
-// head stays, the alarm calls an operator, and a roll-out with a floor above both ends it.
+// Two heads with the same sequence cannot result from compare-and-swap in the store. They mean that the
+// store lost writes, for example because it was restored from a backup. Then neither head wins, not even
+// the store's, because a daemon that switched would alternate as it receives both. The current head
+// stays, the alarm notifies an operator, and a roll-out with a Floor above both sequences resolves the
+// conflict.
 func Accept(current, candidate pabundle.Head, deployment string) Decision {
 	switch {
 	case candidate.Deployment != deployment:
--- a/paroll/accept_test.go
+++ b/paroll/accept_test.go
@@ -9,8 +9,8 @@
 	"papayahead/pabundle"
 )
 
-// Heads arrive from many sides, late and in any order, some of another deployment, some two under one
-// sequence. Whoever takes what Accept says to take only rises, and ends at the highest.
+// Heads arrive in any order, some of another deployment and some with the same sequence. A daemon that
+// follows Accept must never go back to a lower sequence and must end at the highest.
 func TestAcceptRisesToTheHighestHeadInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var current pabundle.Head
@@ -26,18 +26,18 @@
 			}
 			d := Accept(current, h, "kartuli")
 			if higher := h.Deployment == "kartuli" && h.Sequence > current.Sequence; (d == Take) != higher {
-				r.Fatalf("%s of %+v with %+v", d, h, current)
+				r.Fatalf("decision %s for head %+v with current head %+v", d, h, current)
 			}
 			fork := h.Deployment == "kartuli" && h.Sequence > 0 && h.Sequence == current.Sequence && !reflect.DeepEqual(h, current)
 			if (d == Fork) != fork {
-				r.Fatalf("%s of %+v with %+v", d, h, current)
+				r.Fatalf("decision %s for head %+v with current head %+v", d, h, current)
 			}
 			if d == Take {
 				current = h
 			}
 		}
 		if current.Sequence != highest {
-			r.Fatalf("ended at %d of %d", current.Sequence, highest)
+			r.Fatalf("ended at sequence %d, want %d", current.Sequence, highest)
 		}
 	})
 }
--- a/paroll/calls_test.go
+++ b/paroll/calls_test.go
@@ -16,15 +16,14 @@
 	"papayahead/paplatform"
 )
 
-// testDaemon is what a daemon does with the store: it follows the head, and fetches pieces that no
-// neighbour has.
+// testDaemon makes the store calls of a daemon: it follows the head and fetches the pieces that it lacks.
 type testDaemon struct {
 	HeadWatch
 	have     map[pabundle.Digest][]byte
 	sequence atomic.Uint64
 }
 
-func (f *testDaemon) take(ctx context.Context, h pabundle.Head) {
+func (f *testDaemon) fetchBundle(ctx context.Context, h pabundle.Head) {
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := f.have[d]; return p, ok }
 	for {
 		missing, err := pabundle.MissingPieces(h.Digest, get)
@@ -43,8 +42,8 @@
 	}
 }
 
-// The platform counts each call and its rates grow more slowly than the fleet. These are the figures
-// of docs/MEASURES.md; a change that costs more calls shows here.
+// The platform counts each call to the store, and its rate limits grow more slowly than the fleet. This
+// test fails if a change needs more calls than the figures in docs/MEASURES.md.
 func TestStoreCallsOfCommandsAndDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -81,7 +80,7 @@
 			f := &testDaemon{have: maps.Clone(have)}
 			f.HeadWatch = HeadWatch{
 				Deployment: "kartuli", Store: store, Clock: clockwork.NewRealClock(), Random: rand.New(rand.NewPCG(1, 1)),
-				OnHead: func(h pabundle.Head) { f.take(ctx, h) },
+				OnHead: func(h pabundle.Head) { f.fetchBundle(ctx, h) },
 			}
 			f.SetFollowing(follow)
 			go f.Run(ctx)
@@ -107,7 +106,9 @@
 		calls("propose, one service changed", 7, func() { ok(operator("ana").Propose(ctx, two)) })
 		ok(operator("beso").Review(ctx, s2.Digest, ""))
 		ok(operator("beso").SignOff(ctx, s2.Digest))
-		calls("roll out, one service changed, and the watching daemon", 22, func() { ok(operator("ana").RollOut(ctx, Request{Digest: s2.Digest})) })
+		calls("roll out, one service changed, and the watching daemon", 22, func() {
+			ok(operator("ana").RollOut(ctx, Request{Digest: s2.Digest}))
+		})
 		g.Expect(watcher.sequence.Load()).To(BeEquivalentTo(2))
 		cancel()
 	})
--- a/paroll/example_test.go
+++ b/paroll/example_test.go
@@ -12,11 +12,11 @@
 	"papayahead/paroll"
 )
 
-// A bundle comes into force by the commands of two operators.
+// Two operators bring a bundle into force.
 func ExampleOperator() {
 	data, _ := os.ReadFile("../examples/kartuli.json")
-	bundle, faults := pabundle.Check(data)
-	fmt.Println("faults:", len(faults))
+	bundle, errs := pabundle.Check(data)
+	fmt.Println("faults:", len(errs))
 
 	ctx := context.Background()
 	clock := clockwork.NewRealClock()
--- a/paroll/head_watch.go
+++ b/paroll/head_watch.go
@@ -14,52 +14,52 @@
 )
 
 const (
-	// watchWait is how long one watch of the head stays open. A connection that went silent hides
-	// a roll-out until the wait ends, so it is below the ten seconds in which a change must be in
-	// force; shorter ones would only cost calls.
+	// watchWait is the timeout of one long poll of the head. A connection that silently stopped delivering
+	// data hides a roll-out until the timeout, so it is below the ten seconds within which a change must be
+	// in force; a shorter timeout would only cost more calls.
 	watchWait = 8 * time.Second
-	// minBackoff and lastBackoff bound the pause after a failed call to the store. At two
-	// watching daemons in each of 83 zones, the last one means some 50 calls a second at a store
-	// that is coming back, and a healed cut is noticed within it.
+	// minBackoff and maxBackoff limit the delay after a failed call to the store. With two watching
+	// daemons in each of 83 zones, maxBackoff limits the load of a recovering store to some 50 calls per
+	// second, and a daemon notices within maxBackoff that the store is reachable again.
 	minBackoff = 250 * time.Millisecond
-	maxBackoff  = 4 * time.Second
-	// readInterval is the pause between the reads of a daemon that has no bundle yet and does not
-	// watch: its neighbours usually tell it sooner.
+	maxBackoff = 4 * time.Second
+	// readInterval is the time between reads by a daemon that has no bundle yet and does not watch the
+	// store. It usually receives the head from a neighbour sooner.
 	readInterval = 2 * time.Second
 )
 
-// Recorder takes events.
+// Recorder records events.
 type Recorder interface {
 	Record(e paevent.Event)
 }
 
-// HeadWatch follows the head of a deployment in the store: by long-polling watches while it is told
-// to Follow, and else by single reads until a head is Known. Fill the exported fields, then call
-// Run; the other methods may be called from any goroutine, also before.
+// HeadWatch follows the head of a deployment in the store. With SetFollowing(true) it watches the head by
+// long polling; otherwise it reads the head periodically until SetHeadKnown is called. Set the exported
+// fields, then call Run. The other methods are safe for concurrent use, also before Run.
 type HeadWatch struct {
 	Deployment string
 	Store      paplatform.Store
 	Clock      clockwork.Clock
-	// Random jitters pauses; only Run's goroutine uses it.
+	// Random is the source of jitter for delays; only the goroutine of Run uses it.
 	Random *rand.Rand
-	// OnHead is called with each head that the store names, from Run's goroutine; the same head may
-	// come again after an outage.
+	// OnHead is called with each head read from the store, in the goroutine of Run. It can be called with
+	// the same head again after an outage.
 	OnHead func(pabundle.Head)
-	// Events takes what happens; nil drops it.
+	// Events records events; nil discards them.
 	Events Recorder
 
 	mutex     sync.Mutex
 	following bool
 	known     bool
-	downSince      time.Time
+	downSince time.Time
 	counts    HeadWatchCounts
 	changed   notifier
 }
 
-// HeadWatchCounts counts the calls to the store.
+// HeadWatchCounts counts the calls of a HeadWatch to the store.
 type HeadWatchCounts struct{ Watches, Reads uint64 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (w *HeadWatch) Counts() HeadWatchCounts {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -73,8 +73,8 @@
 	return w.following
 }
 
-// SetFollowing says whether to watch the store. Saying the same again changes nothing: daemons say it with
-// every step of theirs, and a pause after a failed call must not end by that.
+// SetFollowing sets whether to watch the store. It has no effect if nothing changes: daemons call it
+// periodically, and that must not cut short the delay after a failed call.
 func (w *HeadWatch) SetFollowing(following bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// SetHeadKnown says that some head is known, from whatever side; reads without a watch end then.
+// SetHeadKnown reports that the daemon has a head, from any source; this stops the reads without a watch.
 func (w *HeadWatch) SetHeadKnown() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Run follows the head until the context ends.
+// Run follows the head until ctx is done.
 func (w *HeadWatch) Run(ctx context.Context) {
 	pause := backoff{random: w.Random}
 	var after paplatform.Revision
@@ -107,7 +107,7 @@
 		case !known:
 			err = w.read(ctx)
 		default:
-			// A later watch begins with the head as it is then.
+			// A later watch starts with the head at that time.
 			after = 0
 			sleep(ctx, w.Clock, 0, changed)
 			continue
@@ -118,7 +118,7 @@
 		w.recordReachability(err)
 		switch {
 		case err != nil:
-			// The store may have lost writes: its revisions say nothing any more.
+			// The store may have lost writes, so the last revision may not be valid any more.
 			after = 0
 			sleep(ctx, w.Clock, pause.next(), changed)
 		case !following:
@@ -130,14 +130,14 @@
 	}
 }
 
-// state returns what Run acts on, and the channel that closes when it changes.
+// state returns the state that Run acts on, and a channel that is closed when it changes.
 func (w *HeadWatch) state() (following, known bool, changed <-chan struct{}) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.following, w.known, w.changed.next()
 }
 
-// watch waits for the head to change and tells of it.
+// watch waits for a change of the head after a revision and handles it. It returns the new revision.
 func (w *HeadWatch) watch(ctx context.Context, after paplatform.Revision) (paplatform.Revision, error) {
 	w.mutex.Lock()
 	w.counts.Watches++
@@ -166,7 +166,7 @@
 	return err
 }
 
-// handleHead passes on a head as the store wrote it.
+// handleHead decodes a head and passes it to OnHead.
 func (w *HeadWatch) handleHead(data []byte) {
 	h, err := decodeHead(data)
 	if err != nil {
@@ -176,7 +176,7 @@
 	w.OnHead(h)
 }
 
-// recordReachability records the start and the end of an outage.
+// recordReachability records when the store becomes unreachable and reachable again; err is the result of a call.
 func (w *HeadWatch) recordReachability(err error) {
 	w.mutex.Lock()
 	since := w.downSince
@@ -195,7 +195,7 @@
 	}
 }
 
-// record passes an event on if anyone takes it.
+// record records an event unless r is nil.
 func record(r Recorder, e paevent.Event) {
 	if r != nil {
 		r.Record(e)
--- a/paroll/key.go
+++ b/paroll/key.go
@@ -5,17 +5,17 @@
 	"papayahead/paplatform"
 )
 
-// HeadKey is where the store keeps the head of a deployment.
+// HeadKey returns the key of a deployment's head in the store.
 func HeadKey(deployment string) paplatform.Key {
 	return paplatform.Key("Bundles/" + deployment + "/Head")
 }
 
-// PieceKey is where the store keeps a piece.
+// PieceKey returns the key of a piece in the store.
 func PieceKey(deployment string, d pabundle.Digest) paplatform.Key {
 	return paplatform.Key("Bundles/" + deployment + "/Pieces/" + string(d))
 }
 
-// VersionKey is where the store keeps the record of a version.
+// VersionKey returns the key of a version's record in the store.
 func VersionKey(deployment string, d pabundle.Digest) paplatform.Key {
 	return versionPrefix(deployment) + paplatform.Key(d)
 }
--- a/paroll/main_test.go
+++ b/paroll/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the fuzzing, so that every run gives the same verdict; -rapid.seed overrides it.
+// TestMain sets a fixed seed for the property tests, so that results are reproducible; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
--- a/paroll/operator.go
+++ b/paroll/operator.go
@@ -14,28 +14,29 @@
 	"papayahead/paplatform"
 )
 
-// writeAttempts bounds how often a command sends one write whose reply was lost or which met a
-// conflict. Four cover a restart of the platform's front end; a command that fails after them has
-// changed nothing or says that it does not know.
+// writeAttempts is the maximum number of attempts for a write that had a conflict or whose reply was
+// lost. Four attempts outlast a restart of the platform's front end. A command that still fails has
+// changed nothing or reports that its effect is unknown.
 const writeAttempts = 4
 
-// retryDelay is the pause before a write is sent again; it doubles with each.
+// retryDelay is the delay before the first repeat of a write; it doubles with each repeat.
 const retryDelay = 200 * time.Millisecond
 
-// Operator carries out the commands of one operator on one deployment. All commands may be
-// repeated: what is done already is not done again.
+// Operator implements the commands of one operator on one deployment. All commands are idempotent: what is
+// done already is not done again.
 type Operator struct {
-	// Name is who the operator is.
+	// Name identifies the operator.
 	Name       string
 	Deployment string
 	Store      paplatform.Store
 	Clock      clockwork.Clock
-	// Random jitters the pauses before repeated writes; nil takes the longest.
+	// Random is the source of jitter for delays between writes; nil means no jitter.
 	Random *rand.Rand
 }
 
-// Propose puts a bundle's pieces and the record of its version into the store. A bundle with
-// faults, or of another deployment, is refused.
+// Propose writes a bundle's pieces and its version record to the store. The error
+// wraps a *pabundle.ValidationError for an invalid bundle and is trace.BadParameter for one of another
+// deployment.
 func (o *Operator) Propose(ctx context.Context, b pabundle.Bundle) (Version, error) {
 	if o.Name == "" {
 		return Version{}, trace.BadParameter("no operator given, want the name of who proposes")
@@ -43,8 +44,8 @@
 	if b.Deployment != o.Deployment {
 		return Version{}, trace.BadParameter("bundle of deployment %q given, want %q", b.Deployment, o.Deployment)
 	}
-	if faults := b.Validate(); len(faults) > 0 {
-		return Version{}, trace.Wrap(&pabundle.ValidationError{Errors: faults})
+	if errs := b.Validate(); len(errs) > 0 {
+		return Version{}, trace.Wrap(&pabundle.ValidationError{Errors: errs})
 	}
 	s, err := b.Split()
 	if err != nil {
@@ -53,7 +54,7 @@
 	if err := o.upload(ctx, s); err != nil {
 		return Version{}, trace.Wrap(err)
 	}
-	fresh := Version{
+	proposed := Version{
 		Digest: s.Digest, State: Proposed, Proposer: o.Name, ProposedAt: o.now(), Comment: b.Comment,
 		Reviews: []Review{}, Rolls: []Roll{},
 	}
@@ -61,14 +62,14 @@
 		if v.Digest != "" {
 			return false, nil
 		}
-		*v = fresh
+		*v = proposed
 		return true, nil
 	})
 }
 
-// upload writes the pieces that the head in force does not name; the manifest goes last, so that
-// whoever sees it finds the rest. The bundle in force itself is written whole: proposing it again
-// is how operators heal pieces that the store lost or damaged.
+// upload writes the pieces that the head in force does not name. The manifest is written last, so that its
+// presence implies that of the other pieces. If the bundle itself is in force, all pieces are written: by
+// proposing it again, operators repair pieces that the store lost or damaged.
 func (o *Operator) upload(ctx context.Context, s pabundle.SplitBundle) error {
 	known, err := o.inForcePieces(ctx, s)
 	if err != nil {
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// inForcePieces returns the digests of the pieces of the head in force, unless there is none or it
-// names the bundle that is being proposed. What cannot be read is not known, and written again.
+// inForcePieces returns the digests of the pieces of the head in force, or none if there is no head or it
+// names the proposed bundle. It omits pieces whose parents cannot be read; they are written again.
 func (o *Operator) inForcePieces(ctx context.Context, proposed pabundle.SplitBundle) (map[pabundle.Digest]bool, error) {
 	h, _, err := o.head(ctx)
 	if err != nil || h.Sequence == 0 || h.Digest == proposed.Digest {
@@ -119,8 +120,8 @@
 	return known, nil
 }
 
-// putPiece writes a piece unless it is there already. A damaged one under the same name is
-// replaced, because nothing else would ever heal it.
+// putPiece writes a piece unless it exists. A damaged piece under the same key is replaced, because nothing
+// else would repair it.
 func (o *Operator) putPiece(ctx context.Context, d pabundle.Digest, data []byte) error {
 	key := PieceKey(o.Deployment, d)
 	var expected paplatform.Revision
@@ -143,8 +144,8 @@
 	}
 }
 
-// Review records that the operator has read a version; the proposer cannot review. Those pieces that
-// the head in force does not have must be in the store.
+// Review records that the operator has reviewed a version; the proposer may not. It fails if the store
+// lacks pieces of the version that are not part of the head in force.
 func (o *Operator) Review(ctx context.Context, d pabundle.Digest, note string) (Version, error) {
 	h, _, err := o.head(ctx)
 	if err != nil {
@@ -172,8 +173,8 @@
 	})
 }
 
-// SignOff allows the roll-out of a version on top of the head that is in force now; the proposer
-// cannot sign off. After the head has moved, it may be signed off again.
+// SignOff permits the roll-out of a version on top of the head that is in force now; the proposer may not
+// sign off. If the head changes, the version can be signed off again.
 func (o *Operator) SignOff(ctx context.Context, d pabundle.Digest) (Version, error) {
 	h, _, err := o.head(ctx)
 	if err != nil {
@@ -197,7 +198,8 @@
 	})
 }
 
-// checkVersion refuses a command on a version that was never proposed, or without an operator's name.
+// checkVersion refuses a command without an operator's name, or on a version that was never proposed or
+// whose record has the digest of another.
 func (o *Operator) checkVersion(d pabundle.Digest, v *Version) error {
 	if o.Name == "" {
 		return trace.BadParameter("no operator given, want the name of who does this")
@@ -211,8 +213,8 @@
 	return nil
 }
 
-// update changes the record of a version by compare-and-swap. The change must find out by itself
-// whether it is done already; that makes it safe to run again after a conflict or a lost reply.
+// update changes the record of a version by compare-and-swap. It calls change again after a conflict or a
+// lost reply, so change must detect that it is done already and then return false.
 func (o *Operator) update(ctx context.Context, d pabundle.Digest, change func(*Version) (bool, error)) (Version, error) {
 	key := VersionKey(o.Deployment, d)
 	for n := 0; ; n++ {
@@ -238,7 +240,7 @@
 	}
 }
 
-// retryable reports whether a write may be tried retryable after reading back what is there.
+// retryable reports whether a write may be repeated after reading the current value.
 func retryable(err error) bool {
 	switch paplatform.FaultOf(err) {
 	case paplatform.Conflict, paplatform.Unknown, paplatform.Unavailable:
@@ -248,7 +250,7 @@
 	}
 }
 
-// pause waits before a write is sent again.
+// pause waits before repeat n of a write.
 func (o *Operator) pause(ctx context.Context, n int) {
 	d := retryDelay << n
 	if o.Random != nil {
--- a/paroll/prepare.go
+++ b/paroll/prepare.go
@@ -8,26 +8,26 @@
 	"papayahead/pashift"
 )
 
-// prepare makes sure that the store has every piece that daemons will need and that the head in
-// force does not already name, and returns where the shares stand now, for the services whose
-// shares the next head moves.
+// prepare verifies that the store has every piece of next that the head in force does not name. It
+// returns the shares in effect at next.RolledAt, for the services whose shares next changes.
 //
-// Guards against a jump: a daemon that boots in mid-shift, or after a second roll, knows the head in
-// force and its bundle but no history. With the start in the head it stands where the others stand.
+// These become the Start of the new head. Without it, a daemon that starts during a shift, or after a
+// second roll-out, knows only the head in force and its bundle, and would use other shares than the
+// daemons that know the history.
 func (o *Operator) prepare(ctx context.Context, current, next pabundle.Head) (pashift.Position, error) {
 	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
-	was, will, err := p.loadBoth(ctx, current.Digest, next.Digest)
+	oldBundle, newBundle, err := p.loadBoth(ctx, current.Digest, next.Digest)
 	if err != nil || current.Sequence == 0 {
 		return nil, err
 	}
-	stands := pashift.At(pashift.Roll{Bundle: &was, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
-	return pashift.Moves(stands, &will), nil
+	position := pashift.At(pashift.Roll{Bundle: &oldBundle, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
+	return pashift.Moves(position, &newBundle), nil
 }
 
-// pieceReader reads pieceReader for one command, each once.
+// pieceReader reads and verifies pieces for one command, each only once.
 type pieceReader struct {
 	operator *Operator
-	loaded     map[pabundle.Digest][]byte
+	loaded   map[pabundle.Digest][]byte
 }
 
 // load reads pieces from the store and verifies them.
@@ -45,51 +45,53 @@
 	return nil
 }
 
-// loadBoth reads two versions without their client blocks, and makes sure that the store has those
-// pieces of client blocks that only the second has.
-func (p pieceReader) loadBoth(ctx context.Context, from, to pabundle.Digest) (was, will pabundle.Bundle, err error) {
-	was, known, err := p.loadWithoutBlocks(ctx, from)
+// loadBoth reads two versions without their client blocks, and verifies that the store has the pieces of
+// client blocks that only the second version has.
+func (p pieceReader) loadBoth(ctx context.Context, from, to pabundle.Digest) (oldBundle, newBundle pabundle.Bundle, err error) {
+	oldBundle, known, err := p.loadWithoutBlocks(ctx, from)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	will, m, err := p.loadWithoutBlocks(ctx, to)
+	newBundle, m, err := p.loadWithoutBlocks(ctx, to)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	_, fresh, err := p.diffBlockPieces(ctx, known, m)
+	_, added, err := p.diffBlockPieces(ctx, known, m)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	return was, will, p.load(ctx, fresh...)
+	return oldBundle, newBundle, p.load(ctx, added...)
 }
 
-// diffBlockPieces returns the pieces of client blocks that only the one or only the other version has.
-// It reads the lists that differ.
-func (p pieceReader) diffBlockPieces(ctx context.Context, from, to pabundle.Manifest) (gone, fresh []pabundle.Digest, err error) {
-	if gone, err = p.ownBlockPieces(ctx, from, to); err != nil {
+// diffBlockPieces returns the pieces of client blocks that only one of two versions has. It reads only the
+// lists that differ.
+func (p pieceReader) diffBlockPieces(
+	ctx context.Context, from, to pabundle.Manifest,
+) (removed, added []pabundle.Digest, err error) {
+	if removed, err = p.ownBlockPieces(ctx, from, to); err != nil {
 		return nil, nil, err
 	}
-	if fresh, err = p.ownBlockPieces(ctx, to, from); err != nil {
+	if added, err = p.ownBlockPieces(ctx, to, from); err != nil {
 		return nil, nil, err
 	}
 	shared := map[pabundle.Digest]bool{}
-	for _, d := range gone {
-		shared[d] = slices.Contains(fresh, d)
+	for _, d := range removed {
+		shared[d] = slices.Contains(added, d)
 	}
 	isShared := func(d pabundle.Digest) bool { return shared[d] }
-	return slices.DeleteFunc(gone, isShared), slices.DeleteFunc(fresh, isShared), nil
+	return slices.DeleteFunc(removed, isShared), slices.DeleteFunc(added, isShared), nil
 }
 
-// ownBlockPieces returns the pieces of client blocks of a version under those names in its manifest that the
-// other's manifest does not have.
+// ownBlockPieces returns the pieces of client blocks of m, without those under digests that the manifest
+// other also names.
 func (p pieceReader) ownBlockPieces(ctx context.Context, m, other pabundle.Manifest) ([]pabundle.Digest, error) {
-	theirs := map[pabundle.Digest]bool{}
+	inOther := map[pabundle.Digest]bool{}
 	for _, d := range other.Blocks {
-		theirs[d] = true
+		inOther[d] = true
 	}
 	var all []pabundle.Digest
 	for _, d := range m.Blocks {
-		if theirs[d] {
+		if inOther[d] {
 			continue
 		}
 		children, err := p.children(ctx, d)
@@ -104,7 +106,7 @@
 	return all, nil
 }
 
-// children reads a piece and returns what it names.
+// children reads a piece and returns the digests that it refers to.
 func (p pieceReader) children(ctx context.Context, d pabundle.Digest) ([]pabundle.Digest, error) {
 	if err := p.load(ctx, d); err != nil {
 		return nil, err
@@ -114,7 +116,7 @@
 
 func (p pieceReader) get(d pabundle.Digest) ([]byte, bool) { data, ok := p.loaded[d]; return data, ok }
 
-// clientBlocks reads the blocks of some pieces.
+// clientBlocks reads the client blocks of pieces.
 func (p pieceReader) clientBlocks(ctx context.Context, all []pabundle.Digest) ([]pabundle.ClientBlock, error) {
 	if err := p.load(ctx, all...); err != nil {
 		return nil, err
@@ -130,7 +132,7 @@
 	return blocks, nil
 }
 
-// loadWithoutBlocks reads a bundle without its client blocks; an empty digest is the empty bundle.
+// loadWithoutBlocks reads a bundle without its client blocks; an empty digest means the empty bundle.
 func (p pieceReader) loadWithoutBlocks(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, pabundle.Manifest, error) {
 	if d == "" {
 		return pabundle.Bundle{}, pabundle.Manifest{}, nil
--- a/paroll/race_test.go
+++ b/paroll/race_test.go
@@ -18,11 +18,12 @@
 	"papayahead/paplatform"
 )
 
-// smallBundle returns a valid bundle of one target, which costs little to split and assemble.
+// smallBundle returns a valid bundle with one target, which is fast to split and assemble.
 func smallBundle(comment string) pabundle.Bundle {
 	d := pabundle.Duration{Duration: time.Second}
 	return pabundle.Bundle{
-		Format: pabundle.FormatVersion, Deployment: "kartuli", Comment: comment, Policy: pabundle.Policy{First: pabundle.LatencyFirst},
+		Format: pabundle.FormatVersion, Deployment: "kartuli", Comment: comment,
+		Policy:  pabundle.Policy{First: pabundle.LatencyFirst},
 		Regions: []pabundle.Region{{Name: "tbilisi", Zones: []pabundle.ZoneName{"tbilisi-1"}, MaxInFlight: 3}},
 		Services: []pabundle.Service{{
 			Name: "billing", Timeout: d, MaxTimeout: d, TypicalRun: d, KeyMemory: d,
@@ -36,27 +37,25 @@
 	}
 }
 
-// schedule lets one call to the store run at a time, in an order that its random source picks, and
-// loses calls and replies on the way.
+// schedule runs one call to the store at a time, in random order, and drops calls and replies at random.
 type schedule struct {
 	random *rand.Rand
 	arrive chan pendingCall
 	done   chan struct{}
 	late   []func()
 	steps  int64
-	// frozen is the client whose call has to wait until others have made many.
+	// frozen is the client whose calls wait until step thaw.
 	frozen int
 	thaw   int64
 }
 
-// pendingCall is a call that waits for its pendingCall.
+// pendingCall is a call that waits to be scheduled.
 type pendingCall struct {
 	client int
 	begin  chan struct{}
 }
 
-// run starts the operators and picks whose call is next until all are done; each is called after
-// every step.
+// run starts the operators and schedules their calls until all are done; each is called after every step.
 func (s *schedule) run(operators []func(), each func()) {
 	for _, o := range operators {
 		go func() { o(); s.done <- struct{}{} }()
@@ -89,8 +88,8 @@
 	}
 }
 
-// pick chooses whose call is next. Now and then it freezes one operator for as long as another
-// needs for a whole command.
+// pick selects the next call. Occasionally it delays one operator for as long as another needs for a whole
+// command.
 func (s *schedule) pick(waiting []pendingCall) int {
 	n := s.random.IntN(len(waiting))
 	if s.steps >= s.thaw && s.random.IntN(10) == 0 {
@@ -109,7 +108,7 @@
 	client   int
 }
 
-func (s scheduledStore) turn() {
+func (s scheduledStore) wait() {
 	w := pendingCall{s.client, make(chan struct{})}
 	s.schedule.arrive <- w
 	<-w.begin
@@ -117,15 +116,17 @@
 }
 
 func (s scheduledStore) Get(ctx context.Context, key paplatform.Key) (paplatform.Value, bool, error) {
-	s.turn()
+	s.wait()
 	if s.schedule.random.IntN(12) == 0 {
 		return paplatform.Value{}, false, &paplatform.Error{Fault: paplatform.Unavailable, Key: key}
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s scheduledStore) CompareAndSwap(ctx context.Context, key paplatform.Key, r paplatform.Revision, data []byte, l paplatform.LeaseID) (paplatform.Revision, error) {
-	s.turn()
+func (s scheduledStore) CompareAndSwap(
+	ctx context.Context, key paplatform.Key, r paplatform.Revision, data []byte, l paplatform.LeaseID,
+) (paplatform.Revision, error) {
+	s.wait()
 	unknown := &paplatform.Error{Fault: paplatform.Unknown, Key: key}
 	swap := func() { _, _ = s.Store.CompareAndSwap(ctx, key, r, data, l) }
 	switch s.schedule.random.IntN(8) {
@@ -143,8 +144,8 @@
 	return s.Store.CompareAndSwap(ctx, key, r, data, l)
 }
 
-// rollInput and rollOutput are one command in a history; a command that failed without effect has
-// no output.
+// rollInput and rollOutput are the input and output of a command in a history. A command that failed without
+// effect is not in the history.
 type rollInput struct {
 	id     string
 	digest pabundle.Digest
@@ -156,7 +157,7 @@
 	sequence pabundle.Sequence
 }
 
-// oracle is the state of a deployment in which every command takes effect at once.
+// oracle is the sequential model of a deployment: the expected state if each command takes effect at once.
 type oracle struct {
 	sequence pabundle.Sequence
 	digest   pabundle.Digest
@@ -201,10 +202,10 @@
 	Step: func(state, in, out any) []any { return state.(oracle).step(in.(rollInput), out.(rollOutput)) },
 }
 
-// runRace runs one race of three operators, one of them at two terminals, and returns its history and
-// the heads there were.
+// runRace runs one race of three operators, one of them in two terminals, and returns the history of commands
+// and all heads that were written.
 func runRace(t *testing.T, seed uint64) ([]porcupine.Operation, []pabundle.Head) {
-	d := newDesk()
+	d := newTestStore()
 	s := &schedule{random: rand.New(rand.NewPCG(seed, 0)), arrive: make(chan pendingCall), done: make(chan struct{})}
 	var history []porcupine.Operation
 	var heads []pabundle.Head
@@ -255,10 +256,10 @@
 	return history, heads
 }
 
-// Operators race with bundles that were signed off against one head. Replies are lost, and lost
-// writes land late, even after the command gave up. If two commands could both write a sequence, or
-// one could be told that it lost though its bundle was in force, operators would steer by a bundle
-// that nobody knows is there.
+// Operators race to roll out bundles that were signed off on top of the same head. Replies are lost, and
+// writes without a reply take effect late, even after the command ended. Two commands must never write
+// the same sequence, and a command must not report Lost if its bundle came into force: operators would not
+// know which bundle is in force.
 func TestRacingOperatorsHaveOneWinnerForEachSequence(t *testing.T) {
 	outcomes := map[Outcome]int{}
 	for seed := range uint64(1000) {
@@ -284,7 +285,7 @@
 	t.Logf("outcomes of 1000 races: %v", outcomes)
 	for _, o := range []Outcome{Won, Lost, Unresolved} {
 		if outcomes[o] == 0 {
-			t.Errorf("no race ended %s: the races prove nothing about it", o)
+			t.Errorf("no race ended with outcome %s, so it was not tested", o)
 		}
 	}
 }
--- a/paroll/roll.go
+++ b/paroll/roll.go
@@ -14,47 +14,47 @@
 	"papayahead/paplatform"
 )
 
-// Outcome is the closed set of ways in which a roll-out or roll-back ends.
+// Outcome is the result of a roll-out or roll-back; the constants below are all its values.
 type Outcome string
 
-// The outcomes of a roll.
+// The values of Outcome.
 const (
-	// Won says that this command wrote the head.
+	// Won means that this command wrote the head.
 	Won Outcome = "Won"
-	// Lost says that another command wrote the head first; this one changed nothing.
+	// Lost means that another command wrote the head first; this one changed nothing.
 	Lost Outcome = "Lost"
-	// AlreadyInForce says that another command brought the same bundle into force.
+	// AlreadyInForce means that another command brought the same bundle into force.
 	AlreadyInForce Outcome = "AlreadyInForce"
-	// Unresolved says that the reply was lost and could not be read back: the head may have been
-	// written, or may be yet. Repeating the same command is safe and finds out.
+	// Unresolved means that a reply was lost and the head could not be read back: the write may have taken
+	// effect, or may do so later. Repeating the command is safe and returns what happened.
 	Unresolved Outcome = "Unresolved"
 )
 
 // String returns the outcome's name.
 func (o Outcome) String() string { return string(o) }
 
-// Request asks for a roll-out or a roll-back.
+// Request holds the parameters of a roll-out or roll-back.
 type Request struct {
 	Digest pabundle.Digest
-	// After is the sequence that the operator expects in force; nil is, for a roll-out, the one
-	// that was signed off against, and for a roll-back the current one.
+	// After is the sequence that the operator expects in force. The default (nil) is the sequence at the
+	// sign-off for a roll-out, and the current sequence for a roll-back.
 	After *pabundle.Sequence
-	// Floor raises the new sequence above a number, after the store lost writes; 0 is no floor.
+	// Floor, if not 0, makes the new sequence higher than it, for a store that lost writes.
 	Floor pabundle.Sequence
 }
 
-// Result says how a roll ended.
+// Result is the result of a roll-out or roll-back.
 type Result struct {
 	Outcome Outcome
-	// Head is what this command wrote, or meant to write.
+	// Head is the head that this command wrote or tried to write.
 	Head pabundle.Head
-	// InForce is the head in force at the end, as far as it could be read.
+	// InForce is the head in force at the end; it is zero if it could not be read.
 	InForce pabundle.Head
-	// Advice says what to do next.
+	// Advice tells the operator what to do next.
 	Advice string
 }
 
-// rollKind tells roll-outs and roll-backs apart in the roll ID.
+// rollKind distinguishes roll-outs from roll-backs in the roll ID.
 type rollKind string
 
 const (
@@ -62,8 +62,8 @@
 	kindBack rollKind = "RollBack"
 )
 
-// RollOut brings a signed-off version into force. Faults before the head could be written are
-// errors and have changed nothing; everything after is the Result.
+// RollOut brings a signed-off version into force. An error means that nothing was rolled out; once the
+// head may have been written, the outcome is in the Result.
 func (o *Operator) RollOut(ctx context.Context, q Request) (Result, error) {
 	v, _, err := o.version(ctx, q.Digest)
 	if err != nil {
@@ -82,13 +82,14 @@
 	return o.roll(ctx, kindOut, q, after)
 }
 
-// RollBack brings a version into force that was in force before, under a new sequence.
+// RollBack brings a version that was in force before into force again, under a new sequence. Errors are as in
+// RollOut.
 func (o *Operator) RollBack(ctx context.Context, q Request) (Result, error) {
 	h, _, err := o.head(ctx)
 	if err != nil {
 		return Result{}, err
 	}
-	// The head goes before the records: the version in force may not be recorded as such yet.
+	// The head is authoritative: the record of the version in force may not be up to date yet.
 	if err := o.updateRecords(ctx, h); err != nil {
 		return Result{}, err
 	}
@@ -109,8 +110,8 @@
 	return o.roll(ctx, kindBack, q, after)
 }
 
-// roll writes the head. It reads the record after the head: whoever replaced a head settled its
-// records first, so a record that is read later knows of every head that was replaced.
+// roll writes the head. It reads the version record after the head: a command that replaces a head first
+// updates the records for it, so a record read later includes every head that was replaced.
 func (o *Operator) roll(ctx context.Context, k rollKind, q Request, after pabundle.Sequence) (Result, error) {
 	current, revision, err := o.head(ctx)
 	if err != nil {
@@ -136,17 +137,17 @@
 	if next.Start, err = o.prepare(ctx, current, next); err != nil {
 		return Result{}, trace.Wrap(err, "nothing was rolled out")
 	}
-	// The records of the head that is about to be replaced must be right first: they are what tells
-	// a command whose reply was lost, and that was superseded since, that it had won.
+	// Update the records for the head before replacing it: a command whose reply was lost and whose head
+	// was superseded since can only learn from them that it had succeeded.
 	if err := o.updateRecords(ctx, current); err != nil {
 		return Result{}, trace.Wrap(err, "nothing was rolled out")
 	}
 	return o.write(ctx, next, revision)
 }
 
-// rolledAt returns the time of a roll: now, but not before the head that it replaces. Shifts are a
-// function of these times; of two operators' clocks one is behind, and a time that fell would have
-// shares stand where they never stood, which daemons would jump to.
+// rolledAt returns the time of a roll-out: the current time, but not before that of the head it replaces.
+// Operators' clocks differ, and shifts are computed from these times. If the time went back, daemons would
+// compute shares that were never in effect and traffic would jump to them.
 func (o *Operator) rolledAt(current pabundle.Head) time.Time {
 	now := o.now()
 	if now.Before(current.RolledAt) {
@@ -155,14 +156,14 @@
 	return now
 }
 
-// rollID names a command. It is made of what the command says, so that an operator who repeats a
-// command after its reply was lost, even from another machine, is recognised as the same.
+// rollID returns the identifier of a command, a hash of its parameters. If an operator repeats a command
+// after a lost reply, even from another machine, the ID is the same.
 func (o *Operator) rollID(k rollKind, q Request, after pabundle.Sequence) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s|%s|%s|%d|%d|%s", k, o.Deployment, q.Digest, after, q.Floor, o.Name))
 	return hex.EncodeToString(sum[:8])
 }
 
-// findEarlier recognises a command that was carried out before.
+// findEarlier returns the result of a command that was carried out before, or whose bundle is in force already.
 func (o *Operator) findEarlier(next, current pabundle.Head, v Version) (Result, bool) {
 	if current.RollID == next.RollID {
 		return won(current, current), true
@@ -179,7 +180,7 @@
 }
 
 func won(h, current pabundle.Head) Result {
-	advice := "daemons take it within seconds; each reports BundleInForce with this sequence on its time line"
+	advice := "daemons bring it into force within seconds; each reports BundleInForce with this sequence on its time line"
 	if current.Sequence > h.Sequence {
 		advice = fmt.Sprintf("%s has since rolled out sequence %d", current.Operator, current.Sequence)
 	}
@@ -190,20 +191,20 @@
 	advice := fmt.Sprintf("%s rolled out sequence %d first; compare with diff, then sign off again or give --after %d",
 		current.Operator, current.Sequence, current.Sequence)
 	if current.Sequence == 0 {
-		advice = "nothing is in force in this store; look whether it is the right one, or give --after 0"
+		advice = "nothing is in force in this store; check that it is the right one, or give --after 0"
 	}
 	return Result{Lost, h, current, advice}
 }
 
-// write swaps the head in, and reads it back where the reply was lost. A lost write may also take
-// effect late, so reading the old head back proves nothing; sending the same swap again does: of
-// all copies at most one takes effect, because each expects the same revision.
+// write writes the head by compare-and-swap and reads it back if a reply was lost. A write without a reply
+// may take effect later, so finding the old head proves nothing. Repeating the same compare-and-swap is
+// safe: at most one of the copies takes effect, because all expect the same revision.
 func (o *Operator) write(ctx context.Context, next pabundle.Head, revision paplatform.Revision) (Result, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
 		return Result{}, trace.Wrap(err)
 	}
-	doubt := false
+	maybeWritten := false
 	for n := 0; n < writeAttempts; n++ {
 		if n > 0 {
 			o.pause(ctx, n-1)
@@ -216,22 +217,25 @@
 			if r, ok := o.readBack(ctx, next); ok {
 				return r, nil
 			}
-			// Someone wrote the head, perhaps this command; who it was could not be read.
-			doubt = true
+			// The head was written, perhaps by this command, but could not be read back.
+			maybeWritten = true
 		case paplatform.Unavailable:
 		case paplatform.Unknown:
-			doubt = true
+			maybeWritten = true
 		default:
 			return Result{}, trace.Wrap(err, "nothing was rolled out")
 		}
 	}
-	if doubt {
-		return Result{Outcome: Unresolved, Head: next, Advice: "repeat the same command when the store answers again; it is safe and says what happened"}, nil
+	if maybeWritten {
+		return Result{
+			Outcome: Unresolved, Head: next,
+			Advice: "repeat the same command when the store answers again; it is safe and reports what happened",
+		}, nil
 	}
 	return Result{}, trace.Wrap(err, "nothing was rolled out; repeat the command when the store answers again")
 }
 
-// confirm brings the records up to date after a win. If that fails, the next command does it.
+// confirm updates the records after a successful write. If that fails, the next command does it.
 func (o *Operator) confirm(ctx context.Context, next pabundle.Head) Result {
 	r := won(next, next)
 	if err := o.updateRecords(ctx, next); err != nil {
@@ -240,8 +244,9 @@
 	return r
 }
 
-// readBack finds out after a conflict who wrote the head. If this command's write took effect and
-// was superseded since, whoever superseded it settled the records first, so they tell.
+// readBack finds out who wrote the head after a conflict; false means that it could not be read. If this
+// command's write was superseded since, the version record shows it, because the command that superseded it
+// updated the records first.
 func (o *Operator) readBack(ctx context.Context, next pabundle.Head) (Result, bool) {
 	current, _, err := o.head(ctx)
 	if err != nil {
@@ -261,7 +266,7 @@
 	return lost(next, current), true
 }
 
-// updateRecords brings the records of versions up to date with a head.
+// updateRecords updates the records of versions for a head: the version in force and the one it replaced.
 func (o *Operator) updateRecords(ctx context.Context, h pabundle.Head) error {
 	if h.Sequence == 0 {
 		return nil
@@ -283,13 +288,13 @@
 	return err
 }
 
-// recordRoll notes that a head brought the version into force.
+// recordRoll adds a head to the record of the version that it brought into force.
 func recordRoll(v *Version, h pabundle.Head) (bool, error) {
 	if _, ok := v.findRoll(h.RollID); ok {
 		return false, nil
 	}
 	if v.SignOff == nil {
-		// The head is the truth, also where the store lost the record or it was proposed anew.
+		// The head is authoritative, also if the store lost the record or the version was proposed again.
 		v.Digest, v.State = h.Digest, SignedOff
 	}
 	v.Rolls = append(v.Rolls, Roll{h.Sequence, h.RollID, h.Operator, h.RolledAt})
--- a/paroll/roll_test.go
+++ b/paroll/roll_test.go
@@ -16,7 +16,7 @@
 	"papayahead/paplatform"
 )
 
-// instantClock is a clock whose pauses are over at once.
+// instantClock is a clock whose After fires at once.
 type instantClock struct{ clockwork.Clock }
 
 func (instantClock) After(time.Duration) <-chan time.Time {
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, faults := pabundle.Check(data)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	b, errs := pabundle.Check(data)
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	return b
 }
@@ -45,13 +45,13 @@
 	return b
 }
 
-// testStore is a store with operators on it.
+// testStore is a store in memory for the commands of several operators.
 type testStore struct {
 	clock *clockwork.FakeClock
 	store *paplatform.MemoryStore
 }
 
-func newDesk() testStore {
+func newTestStore() testStore {
 	c := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
 	return testStore{c, &paplatform.MemoryStore{Clock: c}}
 }
@@ -60,7 +60,7 @@
 	return &Operator{Name: name, Deployment: "kartuli", Store: d.store.As(paplatform.Caller(name)), Clock: instantClock{d.clock}}
 }
 
-// signedOff brings a bundle to the state in which it may be rolled out.
+// signedOff proposes, reviews and signs off a bundle.
 func (d testStore) signedOff(g *WithT, b pabundle.Bundle) pabundle.Digest {
 	ctx := context.Background()
 	v, err := d.operator("ana").Propose(ctx, b)
@@ -76,7 +76,7 @@
 func TestLifeCycle(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	d := newDesk()
+	d := newTestStore()
 	ana, beso := d.operator("ana"), d.operator("beso")
 	v, err := ana.Propose(ctx, variant(t, "one"))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -97,7 +97,7 @@
 	g.Expect(r.Outcome).To(Equal(Won))
 	r, err = beso.RollOut(ctx, Request{Digest: two})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(r.Outcome).To(Equal(Lost), "it was signed off against a head that is gone")
+	g.Expect(r.Outcome).To(Equal(Lost), "the head changed after the sign-off")
 	g.Expect(r.InForce.Operator).To(Equal("ana"))
 	_, err = beso.SignOff(ctx, two)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -106,7 +106,7 @@
 	g.Expect(r.Outcome).To(Equal(Won))
 	r, err = ana.RollOut(ctx, Request{Digest: one})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(r.Outcome).To(Equal(Won), "the repeat of a command says what it did")
+	g.Expect(r.Outcome).To(Equal(Won), "repeating a command returns its result")
 	g.Expect(r.Head.Sequence).To(BeEquivalentTo(1))
 	g.Expect(r.InForce.Sequence).To(BeEquivalentTo(2))
 
@@ -127,13 +127,13 @@
 	g.Expect(states).To(Equal(map[pabundle.Digest]State{one: RolledOut, two: RolledBack}))
 }
 
-// The store takes the new head but its reply is lost, or it takes it a second later. A command that
-// said "failed" would have the operator roll out again on top of a bundle that is in force.
+// The store takes the new head, but its reply is lost or the write takes effect a second later. The command
+// must not report a failure, because the operator would roll out again on top of a bundle that is in force.
 func TestLostReplyOfARollOutIsReadBack(t *testing.T) {
 	for _, effect := range []paplatform.Effect{paplatform.LostBefore, paplatform.LostAfter, paplatform.LostLate} {
 		g := NewWithT(t)
 		ctx := context.Background()
-		d := newDesk()
+		d := newTestStore()
 		one := d.signedOff(g, variant(t, "one"))
 		lose := paplatform.Injection{
 			Caller: "ana", Operation: paplatform.OperationCompareAndSwap, Prefix: HeadKey("kartuli"), Effect: effect,
@@ -149,7 +149,7 @@
 		d.store.Inject(lose)
 		r, err = d.operator("ana").RollOut(ctx, Request{Digest: two})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(r.Outcome).To(Equal(Unresolved), "no reply of the swap ever came")
+		g.Expect(r.Outcome).To(Equal(Unresolved), "no reply was received")
 		d.clock.Advance(time.Second)
 		d.store.ClearInjections()
 		r, err = d.operator("ana").RollOut(ctx, Request{Digest: two})
@@ -159,12 +159,12 @@
 	}
 }
 
-// The store lost a piece of the bundle in force. Daemons that boot cannot get it, and no roll-out
-// goes through, because where shares stand now is not known. Proposing the bundle again heals it.
-func TestProposingAgainHealsTheStore(t *testing.T) {
+// The store lost a piece of the bundle in force: daemons that start cannot load it, and roll-outs fail,
+// because the shares in effect are unknown. Proposing the bundle again must repair the store.
+func TestProposingAgainRepairsTheStore(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	d := newDesk()
+	d := newTestStore()
 	ana := d.operator("ana")
 	one := d.signedOff(g, variant(t, "one"))
 	_, err := ana.RollOut(ctx, Request{Digest: one})
@@ -184,12 +184,12 @@
 	g.Expect(r.Outcome).To(Equal(Won))
 }
 
-// A record says that another digest was signed off, because someone wrote the store by hand. What
-// was signed off is bound to its digest: nothing else may come into force under that signature.
+// Someone changed the records in the store by hand, so that a sign-off names another digest. A sign-off must
+// permit only the digest that was signed off.
 func TestSignOffIsBoundToItsDigest(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	d := newDesk()
+	d := newTestStore()
 	one, two := d.signedOff(g, variant(t, "one")), d.signedOff(g, variant(t, "two"))
 	signed, _, _ := d.store.Get(ctx, VersionKey("kartuli", one))
 	v, _, _ := d.store.Get(ctx, VersionKey("kartuli", two))
@@ -205,12 +205,12 @@
 	g.Expect(err).To(MatchError(ContainSubstring("must be signed off")))
 }
 
-// Two operators' clocks are minutes apart. The later roll-out must not be dated before the earlier
-// one: daemons would work out their shares for a time at which the earlier one was not yet there.
-func TestTimeOfRollsNeverFalls(t *testing.T) {
+// Operators' clocks can differ by minutes. A roll-out must not be dated before the previous one, because
+// daemons would compute shares for a time before the previous roll-out.
+func TestRollTimeNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	d := newDesk()
+	d := newTestStore()
 	one := d.signedOff(g, variant(t, "one"))
 	first, err := d.operator("ana").RollOut(ctx, Request{Digest: one})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -223,12 +223,12 @@
 	g.Expect(second.Head.RolledAt).To(BeTemporally("==", first.Head.RolledAt))
 }
 
-// Operators sign off what the differences show, so these must be all there are, though most pieces
-// are not read.
-func TestChangesAreThoseOfTheWholeBundles(t *testing.T) {
+// Operators sign off what Changes shows. It must return all differences, though it does not read most of
+// the pieces.
+func TestChangesMatchDiffOfWholeBundles(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	d := newDesk()
+	d := newTestStore()
 	blocks := func(b pabundle.Bundle, n int) pabundle.Bundle {
 		for i := range n {
 			a := netip.AddrFrom4([4]byte{20, byte(i >> 8), byte(i), 0})
--- a/paroll/status.go
+++ b/paroll/status.go
@@ -11,16 +11,16 @@
 	"papayahead/paplatform"
 )
 
-// Status is what the store says of a deployment.
+// Status is the state of a deployment according to the store.
 type Status struct {
 	// Head is the head in force; its sequence is 0 before the first roll-out.
 	Head pabundle.Head
-	// Versions lists all versions, the latest proposed first. The one that Head names is in force
-	// whatever its record says: the record is brought up to date by the next command.
+	// Versions lists all versions, the latest proposed first. The version that Head names is in force, even
+	// if its record does not say so yet: the next command updates it.
 	Versions []Version
 }
 
-// Status reads the head and the versions, in two calls.
+// Status reads the head and the records of all versions, in two calls.
 func (o *Operator) Status(ctx context.Context) (Status, error) {
 	h, _, err := o.head(ctx)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s, nil
 }
 
-// Bundle reads a bundle's pieces from the store and verifies all of it.
+// Bundle reads a bundle from the store and verifies it completely, as pabundle.Assemble does.
 func (o *Operator) Bundle(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, error) {
 	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
 	for {
@@ -61,29 +61,29 @@
 	return b, trace.Wrap(err)
 }
 
-// Changes returns what differs between two versions. It reads their plans and services, and of the
-// client blocks only the pieces that differ. An empty digest is the empty bundle.
+// Changes returns the differences between two versions. It reads their plans and services, and only those
+// pieces of client blocks that differ. An empty digest means the empty bundle.
 func (o *Operator) Changes(ctx context.Context, from, to pabundle.Digest) ([]pabundle.Difference, error) {
 	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
-	old, was, err := p.loadWithoutBlocks(ctx, from)
+	old, oldManifest, err := p.loadWithoutBlocks(ctx, from)
 	if err != nil {
 		return nil, err
 	}
-	fresh, will, err := p.loadWithoutBlocks(ctx, to)
+	updated, newManifest, err := p.loadWithoutBlocks(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	goneBlocks, freshBlocks, err := p.diffBlockPieces(ctx, was, will)
+	removedBlocks, addedBlocks, err := p.diffBlockPieces(ctx, oldManifest, newManifest)
 	if err != nil {
 		return nil, err
 	}
-	if old.ClientBlocks, err = p.clientBlocks(ctx, goneBlocks); err != nil {
+	if old.ClientBlocks, err = p.clientBlocks(ctx, removedBlocks); err != nil {
 		return nil, err
 	}
-	if fresh.ClientBlocks, err = p.clientBlocks(ctx, freshBlocks); err != nil {
+	if updated.ClientBlocks, err = p.clientBlocks(ctx, addedBlocks); err != nil {
 		return nil, err
 	}
-	return pabundle.Diff(old, fresh), nil
+	return pabundle.Diff(old, updated), nil
 }
 
 // piece reads and verifies one piece.
@@ -108,7 +108,7 @@
 	return h, v.Revision, err
 }
 
-// version reads a record; its digest is empty where there is none.
+// version reads the record of a version; its digest is empty if there is none.
 func (o *Operator) version(ctx context.Context, d pabundle.Digest) (Version, paplatform.Revision, error) {
 	if !d.Valid() {
 		return Version{}, 0, trace.BadParameter("digest %q given, want 64 lower-case hexadecimal digits", d)
--- a/paroll/version.go
+++ b/paroll/version.go
@@ -12,22 +12,22 @@
 	"papayahead/pabundle"
 )
 
-// State is where a version stands in its life cycle.
+// State is the state of a version in its life cycle.
 type State string
 
 // The states of a version.
 const (
-	// Proposed is a version whose pieces are in the store.
+	// Proposed means that the pieces of the version are in the store.
 	Proposed State = "Proposed"
-	// Reviewed is a version that someone else than its proposer has read.
+	// Reviewed means that an operator other than the proposer has reviewed the version.
 	Reviewed State = "Reviewed"
-	// SignedOff is a version that may be rolled out.
+	// SignedOff means that the version may be rolled out.
 	SignedOff State = "SignedOff"
-	// RolledOut is the version in force.
+	// RolledOut means that the version is in force.
 	RolledOut State = "RolledOut"
-	// Superseded is a version that was in force until a newer one was rolled out.
+	// Superseded means that the version was in force until a newer one was rolled out.
 	Superseded State = "Superseded"
-	// RolledBack is a version that was in force until operators went back to an older one.
+	// RolledBack means that the version was in force until operators rolled back to an older one.
 	RolledBack State = "RolledBack"
 )
 
@@ -45,7 +45,7 @@
 	stepRollBack  step = "RollBack"
 )
 
-// lifeCycle lists which step leads from which states to which.
+// lifeCycle returns the transitions of the state machine, with their source and destination states.
 func lifeCycle() fsm.Events {
 	names := func(all ...State) []string {
 		list := make([]string, len(all))
@@ -63,7 +63,7 @@
 	}
 }
 
-// Version is the record of a bundle's way through its life cycle.
+// Version is the record of a bundle in its life cycle.
 type Version struct {
 	Digest     pabundle.Digest
 	State      State
@@ -73,27 +73,27 @@
 	Reviews    []Review
 	// SignOff is the latest sign-off, if any.
 	SignOff *SignOff `json:",omitempty"`
-	// Rolls lists when the version came into force, in the order of the sequences.
+	// Rolls lists the roll-outs and roll-backs that brought the version into force, sorted by sequence.
 	Rolls []Roll
 }
 
-// Review says who read a version.
+// Review is the record of a review.
 type Review struct {
 	Operator string
 	At       time.Time
 	Note     string `json:",omitempty"`
 }
 
-// SignOff allows one roll-out of exactly this digest on top of exactly this head.
+// SignOff permits one roll-out of the version with this digest, on top of the head with the sequence After.
 type SignOff struct {
 	Operator string
 	At       time.Time
 	Digest   pabundle.Digest
-	// After is the sequence in force that the version was compared with.
+	// After is the sequence that was in force at the sign-off.
 	After pabundle.Sequence
 }
 
-// Roll is one time that a version came into force.
+// Roll is the record of a roll-out or roll-back that brought the version into force.
 type Roll struct {
 	Sequence pabundle.Sequence
 	RollID   string
@@ -101,7 +101,7 @@
 	At       time.Time
 }
 
-// transition moves the version along its life cycle, or says what is allowed instead.
+// transition applies a step of the life cycle, or returns an error with the steps that the state allows.
 func (v *Version) transition(s step) error {
 	machine := fsm.NewFSM(string(v.State), lifeCycle(), nil)
 	err := machine.Event(context.Background(), string(s))
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// findRoll reports whether the version came into force under a roll ID.
+// findRoll returns the Roll with a roll ID, and whether there is one.
 func (v *Version) findRoll(id string) (Roll, bool) {
 	i := slices.IndexFunc(v.Rolls, func(r Roll) bool { return r.RollID == id })
 	if i < 0 {
--- a/paroll/wait.go
+++ b/paroll/wait.go
@@ -8,10 +8,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// notifier tells waiters that something changed; its user's mutex guards it.
+// notifier wakes goroutines that wait for a change; the mutex of the struct that contains it guards it.
 type notifier struct{ c chan struct{} }
 
-// next returns the channel that closes at the next change.
+// next returns a channel that is closed at the next change.
 func (s *notifier) next() <-chan struct{} {
 	if s.c == nil {
 		s.c = make(chan struct{})
@@ -27,7 +27,7 @@
 	}
 }
 
-// sleep waits for the pause, for a change or for the end; a pause of 0 has no end of its own.
+// sleep waits until pause has passed, changed is closed or ctx is done; a pause of 0 means no timeout.
 func sleep(ctx context.Context, clock clockwork.Clock, pause time.Duration, changed <-chan struct{}) {
 	var end <-chan time.Time
 	if pause > 0 {
@@ -42,18 +42,18 @@
 	}
 }
 
-// backoff is the growing, jittered pause after failures. The jitter keeps daemons that lost the
-// store together from coming back together.
+// backoff computes exponential, jittered delays after failures. The jitter spreads the retries of daemons that
+// lost the store at the same time.
 type backoff struct {
 	random *rand.Rand
 	last   time.Duration
 }
 
-// next returns the pause before the next attempt.
+// next returns the delay before the next attempt.
 func (b *backoff) next() time.Duration {
 	b.last = min(max(2*b.last, minBackoff), maxBackoff)
 	return b.last/2 + time.Duration(b.random.Int64N(int64(b.last/2)+1))
 }
 
-// reset starts anew after a success.
+// reset restarts at the shortest delay, after a success.
 func (b *backoff) reset() { b.last = 0 }
