--- a/pabundle/assemble.go
+++ b/pabundle/assemble.go
@@ -9,33 +9,34 @@
 	"github.com/gravitational/trace"
 )
 
-// PieceProblem is the closed set of reasons to refuse a piece.
+// PieceProblem is the reason why a piece was refused; the constants below are all its values.
 type PieceProblem string
 
-// The reasons to refuse a piece.
+// The reasons for refusing a piece.
 const (
-	// WrongDigest is a piece whose bytes are not what its name says: corrupt or truncated.
+	// WrongDigest means that the bytes don't have the expected digest: they are corrupt or truncated.
 	WrongDigest PieceProblem = "WrongDigest"
-	// Oversize is a piece over MaxPieceSize.
+	// Oversize means that the piece is larger than MaxPieceSize.
 	Oversize PieceProblem = "Oversize"
-	// Malformed is a piece that is what its name says but not what the manifest needs.
+	// Malformed means that the digest is right, but the content is not valid where the piece is used.
 	Malformed PieceProblem = "Malformed"
 )
 
-// PieceError is a piece that was refused.
+// PieceError reports a piece that was refused.
 type PieceError struct {
 	Digest  Digest
 	Problem PieceProblem
 	Detail  string
 }
 
-// Error says which piece was refused and why.
+// Error returns the digest, the problem and its details.
 func (e *PieceError) Error() string {
 	return fmt.Sprintf("piece %s: %s: %s", e.Digest, e.Problem, e.Detail)
 }
 
-// VerifyPiece reports a piece whose bytes are not what its name says. Whoever fetches a piece from
-// the store or a neighbour calls it before anything else reads the bytes.
+// VerifyPiece checks that data has the digest d and at most MaxPieceSize bytes, and otherwise
+// returns an error that wraps a *PieceError. Code that fetches a piece from the store or a neighbour calls
+// it before it decodes the bytes.
 func VerifyPiece(d Digest, data []byte) error {
 	if len(data) > MaxPieceSize {
 		return trace.Wrap(&PieceError{d, Oversize, fmt.Sprintf("%d bytes, at most %d allowed", len(data), MaxPieceSize)})
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// DecodeManifest reads a manifest that VerifyPiece accepted.
+// DecodeManifest decodes a manifest that VerifyPiece accepted. Errors wrap a *PieceError.
 func DecodeManifest(d Digest, data []byte) (Manifest, error) {
 	var m Manifest
 	if err := decodePiece(d, data, &m); err != nil {
@@ -55,13 +56,13 @@
 	if m.Format != FormatVersion {
 		return Manifest{}, malformed(d, "format %d, want %d", m.Format, FormatVersion)
 	}
-	if i := slices.IndexFunc(m.All(), func(d Digest) bool { return !d.Valid() }); i >= 0 {
-		return Manifest{}, malformed(d, "%q is not a digest", m.All()[i])
+	if i := slices.IndexFunc(m.Digests(), func(d Digest) bool { return !d.Valid() }); i >= 0 {
+		return Manifest{}, malformed(d, "%q is not a digest", m.Digests()[i])
 	}
 	return m, nil
 }
 
-// DecodeBlocks reads a piece of client blocks that VerifyPiece accepted.
+// DecodeBlocks decodes a piece of client blocks that VerifyPiece accepted. Errors wrap a *PieceError.
 func DecodeBlocks(d Digest, data []byte) ([]ClientBlock, error) {
 	var blocks []ClientBlock
 	if err := decodePiece(d, data, &blocks); err != nil {
@@ -70,15 +71,15 @@
 	return blocks, nil
 }
 
-// Children returns the digests that a piece names: those of a manifest (the root) or of a list of
-// pieces of client blocks; all other pieces name none.
+// Children returns the digests that a piece refers to. Only a manifest (root is true) and a list of
+// pieces of client blocks refer to others; for any other piece the result is empty.
 func Children(root bool, data []byte) ([]Digest, error) {
 	d := DigestOf(data)
 	if root {
 		m, err := DecodeManifest(d, data)
-		return m.All(), err
+		return m.Digests(), err
 	}
-	if !isList(data) {
+	if !isDigestList(data) {
 		return nil, nil
 	}
 	var list []Digest
@@ -91,23 +92,24 @@
 	return list, nil
 }
 
-// isList tells a list of digests from pieces of client blocks, services and plans.
-func isList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
+// isDigestList reports whether a piece is a list of digests, rather than client blocks, a service or a plan.
+func isDigestList(data []byte) bool { return bytes.HasPrefix(data, []byte(`["`)) }
 
-// Missing returns the digests that have yet to be fetched before Assemble can succeed: first the
-// manifest, then what it names, then what the lists among that name.
-func Missing(d Digest, get func(Digest) ([]byte, bool)) ([]Digest, error) {
+// MissingPieces returns the digests of the bundle d that get does not have and that Assemble needs.
+// Children of a missing piece are unknown, so the caller fetches the result and calls again: first
+// for the manifest, then for the pieces that it names, then for those that its lists name.
+func MissingPieces(d Digest, get func(Digest) ([]byte, bool)) ([]Digest, error) {
 	var missing []Digest
-	open := []Digest{d}
-	for depth := 0; len(open) > 0; depth++ {
-		var deeper []Digest
-		for _, o := range open {
-			data, ok := get(o)
+	level := []Digest{d}
+	for depth := 0; len(level) > 0; depth++ {
+		var next []Digest
+		for _, p := range level {
+			data, ok := get(p)
 			if !ok {
-				missing = append(missing, o)
+				missing = append(missing, p)
 				continue
 			}
-			// Lists name pieces of blocks and never other lists.
+			// Lists are not nested: they name only pieces of client blocks.
 			if depth > 1 {
 				continue
 			}
@@ -115,15 +117,16 @@
 			if err != nil {
 				return nil, err
 			}
-			deeper = append(deeper, children...)
+			next = append(next, children...)
 		}
-		open = deeper
+		level = next
 	}
 	return missing, nil
 }
 
-// blockPieces returns the digests of all pieces of client blocks. A digest for which known is true is
-// such a piece; all others are read to see whether they are lists.
+// blockPieces returns the digests of all pieces of client blocks, with the lists of the manifest
+// expanded. A digest for which known is true is a piece of client blocks and is not read; the others
+// are read to find out whether they are lists.
 func blockPieces(m Manifest, get func(Digest) ([]byte, bool), known func(Digest) bool) ([]Digest, error) {
 	var all []Digest
 	for _, d := range m.Blocks {
@@ -131,11 +134,11 @@
 			all = append(all, d)
 			continue
 		}
-		data, err := verified(d, get)
+		data, err := getVerified(d, get)
 		if err != nil {
 			return nil, err
 		}
-		if !isList(data) {
+		if !isDigestList(data) {
 			all = append(all, d)
 			continue
 		}
@@ -148,10 +151,12 @@
 	return all, nil
 }
 
-// Assemble builds the bundle from its pieces and verifies all of it: each piece's digest, that the
-// pieces are the canonical ones, and that the bundle is valid.
+// Assemble decodes the bundle d from its pieces and verifies it completely: the digest of each piece,
+// that Split would produce the same pieces, and that Validate finds no error. The error is
+// trace.NotFound for a missing piece, wraps a *PieceError for a bad one, and wraps a *ValidationError for
+// an invalid bundle.
 func Assemble(d Digest, get func(Digest) ([]byte, bool)) (Bundle, error) {
-	manifestData, err := verified(d, get)
+	manifestData, err := getVerified(d, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -159,7 +164,7 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	b, err := join(m, get)
+	b, err := decodeBundle(m, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -168,18 +173,19 @@
 		return Bundle{}, err
 	}
 	if s.Digest != d {
-		return Bundle{}, malformed(d, "the pieces are not the canonical ones of their bundle, %s", s.Digest)
+		return Bundle{}, malformed(d, "the pieces are not the canonical ones of their bundle, which has digest %s", s.Digest)
 	}
-	if faults := b.Validate(); len(faults) > 0 {
-		return Bundle{}, trace.Wrap(&FaultsError{faults})
+	if errs := b.Validate(); len(errs) > 0 {
+		return Bundle{}, trace.Wrap(&ValidationError{errs})
 	}
 	return b, nil
 }
 
-// Outline builds the bundle without its client blocks. It verifies the digest of each piece that it
-// reads, and nothing more: it is for commands on bundles that were verified when they were proposed.
-func Outline(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
-	data, err := verified(d, get)
+// AssembleWithoutBlocks decodes the bundle d without its client blocks. It verifies only the digests
+// of the pieces that it reads, which is enough for commands on bundles that were verified when they
+// were proposed.
+func AssembleWithoutBlocks(d Digest, get func(Digest) ([]byte, bool)) (Bundle, Manifest, error) {
+	data, err := getVerified(d, get)
 	if err != nil {
 		return Bundle{}, Manifest{}, err
 	}
@@ -187,13 +193,13 @@
 	if err != nil {
 		return Bundle{}, Manifest{}, err
 	}
-	b, err := outline(m, get)
+	b, err := decodeWithoutBlocks(m, get)
 	return b, m, err
 }
 
-// join decodes all pieces of a manifest.
-func join(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
-	b, err := outline(m, get)
+// decodeBundle decodes all pieces that a manifest names.
+func decodeBundle(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
+	b, err := decodeWithoutBlocks(m, get)
 	if err != nil {
 		return Bundle{}, err
 	}
@@ -201,10 +207,10 @@
 	if err != nil {
 		return Bundle{}, err
 	}
-	b.ClientBlocks = make([]ClientBlock, 0, len(all)*blocksInPiece/2)
+	b.ClientBlocks = make([]ClientBlock, 0, len(all)*maxBlocksPerPiece/2)
 	for _, d := range all {
 		var blocks []ClientBlock
-		if err := piece(d, get, &blocks); err != nil {
+		if err := readPiece(d, get, &blocks); err != nil {
 			return Bundle{}, err
 		}
 		b.ClientBlocks = append(b.ClientBlocks, blocks...)
@@ -212,16 +218,16 @@
 	return b, nil
 }
 
-// outline decodes the plan and the services.
-func outline(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
+// decodeWithoutBlocks decodes the plan and the services that a manifest names.
+func decodeWithoutBlocks(m Manifest, get func(Digest) ([]byte, bool)) (Bundle, error) {
 	var p plan
-	if err := piece(m.Plan, get, &p); err != nil {
+	if err := readPiece(m.Plan, get, &p); err != nil {
 		return Bundle{}, err
 	}
 	b := Bundle{Format: p.Format, Deployment: p.Deployment, Comment: p.Comment, Policy: p.Policy, Regions: p.Regions, Links: p.Links}
 	for _, d := range m.Services {
 		var s Service
-		if err := piece(d, get, &s); err != nil {
+		if err := readPiece(d, get, &s); err != nil {
 			return Bundle{}, err
 		}
 		b.Services = append(b.Services, s)
@@ -229,16 +235,17 @@
 	return b, nil
 }
 
-// piece verifies and decodes one piece.
-func piece(d Digest, get func(Digest) ([]byte, bool), into any) error {
-	data, err := verified(d, get)
+// readPiece verifies and decodes one readPiece.
+func readPiece(d Digest, get func(Digest) ([]byte, bool), into any) error {
+	data, err := getVerified(d, get)
 	if err != nil {
 		return err
 	}
 	return decodePiece(d, data, into)
 }
 
-func verified(d Digest, get func(Digest) ([]byte, bool)) ([]byte, error) {
+// getVerified returns the bytes of a piece after VerifyPiece accepted them.
+func getVerified(d Digest, get func(Digest) ([]byte, bool)) ([]byte, error) {
 	data, ok := get(d)
 	if !ok {
 		return nil, trace.NotFound("piece %s is missing", d)
@@ -246,7 +253,8 @@
 	return data, VerifyPiece(d, data)
 }
 
-// decodePiece reads a piece and refuses any bytes but those that encode would write.
+// decodePiece decodes a piece and refuses any encoding but the one that encode writes, so that equal
+// content always has the same digest.
 func decodePiece(d Digest, data []byte, into any) error {
 	if err := json.Unmarshal(data, into); err != nil {
 		return malformed(d, "%v", err)
--- a/pabundle/decode.go
+++ b/pabundle/decode.go
@@ -13,60 +13,61 @@
 	"unicode/utf8"
 )
 
-// MaxFileSize bounds a bundle's file. 3.9 million client blocks of about 60 bytes fit twice; what
-// is larger is not a bundle and must not fill an operator's memory.
+// MaxFileSize is the maximum size of a bundle's file in bytes. It is over twice the size of 3.9 million
+// client blocks of about 60 bytes each. Larger files are refused, so that a wrong file does not exhaust
+// the memory of the operator's machine.
 const MaxFileSize = 512 << 20
 
-// Decode reads a bundle's JSON and reports every fault of its form: unknown, repeated and missing
-// fields, wrong types, and anything after the bundle. Field names are matched with their case.
-func Decode(data []byte) (Bundle, []Fault) {
+// Decode parses a bundle's JSON and returns all errors of syntax and structure: unknown, duplicate and
+// missing fields, wrong types, and data after the bundle. Field names are case-sensitive.
+func Decode(data []byte) (Bundle, []FieldError) {
 	var b Bundle
 	if len(data) > MaxFileSize {
-		return b, []Fault{{Problem: fmt.Sprintf("%d bytes given, at most %d allowed", len(data), MaxFileSize)}}
+		return b, []FieldError{{Problem: fmt.Sprintf("%d bytes given, at most %d allowed", len(data), MaxFileSize)}}
 	}
-	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lines{data: data}}
-	d.all(reflect.ValueOf(&b).Elem())
-	return b, d.faults
+	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lineIndex{data: data}}
+	d.document(reflect.ValueOf(&b).Elem())
+	return b, d.errors
 }
 
-// Check reads a bundle's JSON and reports every fault of its form and its meaning, with the place
-// in the file. The bundle may be rolled out only if there is none.
-func Check(data []byte) (Bundle, []Fault) {
-	b, faults := Decode(data)
+// Check parses and validates a bundle's JSON and returns all errors of Decode and Validate with their
+// positions in the file. The bundle may be rolled out only if there are none.
+func Check(data []byte) (Bundle, []FieldError) {
+	b, errs := Decode(data)
 	if len(data) > MaxFileSize {
-		return b, faults
+		return b, errs
 	}
 	known := map[string]bool{}
-	for _, f := range faults {
+	for _, f := range errs {
 		known[f.Path] = true
 	}
-	var more []Fault
+	var more []FieldError
 	for _, f := range b.Validate() {
-		if !known[f.Path] && !hasSyntaxFault(faults) {
+		if !known[f.Path] && !hasSyntaxError(errs) {
 			more = append(more, f)
 		}
 	}
-	locate(data, more)
-	return b, append(faults, more...)
+	fillPositions(data, more)
+	return b, append(errs, more...)
 }
 
-// syntaxProblem marks a fault after which nothing more could be read.
+// syntaxProblem starts the Problem of a syntax error, after which the rest of the file is not parsed.
 const syntaxProblem = "not JSON"
 
-func hasSyntaxFault(faults []Fault) bool {
-	n := len(faults)
-	return n > 0 && strings.HasPrefix(faults[n-1].Problem, syntaxProblem)
+func hasSyntaxError(errs []FieldError) bool {
+	n := len(errs)
+	return n > 0 && strings.HasPrefix(errs[n-1].Problem, syntaxProblem)
 }
 
-// place is a value's way from the root of the bundle.
-type place struct {
-	parent *place
+// fieldPath is the path of a value from the root of the bundle; nil is the root.
+type fieldPath struct {
+	parent *fieldPath
 	field  string
 	index  int
 }
 
-// String returns the path of the place.
-func (p *place) String() string {
+// String formats the path like FieldError.Path.
+func (p *fieldPath) String() string {
 	switch {
 	case p == nil:
 		return ""
@@ -79,39 +80,39 @@
 	}
 }
 
-// decoder fills Go values from JSON tokens and goes on after a fault, so that all are reported.
+// decoder decodes JSON into Go values and continues after an error, so that all errors are reported.
 type decoder struct {
 	data   []byte
 	json   *json.Decoder
-	lines  lines
-	faults []Fault
-	// visit is called with the offset of each value, if set.
-	visit func(p *place, offset int)
+	lines  lineIndex
+	errors []FieldError
+	// visit, if set, is called with the path and offset of each value.
+	visit func(p *fieldPath, offset int)
 }
 
-// errStop ends the decoding after a fault of syntax.
-var errStop = errors.New("stop")
+// errStopDecoding ends the decoding after a syntax error, which has been reported.
+var errStopDecoding = errors.New("stop")
 
-func (d *decoder) all(v reflect.Value) {
+func (d *decoder) document(v reflect.Value) {
 	if !utf8.Valid(d.data) {
-		d.fault(nil, invalidOffset(d.data), "%s: invalid UTF-8", syntaxProblem)
+		d.report(nil, invalidOffset(d.data), "%s: invalid UTF-8", syntaxProblem)
 		return
 	}
 	if d.value(nil, v) != nil {
 		return
 	}
 	if rest := bytes.TrimLeft(d.data[d.json.InputOffset():], " \t\r\n"); len(rest) > 0 {
-		d.fault(nil, len(d.data)-len(rest), "data after the bundle, want one JSON object")
+		d.report(nil, len(d.data)-len(rest), "data after the bundle, want one JSON object")
 	}
 }
 
-func (d *decoder) fault(p *place, offset int, format string, arguments ...any) {
+func (d *decoder) report(p *fieldPath, offset int, format string, arguments ...any) {
 	line, column := d.lines.position(offset)
-	d.faults = append(d.faults, Fault{line, column, p.String(), fmt.Sprintf(format, arguments...)})
+	d.errors = append(d.errors, FieldError{line, column, p.String(), fmt.Sprintf(format, arguments...)})
 }
 
-// syntax reports what ended the decoding.
-func (d *decoder) syntax(p *place, err error) error {
+// syntaxError reports an error of the JSON decoder and returns errStopDecoding.
+func (d *decoder) syntaxError(p *fieldPath, err error) error {
 	offset := int(d.json.InputOffset())
 	var s *json.SyntaxError
 	if errors.As(err, &s) {
@@ -119,14 +120,14 @@
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		offset = len(d.data)
-		err = errors.New("the file ends in the middle")
+		err = errors.New("unexpected end of file")
 	}
-	d.fault(p, max(offset, 0), "%s: %v", syntaxProblem, err)
-	return errStop
+	d.report(p, max(offset, 0), "%s: %v", syntaxProblem, err)
+	return errStopDecoding
 }
 
-// next returns the offset of the next token.
-func (d *decoder) next() int {
+// nextOffset returns the offset of the nextOffset token.
+func (d *decoder) nextOffset() int {
 	at := int(d.json.InputOffset())
 	for at < len(d.data) && bytes.IndexByte([]byte(" \t\r\n,:"), d.data[at]) >= 0 {
 		at++
@@ -134,9 +135,9 @@
 	return at
 }
 
-// value reads one value into v.
-func (d *decoder) value(p *place, v reflect.Value) error {
-	at := d.next()
+// value decodes one value into v.
+func (d *decoder) value(p *fieldPath, v reflect.Value) error {
+	at := d.nextOffset()
 	if d.visit != nil {
 		d.visit(p, at)
 	}
@@ -153,27 +154,29 @@
 		return err
 	}
 	if string(raw) == "null" {
-		d.fault(p, at, "null given, want %s", wanted(v))
+		d.report(p, at, "null given, want %s", expectedType(v))
 		return nil
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil || v.Kind() == reflect.Struct && !isText {
-		d.fault(p, at, "%s given, want %s", shortened(raw), wanted(v))
+		d.report(p, at, "%s given, want %s", truncated(raw), expectedType(v))
 	}
 	return nil
 }
 
-func (d *decoder) skip(p *place) (json.RawMessage, error) {
+// skip reads the next value without decoding it.
+func (d *decoder) skip(p *fieldPath) (json.RawMessage, error) {
 	var raw json.RawMessage
 	if err := d.json.Decode(&raw); err != nil {
-		return nil, d.syntax(p, err)
+		return nil, d.syntaxError(p, err)
 	}
 	return raw, nil
 }
 
-func (d *decoder) object(p *place, v reflect.Value) error {
-	at := d.next()
+// object decodes a JSON object into the struct v and reports fields that are missing.
+func (d *decoder) object(p *fieldPath, v reflect.Value) error {
+	at := d.nextOffset()
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	seen := make([]bool, v.NumField())
 	for d.json.More() {
@@ -182,35 +185,35 @@
 		}
 	}
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	for i, s := range seen {
 		f := v.Type().Field(i)
 		if !s && !strings.Contains(f.Tag.Get("json"), "omitempty") {
-			d.fault(&place{parent: p, field: f.Name}, at, "missing, want %s", wanted(v.Field(i)))
+			d.report(&fieldPath{parent: p, field: f.Name}, at, "missing, want %s", expectedType(v.Field(i)))
 		}
 	}
 	return nil
 }
 
-// field reads one key and its value.
-func (d *decoder) field(p *place, v reflect.Value, seen []bool) error {
-	at := d.next()
+// field decodes one key of an object and its value; seen marks the fields of v that were given so far.
+func (d *decoder) field(p *fieldPath, v reflect.Value, seen []bool) error {
+	at := d.nextOffset()
 	token, err := d.json.Token()
 	if err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	name, ok := token.(string)
 	if !ok {
-		return d.syntax(p, errors.New("an object's key is not a string"))
+		return d.syntaxError(p, errors.New("object key is not a string"))
 	}
-	here := &place{parent: p, field: name}
+	here := &fieldPath{parent: p, field: name}
 	f, known := v.Type().FieldByName(name)
 	switch {
 	case !known:
-		d.fault(here, at, "unknown field, want one of %s", fieldNames(v.Type()))
+		d.report(here, at, "unknown field, want one of %s", fieldNames(v.Type()))
 	case seen[f.Index[0]]:
-		d.fault(here, at, "given twice, want it once")
+		d.report(here, at, "duplicate field")
 	default:
 		seen[f.Index[0]] = true
 		return d.value(here, v.Field(f.Index[0]))
@@ -219,60 +222,60 @@
 	return err
 }
 
-func (d *decoder) array(p *place, v reflect.Value) error {
+func (d *decoder) array(p *fieldPath, v reflect.Value) error {
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	v.Set(reflect.MakeSlice(v.Type(), 0, 0))
 	for i := 0; d.json.More(); i++ {
 		v.Set(reflect.Append(v, reflect.Zero(v.Type().Elem())))
-		if err := d.value(&place{parent: p, index: i}, v.Index(i)); err != nil {
+		if err := d.value(&fieldPath{parent: p, index: i}, v.Index(i)); err != nil {
 			return err
 		}
 	}
 	if _, err := d.json.Token(); err != nil {
-		return d.syntax(p, err)
+		return d.syntaxError(p, err)
 	}
 	return nil
 }
 
-// locate fills in the places of faults that know only their paths; a path that the file does not
-// have takes the place of what should hold it.
-func locate(data []byte, faults []Fault) {
-	if len(faults) == 0 {
+// fillPositions sets the line and column of errors that have only a path. If the file has no value at a
+// path, the position is that of the innermost enclosing value.
+func fillPositions(data []byte, errs []FieldError) {
+	if len(errs) == 0 {
 		return
 	}
 	offsets := map[string]int{}
-	for _, f := range faults {
-		for path := f.Path; path != ""; path = outer(path) {
+	for _, f := range errs {
+		for path := f.Path; path != ""; path = parentPath(path) {
 			offsets[path] = -1
 		}
 	}
-	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lines{data: data}}
-	d.visit = func(p *place, offset int) {
+	d := decoder{data: data, json: json.NewDecoder(bytes.NewReader(data)), lines: lineIndex{data: data}}
+	d.visit = func(p *fieldPath, offset int) {
 		path := p.String()
 		if _, ok := offsets[path]; ok {
 			offsets[path] = offset
 		}
 	}
 	var b Bundle
-	d.all(reflect.ValueOf(&b).Elem())
-	for i, f := range faults {
+	d.document(reflect.ValueOf(&b).Elem())
+	for i, f := range errs {
 		path := f.Path
 		for path != "" && offsets[path] < 0 {
-			path = outer(path)
+			path = parentPath(path)
 		}
-		faults[i].Line, faults[i].Column = d.lines.position(max(offsets[path], 0))
+		errs[i].Line, errs[i].Column = d.lines.position(max(offsets[path], 0))
 	}
 }
 
-// outer returns the path of what holds a path.
-func outer(path string) string {
+// parentPath returns the path of the value that contains the one at path.
+func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
 
-// wanted says what a value must look like.
-func wanted(v reflect.Value) string {
+// expectedType describes the values that v accepts, for error messages.
+func expectedType(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case Duration:
 		return "a duration such as \"1.5s\""
@@ -305,16 +308,17 @@
 	return strings.Join(names, ", ")
 }
 
-// shownBytes bounds what a fault repeats of the file.
-const shownBytes = 40
+// maxQuotedBytes limits how much of a wrong value an error message quotes.
+const maxQuotedBytes = 40
 
-func shortened(raw []byte) string {
-	if len(raw) <= shownBytes {
+func truncated(raw []byte) string {
+	if len(raw) <= maxQuotedBytes {
 		return string(raw)
 	}
-	return strings.ToValidUTF8(string(raw[:shownBytes]), "") + "..."
+	return strings.ToValidUTF8(string(raw[:maxQuotedBytes]), "") + "..."
 }
 
+// invalidOffset returns the offset of the first byte that is not valid UTF-8.
 func invalidOffset(data []byte) int {
 	for i := 0; i < len(data); {
 		r, n := utf8.DecodeRune(data[i:])
--- a/pabundle/example_test.go
+++ b/pabundle/example_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the example bundles anew")
+var update = flag.Bool("update", false, "rewrite the example bundles")
 
-// user is what differs between the two example deployments.
-type user struct {
+// exampleDeployment holds the values that differ between the two example deployments.
+type exampleDeployment struct {
 	file     string
 	comment  string
 	regions  []RegionName
@@ -28,45 +28,49 @@
 	services []Service
 }
 
-func service(name ServiceName, timeout, longest, typical time.Duration) Service {
+func makeService(name ServiceName, timeout, maxTimeout, typical time.Duration) Service {
 	d := func(t time.Duration) Duration { return Duration{t} }
 	return Service{
-		Name: name, Timeout: d(timeout), MaxTimeout: d(longest), TypicalRun: d(typical), KeyMemory: d(2 * longest),
+		Name: name, Timeout: d(timeout), MaxTimeout: d(maxTimeout), TypicalRun: d(typical), KeyMemory: d(2 * maxTimeout),
 		Shift: ShiftCap{Share: 0.1, Window: d(30 * time.Second)},
 	}
 }
 
-func tunnelBooking() user {
-	return user{
+func tunnelBooking() exampleDeployment {
+	return exampleDeployment{
 		file: "../examples/instituto.json", comment: "Wind tunnel bookings: links are narrow, so headroom goes first.",
 		regions: []RegionName{"centro", "occidente", "norte"}, first: HeadroomFirst, reserve: 0.2,
 		capacity: 280_000_000, port: 21001, limit: 330,
 		services: []Service{
-			service("availability", 2*time.Second, 10*time.Second, 20*time.Millisecond),
-			service("deposits", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("reservations", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("archive", 30*time.Second, 10*time.Minute, 500*time.Millisecond),
+			makeService("availability", 2*time.Second, 10*time.Second, 20*time.Millisecond),
+			makeService("deposits", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("reservations", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("archive", 30*time.Second, 10*time.Minute, 500*time.Millisecond),
 		},
 	}
 }
 
-func footageVault() user {
-	return user{
-		file: "../examples/kartuli.json", comment: "Action camera footage: slow browsing looks like lost footage, so latency goes first.",
+func footageVault() exampleDeployment {
+	return exampleDeployment{
+		file:    "../examples/kartuli.json",
+		comment: "Action camera footage: slow browsing looks like lost footage, so latency goes first.",
 		regions: []RegionName{"tbilisi", "frankfurt", "dubai"}, first: LatencyFirst, reserve: 0.05,
 		capacity: 4_000_000_000, port: 22001, limit: 360,
 		services: []Service{
-			service("library", 2*time.Second, 10*time.Second, 20*time.Millisecond),
-			service("trim-and-share", 30*time.Second, 5*time.Minute, 500*time.Millisecond),
-			service("billing", 5*time.Second, 30*time.Second, 50*time.Millisecond),
-			service("restore", time.Minute, 10*time.Minute, time.Second),
+			makeService("library", 2*time.Second, 10*time.Second, 20*time.Millisecond),
+			makeService("trim-and-share", 30*time.Second, 5*time.Minute, 500*time.Millisecond),
+			makeService("billing", 5*time.Second, 30*time.Second, 50*time.Millisecond),
+			makeService("restore", time.Minute, 10*time.Minute, time.Second),
 		},
 	}
 }
 
-// bundle writes a user's deployment at the sizes of today.
-func (u user) bundle() Bundle {
-	b := Bundle{Format: FormatVersion, Deployment: strings.TrimSuffix(filepath.Base(u.file), ".json"), Comment: u.comment, Policy: Policy{u.first, u.reserve}}
+// makeBundle returns the bundle of the deployment at its present size.
+func (u exampleDeployment) makeBundle() Bundle {
+	b := Bundle{
+		Format: FormatVersion, Deployment: strings.TrimSuffix(filepath.Base(u.file), ".json"),
+		Comment: u.comment, Policy: Policy{u.first, u.reserve},
+	}
 	var zones []ZoneName
 	for i, r := range u.regions {
 		own := []ZoneName{ZoneName(r + "-1"), ZoneName(r + "-2")}
@@ -99,8 +103,8 @@
 }
 
 func TestExamplesAreCurrentAndValid(t *testing.T) {
-	for _, u := range []user{tunnelBooking(), footageVault()} {
-		want, err := json.MarshalIndent(u.bundle(), "", "  ")
+	for _, u := range []exampleDeployment{tunnelBooking(), footageVault()} {
+		want, err := json.MarshalIndent(u.makeBundle(), "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,8 +121,8 @@
 		if !bytes.Equal(got, want) {
 			t.Errorf("%s is not current: run go test ./pabundle -run Examples -update", u.file)
 		}
-		if _, faults := Check(got); len(faults) > 0 {
-			t.Errorf("%s: %v", u.file, faults)
+		if _, errs := Check(got); len(errs) > 0 {
+			t.Errorf("%s: %v", u.file, errs)
 		}
 	}
 }
--- a/pabundle/index_test.go
+++ b/pabundle/index_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// random changes some client blocks.
-func random(r *rand.Rand, all []ClientBlock, n int) []ClientBlock {
+// mutateBlocks returns the sorted client blocks after n random changes: blocks are added, moved or removed.
+func mutateBlocks(r *rand.Rand, all []ClientBlock, n int) []ClientBlock {
 	byPrefix := map[netip.Prefix]ClientBlock{}
 	for _, b := range all {
 		byPrefix[b.Prefix] = b
@@ -34,30 +34,30 @@
 	return slices.SortedFunc(maps.Values(byPrefix), compareBlocks)
 }
 
-// A daemon applies a change by the pieces that differ. If that ever gave another table than the
-// whole bundle does, callers' look-ups would depend on how long the daemon has been running.
-func TestUpdatesByPiecesGiveTheWholeBundle(t *testing.T) {
+// A series of updates must give the same table of client blocks as the whole bundle. Otherwise the region
+// of a caller would depend on which versions a daemon has seen since its start.
+func TestUpdatesMatchWholeBundle(t *testing.T) {
 	g := NewWithT(t)
 	b, _ := Check(exampleFile(t))
 	r := rand.New(rand.NewPCG(1, 1))
 	var x BlockIndex
 	table := map[netip.Prefix]RegionName{}
 	all := map[Digest][]byte{}
-	b.ClientBlocks = append(b.ClientBlocks, blocks(60_000)...)
+	b.ClientBlocks = append(b.ClientBlocks, makeBlocks(60_000)...)
 	for range 6 {
-		b.ClientBlocks = random(r, b.ClientBlocks, 1+r.IntN(60))
+		b.ClientBlocks = mutateBlocks(r, b.ClientBlocks, 1+r.IntN(60))
 		s, err := b.Split()
 		g.Expect(err).NotTo(HaveOccurred())
 		maps.Copy(all, s.Pieces)
-		next, outline, change, err := x.Update(s.Digest, lookUp(all))
+		next, withoutBlocks, change, err := x.Update(s.Digest, getFrom(all))
 		g.Expect(err).NotTo(HaveOccurred())
-		for _, c := range change.Gone {
+		for _, c := range change.Removed {
 			if table[c.Prefix] != c.Region {
-				t.Fatalf("%s of %q is gone, but was in %q", c.Prefix, c.Region, table[c.Prefix])
+				t.Fatalf("%s of %q was removed, but the table had it in %q", c.Prefix, c.Region, table[c.Prefix])
 			}
 			delete(table, c.Prefix)
 		}
-		for _, c := range change.Fresh {
+		for _, c := range change.Added {
 			table[c.Prefix] = c.Region
 		}
 		g.Expect(len(table)).To(Equal(len(b.ClientBlocks)))
@@ -67,69 +67,71 @@
 			}
 		}
 		g.Expect(next.Size()).To(Equal(len(b.ClientBlocks)))
-		outline.ClientBlocks = b.ClientBlocks
-		g.Expect(outline.Digest()).To(Equal(s.Digest))
+		withoutBlocks.ClientBlocks = b.ClientBlocks
+		g.Expect(withoutBlocks.Digest()).To(Equal(s.Digest))
 		x = next
 	}
 }
 
-// Pieces whose digests are right can still be wrong together: written by a program that cuts or
-// sorts otherwise. Whatever Assemble refuses, an update by pieces must refuse.
+// Pieces with the right digests can still be invalid together, if the program that wrote them splits or
+// sorts blocks differently. Update must refuse all that Assemble refuses.
 func TestUpdateRefusesWhatAssembleRefuses(t *testing.T) {
 	b, _ := Check(exampleFile(t))
-	b.ClientBlocks = blocks(70_000)
+	b.ClientBlocks = makeBlocks(70_000)
 	s, err := b.Split()
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _, _, err := (BlockIndex{}).Update(s.Digest, lookUp(s.Pieces))
+	whole, _, _, err := (BlockIndex{}).Update(s.Digest, getFrom(s.Pieces))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := groups(b.Canonical().ClientBlocks)
-	swapped := slices.Clone(cut)
+	canonical := partitionBlocks(b.Canonical().ClientBlocks)
+	swapped := slices.Clone(canonical)
 	swapped[0], swapped[1] = swapped[1], swapped[0]
-	joined := append([][]ClientBlock{append(slices.Clone(cut[0]), cut[1]...)}, cut[2:]...)
-	parted := append([][]ClientBlock{cut[0][:9], cut[0][9:]}, cut[1:]...)
-	shifted := append([][]ClientBlock{append(slices.Clone(cut[0]), cut[1][0]), cut[1][1:]}, cut[2:]...)
-	strange := slices.Clone(cut)
-	strange[2] = slices.Clone(cut[2])
-	strange[2][5].Region = "nowhere"
-	bent := slices.Clone(cut)
-	bent[2] = slices.Clone(cut[2])
-	bent[2][5].Prefix = netip.PrefixFrom(bent[2][5].Prefix.Addr().Next(), 24)
+	mergedPieces := append([][]ClientBlock{append(slices.Clone(canonical[0]), canonical[1]...)}, canonical[2:]...)
+	splitPiece := append([][]ClientBlock{canonical[0][:9], canonical[0][9:]}, canonical[1:]...)
+	movedBoundary := append([][]ClientBlock{append(slices.Clone(canonical[0]), canonical[1][0]), canonical[1][1:]}, canonical[2:]...)
+	unknownRegion := slices.Clone(canonical)
+	unknownRegion[2] = slices.Clone(canonical[2])
+	unknownRegion[2][5].Region = "nowhere"
+	nonCanonical := slices.Clone(canonical)
+	nonCanonical[2] = slices.Clone(canonical[2])
+	nonCanonical[2][5].Prefix = netip.PrefixFrom(nonCanonical[2][5].Prefix.Addr().Next(), 24)
 	for name, wrong := range map[string][][]ClientBlock{
-		"swapped": swapped, "joined": joined, "parted": parted, "shifted": shifted, "strange": strange, "bent": bent,
-		"twice": append(slices.Clone(cut), cut[len(cut)-1]), "empty": append(slices.Clone(cut), []ClientBlock{}),
-		"flat": cut,
+		"swapped": swapped, "mergedPieces": mergedPieces, "splitPiece": splitPiece, "movedBoundary": movedBoundary,
+		"unknownRegion": unknownRegion, "nonCanonical": nonCanonical,
+		"duplicatePiece": append(slices.Clone(canonical), canonical[len(canonical)-1]),
+		"emptyPiece":     append(slices.Clone(canonical), []ClientBlock{}),
+		"withoutLists":   canonical,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var parts []blockPart
+			var pieces []blockPiece
 			for _, c := range wrong {
-				p, _ := partOf("", c)
+				p, _ := newBlockPiece("", c)
 				p.digest = s.add(c)
-				parts = append(parts, p)
+				pieces = append(pieces, p)
 			}
 			m := s.Manifest
-			m.Blocks = s.names(parts)
-			if name == "flat" {
-				m.Blocks = digestsOf(parts)
+			m.Blocks = s.addLists(pieces)
+			if name == "withoutLists" {
+				m.Blocks = digestsOf(pieces)
 			}
 			d := s.add(m)
-			if _, err := Assemble(d, lookUp(s.Pieces)); err == nil {
-				t.Fatal("Assemble took it")
+			if _, err := Assemble(d, getFrom(s.Pieces)); err == nil {
+				t.Fatal("Assemble accepted the pieces")
 			}
-			if _, _, _, err := (BlockIndex{}).Update(d, lookUp(s.Pieces)); err == nil {
-				t.Fatal("Update took it")
+			if _, _, _, err := (BlockIndex{}).Update(d, getFrom(s.Pieces)); err == nil {
+				t.Fatal("Update accepted the pieces")
 			}
-			if _, _, _, err := whole.Update(d, lookUp(s.Pieces)); err == nil {
-				t.Fatal("Update from the right version took it")
+			if _, _, _, err := whole.Update(d, getFrom(s.Pieces)); err == nil {
+				t.Fatal("Update from a valid version accepted the pieces")
 			}
 		})
 	}
 }
 
-// Pieces in the wrong order, whose cuts are right one by one.
+// Update must refuse pieces in the wrong order, even if each piece is canonical on its own.
 func TestUpdateRefusesPiecesOutOfOrder(t *testing.T) {
 	b, _ := Check(exampleFile(t))
 	b.ClientBlocks = nil
@@ -145,16 +147,16 @@
 	}
 	m := s.Manifest
 	m.Blocks = []Digest{m.Blocks[1], m.Blocks[0]}
-	if _, _, _, err := (BlockIndex{}).Update(s.add(m), lookUp(s.Pieces)); err == nil {
-		t.Fatal("Update took it")
+	if _, _, _, err := (BlockIndex{}).Update(s.add(m), getFrom(s.Pieces)); err == nil {
+		t.Fatal("Update accepted the pieces")
 	}
 }
 
-// BenchmarkUpdate applies a change of one client block.
+// BenchmarkUpdate measures the update for a change of one client block.
 func BenchmarkUpdate(b *testing.B) {
-	for _, n := range append(slices.Clone(sizes), 3_900_000) {
+	for _, n := range append(slices.Clone(blockCounts), 3_900_000) {
 		b.Run(fmt.Sprintf("Blocks=%d", n), func(b *testing.B) {
-			e := sized(b, n)
+			e := exampleWithBlocks(b, n)
 			old, err := e.Split()
 			if err != nil {
 				b.Fatal(err)
@@ -171,13 +173,13 @@
 				}
 			}
 			maps.Copy(old.Pieces, s.Pieces)
-			x, _, _, err := (BlockIndex{}).Update(old.Digest, lookUp(old.Pieces))
+			x, _, _, err := (BlockIndex{}).Update(old.Digest, getFrom(old.Pieces))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, _, _, err := x.Update(s.Digest, lookUp(old.Pieces)); err != nil {
+				if _, _, _, err := x.Update(s.Digest, getFrom(old.Pieces)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/paroll/calls_test.go
+++ b/paroll/calls_test.go
@@ -16,20 +16,19 @@
 	"papayahead/paplatform"
 )
 
-// follower is what a daemon does with the store: it follows the head, and fetches pieces that no
-// neighbour has.
-type follower struct {
+// testDaemon makes the store calls of a daemon: it follows the head and fetches the pieces that it lacks.
+type testDaemon struct {
 	HeadWatch
 	have     map[pabundle.Digest][]byte
 	sequence atomic.Uint64
 }
 
-func (f *follower) take(ctx context.Context, h pabundle.Head) {
+func (f *testDaemon) fetchBundle(ctx context.Context, h pabundle.Head) {
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := f.have[d]; return p, ok }
 	for {
-		missing, err := pabundle.Missing(h.Digest, get)
+		missing, err := pabundle.MissingPieces(h.Digest, get)
 		if err != nil || len(missing) == 0 {
-			f.Known()
+			f.SetHeadKnown()
 			f.sequence.Store(uint64(h.Sequence))
 			return
 		}
@@ -43,8 +42,8 @@
 	}
 }
 
-// The platform counts each call and its rates grow more slowly than the fleet. These are the figures
-// of docs/MEASURES.md; a change that costs more calls shows here.
+// The platform counts each call to the store, and its rate limits grow more slowly than the fleet. This
+// test fails if a change needs more calls than the figures in docs/MEASURES.md.
 func TestStoreCallsOfCommandsAndDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -77,37 +76,39 @@
 		calls("roll out, first bundle", 14, func() { ok(operator("ana").RollOut(ctx, Request{Digest: s.Digest})) })
 		calls("status", 2, func() { ok(operator("ana").Status(ctx)) })
 
-		run := func(have map[pabundle.Digest][]byte, follow bool) *follower {
-			f := &follower{have: maps.Clone(have)}
+		run := func(have map[pabundle.Digest][]byte, follow bool) *testDaemon {
+			f := &testDaemon{have: maps.Clone(have)}
 			f.HeadWatch = HeadWatch{
 				Deployment: "kartuli", Store: store, Clock: clockwork.NewRealClock(), Random: rand.New(rand.NewPCG(1, 1)),
-				Heard: func(h pabundle.Head) { f.take(ctx, h) },
+				OnHead: func(h pabundle.Head) { f.fetchBundle(ctx, h) },
 			}
-			f.Follow(follow)
+			f.SetFollowing(follow)
 			go f.Run(ctx)
 			return f
 		}
 		none := map[pabundle.Digest][]byte{}
 		calls("boot of a daemon that does not watch, neighbours there", 1, func() { run(s.Pieces, false) })
 		calls("boot of a daemon that does not watch, alone", 9, func() { run(none, false) })
-		var watcher *follower
+		var watcher *testDaemon
 		calls("boot of a daemon that watches, with its first watch", 10, func() { watcher = run(none, true) })
 		calls("an idle hour of one watching and two other daemons", 450, func() { time.Sleep(time.Hour) })
 		calls("an hour's outage, the same daemons", 1201, func() {
 			store.Inject(paplatform.Injection{Effect: paplatform.Outage})
 			for range 3600 {
-				watcher.Follow(true)
+				watcher.SetFollowing(true)
 				time.Sleep(time.Second)
 			}
 		})
 		store.ClearInjections()
-		time.Sleep(lastBackoff)
+		time.Sleep(maxBackoff)
 		synctest.Wait()
 
 		calls("propose, one service changed", 7, func() { ok(operator("ana").Propose(ctx, two)) })
 		ok(operator("beso").Review(ctx, s2.Digest, ""))
 		ok(operator("beso").SignOff(ctx, s2.Digest))
-		calls("roll out, one service changed, and the watching daemon", 22, func() { ok(operator("ana").RollOut(ctx, Request{Digest: s2.Digest})) })
+		calls("roll out, one service changed, and the watching daemon", 22, func() {
+			ok(operator("ana").RollOut(ctx, Request{Digest: s2.Digest}))
+		})
 		g.Expect(watcher.sequence.Load()).To(BeEquivalentTo(2))
 		cancel()
 	})
--- a/paroll/prepare.go
+++ b/paroll/prepare.go
@@ -8,88 +8,90 @@
 	"papayahead/pashift"
 )
 
-// prepare makes sure that the store has every piece that daemons will need and that the head in
-// force does not already name, and returns where the shares stand now, for the services whose
-// shares the next head moves.
+// prepare verifies that the store has every piece of next that the head in force does not name. It
+// returns the shares in effect at next.RolledAt, for the services whose shares next changes.
 //
-// Guards against a jump: a daemon that boots in mid-shift, or after a second roll, knows the head in
-// force and its bundle but no history. With the start in the head it stands where the others stand.
+// These become the Start of the new head. Without it, a daemon that starts during a shift, or after a
+// second roll-out, knows only the head in force and its bundle, and would use other shares than the
+// daemons that know the history.
 func (o *Operator) prepare(ctx context.Context, current, next pabundle.Head) (pashift.ServiceShares, error) {
-	p := pieces{operator: o, held: map[pabundle.Digest][]byte{}}
-	was, will, err := p.both(ctx, current.Digest, next.Digest)
+	p := pieceReader{operator: o, loaded: map[pabundle.Digest][]byte{}}
+	oldBundle, newBundle, err := p.loadBoth(ctx, current.Digest, next.Digest)
 	if err != nil || current.Sequence == 0 {
 		return nil, err
 	}
-	stands := pashift.SharesAt(pashift.RollOut{Bundle: &was, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
-	return pashift.ChangedShares(stands, &will), nil
+	position := pashift.SharesAt(pashift.RollOut{Bundle: &oldBundle, Start: current.Start, RolledAt: current.RolledAt}, next.RolledAt)
+	return pashift.ChangedShares(position, &newBundle), nil
 }
 
-// pieces reads pieces for one command, each once.
-type pieces struct {
+// pieceReader reads and verifies pieces for one command, each only once.
+type pieceReader struct {
 	operator *Operator
-	held     map[pabundle.Digest][]byte
+	loaded   map[pabundle.Digest][]byte
 }
 
 // load reads pieces from the store and verifies them.
-func (p pieces) load(ctx context.Context, all ...pabundle.Digest) error {
+func (p pieceReader) load(ctx context.Context, all ...pabundle.Digest) error {
 	for _, d := range all {
-		if _, ok := p.held[d]; ok {
+		if _, ok := p.loaded[d]; ok {
 			continue
 		}
 		data, err := p.operator.piece(ctx, d)
 		if err != nil {
 			return err
 		}
-		p.held[d] = data
+		p.loaded[d] = data
 	}
 	return nil
 }
 
-// both reads two versions without their client blocks, and makes sure that the store has those
-// pieces of client blocks that only the second has.
-func (p pieces) both(ctx context.Context, from, to pabundle.Digest) (was, will pabundle.Bundle, err error) {
-	was, known, err := p.outline(ctx, from)
+// loadBoth reads two versions without their client blocks, and verifies that the store has the pieces of
+// client blocks that only the second version has.
+func (p pieceReader) loadBoth(ctx context.Context, from, to pabundle.Digest) (oldBundle, newBundle pabundle.Bundle, err error) {
+	oldBundle, known, err := p.loadWithoutBlocks(ctx, from)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	will, m, err := p.outline(ctx, to)
+	newBundle, m, err := p.loadWithoutBlocks(ctx, to)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	_, fresh, err := p.difference(ctx, known, m)
+	_, added, err := p.diffBlockPieces(ctx, known, m)
 	if err != nil {
-		return was, will, err
+		return oldBundle, newBundle, err
 	}
-	return was, will, p.load(ctx, fresh...)
+	return oldBundle, newBundle, p.load(ctx, added...)
 }
 
-// difference returns the pieces of client blocks that only the one or only the other version has.
-// It reads the lists that differ.
-func (p pieces) difference(ctx context.Context, from, to pabundle.Manifest) (gone, fresh []pabundle.Digest, err error) {
-	if gone, err = p.own(ctx, from, to); err != nil {
+// diffBlockPieces returns the pieces of client blocks that only one of two versions has. It reads only the
+// lists that differ.
+func (p pieceReader) diffBlockPieces(
+	ctx context.Context, from, to pabundle.Manifest,
+) (removed, added []pabundle.Digest, err error) {
+	if removed, err = p.ownBlockPieces(ctx, from, to); err != nil {
 		return nil, nil, err
 	}
-	if fresh, err = p.own(ctx, to, from); err != nil {
+	if added, err = p.ownBlockPieces(ctx, to, from); err != nil {
 		return nil, nil, err
 	}
 	shared := map[pabundle.Digest]bool{}
-	for _, d := range gone {
-		shared[d] = slices.Contains(fresh, d)
+	for _, d := range removed {
+		shared[d] = slices.Contains(added, d)
 	}
 	isShared := func(d pabundle.Digest) bool { return shared[d] }
-	return slices.DeleteFunc(gone, isShared), slices.DeleteFunc(fresh, isShared), nil
+	return slices.DeleteFunc(removed, isShared), slices.DeleteFunc(added, isShared), nil
 }
 
-// own returns the pieces of client blocks of a version under those names in its manifest that the
-// other's manifest does not have.
-func (p pieces) own(ctx context.Context, m, other pabundle.Manifest) ([]pabundle.Digest, error) {
-	theirs := map[pabundle.Digest]bool{}
+// ownBlockPieces returns the pieces of client blocks of m, without those under digests that the manifest
+// other also names.
+func (p pieceReader) ownBlockPieces(ctx context.Context, m, other pabundle.Manifest) ([]pabundle.Digest, error) {
+	inOther := map[pabundle.Digest]bool{}
 	for _, d := range other.Blocks {
-		theirs[d] = true
+		inOther[d] = true
 	}
 	var all []pabundle.Digest
 	for _, d := range m.Blocks {
-		if theirs[d] {
+		if inOther[d] {
 			continue
 		}
 		children, err := p.children(ctx, d)
@@ -104,24 +106,24 @@
 	return all, nil
 }
 
-// children reads a piece and returns what it names.
-func (p pieces) children(ctx context.Context, d pabundle.Digest) ([]pabundle.Digest, error) {
+// children reads a piece and returns the digests that it refers to.
+func (p pieceReader) children(ctx context.Context, d pabundle.Digest) ([]pabundle.Digest, error) {
 	if err := p.load(ctx, d); err != nil {
 		return nil, err
 	}
-	return pabundle.Children(false, p.held[d])
+	return pabundle.Children(false, p.loaded[d])
 }
 
-func (p pieces) get(d pabundle.Digest) ([]byte, bool) { data, ok := p.held[d]; return data, ok }
+func (p pieceReader) get(d pabundle.Digest) ([]byte, bool) { data, ok := p.loaded[d]; return data, ok }
 
-// clientBlocks reads the blocks of some pieces.
-func (p pieces) clientBlocks(ctx context.Context, all []pabundle.Digest) ([]pabundle.ClientBlock, error) {
+// clientBlocks reads the client blocks of pieces.
+func (p pieceReader) clientBlocks(ctx context.Context, all []pabundle.Digest) ([]pabundle.ClientBlock, error) {
 	if err := p.load(ctx, all...); err != nil {
 		return nil, err
 	}
 	var blocks []pabundle.ClientBlock
 	for _, d := range all {
-		more, err := pabundle.DecodeBlocks(d, p.held[d])
+		more, err := pabundle.DecodeBlocks(d, p.loaded[d])
 		if err != nil {
 			return nil, err
 		}
@@ -130,20 +132,20 @@
 	return blocks, nil
 }
 
-// outline reads a bundle without its client blocks; an empty digest is the empty bundle.
-func (p pieces) outline(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, pabundle.Manifest, error) {
+// loadWithoutBlocks reads a bundle without its client blocks; an empty digest means the empty bundle.
+func (p pieceReader) loadWithoutBlocks(ctx context.Context, d pabundle.Digest) (pabundle.Bundle, pabundle.Manifest, error) {
 	if d == "" {
 		return pabundle.Bundle{}, pabundle.Manifest{}, nil
 	}
 	if err := p.load(ctx, d); err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
-	m, err := pabundle.DecodeManifest(d, p.held[d])
+	m, err := pabundle.DecodeManifest(d, p.loaded[d])
 	if err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
 	if err := p.load(ctx, append([]pabundle.Digest{m.Plan}, m.Services...)...); err != nil {
 		return pabundle.Bundle{}, pabundle.Manifest{}, err
 	}
-	return pabundle.Outline(d, p.get)
+	return pabundle.AssembleWithoutBlocks(d, p.get)
 }
