--- a/pacontrol/agreement.go
+++ b/pacontrol/agreement.go
@@ -18,7 +18,7 @@
 	// listed is the platform's VM list as it was last read.
 	listed []paplatform.VM
 	// told is what was last announced.
-	told []paview.Seen
+	told []paview.SeenMember
 	next time.Time
 }
 
@@ -32,7 +32,7 @@
 
 func (a *agreement) prepare(c Config) {
 	a.view.Self = paview.Member{Name: c.Self.Name, Incarnation: uint64(c.Self.Incarnation)}
-	a.view.Lag = c.ListLag
+	a.view.ListLag = c.ListLag
 	a.view.Started = c.Started
 }
 
@@ -48,7 +48,7 @@
 			names = append(names, pabundle.EntryName(v.Name))
 		}
 	}
-	k.agreement.view.List(now, names)
+	k.agreement.view.UpdateList(now, names)
 	k.takeMembers(now)
 }
 
@@ -74,7 +74,7 @@
 		return
 	}
 	a.next = now.Add(announceInterval)
-	sees := a.view.Announcement().Sees
+	sees := a.view.NewAnnouncement().Members
 	if k.members == 0 || !reflect.DeepEqual(sees, a.told) {
 		a.told = sees
 		k.announceAll()
@@ -87,21 +87,21 @@
 }
 
 func (k *Control) announceAll() {
-	for _, s := range k.agreement.view.Announcement().Sees {
+	for _, s := range k.agreement.view.NewAnnouncement().Members {
 		k.announceTo(s.Name)
 	}
 }
 
 func (k *Control) announceTo(n pabundle.EntryName) {
 	if a, ok := k.peerAddress(n); ok {
-		k.effects = append(k.effects, Announce{Address: a, Announcement: k.agreement.view.Announcement()})
+		k.effects = append(k.effects, Announce{Address: a, Announcement: k.agreement.view.NewAnnouncement()})
 	}
 }
 
 func (k *Control) announced(now time.Time, a paview.Announcement) {
-	k.agreement.view.Hear(now, a)
+	k.agreement.view.Receive(now, a)
 	k.takeMembers(now)
-	k.effects = append(k.effects, ReplyAnnounce{Announcement: k.agreement.view.Announcement()})
+	k.effects = append(k.effects, ReplyAnnounce{Announcement: k.agreement.view.NewAnnouncement()})
 }
 
 // confirmHomes says that a roll-out moved the home regions everywhere, once every entry VM of the VM
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -60,7 +60,7 @@
 	stopping bool
 
 	// room is the entry VM's own account, admitted what each request holds of it.
-	room     paroom.Room
+	room     paroom.Controller
 	admitted map[paowner.RequestID]int64
 	// serving is the service of each admitted request, refusals those of the last second.
 	serving  map[paowner.RequestID]pabundle.ServiceName
@@ -208,7 +208,7 @@
 	case StandingTold:
 		k.followStanding(now, v.Standing)
 	case Measured:
-		k.room.Measure(now, v.Busy)
+		k.room.SetCPU(now, v.Busy)
 	case Probed:
 		k.decisions = k.owner.Probed(now, v.Target, v.OK, k.decisions)
 	case Draining:
--- a/pacontrol/limits.go
+++ b/pacontrol/limits.go
@@ -21,7 +21,7 @@
 
 func (k *Control) prepareLimits() {
 	self := pacredit.Identity{Name: k.config.Self.Name, Incarnation: uint64(k.config.Self.Incarnation)}
-	k.room = paroom.Room{Limits: k.config.Room, CacheTime: k.config.TimeToLive}
+	k.room = paroom.Controller{Limits: k.config.Room, CacheTTL: k.config.TimeToLive}
 	k.granter = pacredit.Granter{Self: self, Started: k.config.Started}
 	k.holder = pacredit.Holder{Self: self}
 	k.limiter.Config = pashift.Config{ForwardOnly: true}
@@ -61,7 +61,7 @@
 	k.askCredits(now)
 	if !now.Before(k.nextSecond) {
 		k.nextSecond = now.Add(time.Second)
-		k.room.Weigh(now)
+		k.room.UpdateWeight(now)
 		k.countRates()
 		k.noteSecond(now)
 	}
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if r := k.room.Admit(now, roomClass(v), v.Request.Bytes, k.config.Random.Float64()); r.Refused {
-		k.refuse(id, paowner.OverRoom.String(), r.ComeBack)
+		k.refuse(id, paowner.OverRoom.String(), r.RetryAfter)
 		return
 	}
 	k.admitted[id] = v.Request.Bytes
@@ -77,7 +77,7 @@
 		delete(k.redeemed, id)
 	}
 	if b, ok := k.admitted[id]; ok {
-		k.room.End(b)
+		k.room.Release(b)
 		delete(k.admitted, id)
 		delete(k.serving, id)
 	}
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -60,7 +60,7 @@
 		for i := range k.bundle.Services {
 			s.Services[k.bundle.Services[i].Name] = &k.bundle.Services[i]
 		}
-		s.Loads, s.Use = k.serviceLoads(now), k.room.Usage(now).Use
+		s.Loads, s.Use = k.serviceLoads(now), k.room.Usage(now).Max
 	}
 	return s
 }
--- a/paentry/config.go
+++ b/paentry/config.go
@@ -33,15 +33,15 @@
 	// Random belongs to the Daemon.
 	Random   *rand.Rand
 	Store    paplatform.Store
-	Machines paplatform.VMList
+	VMList paplatform.VMList
 	Network  Network
 	Recorder *paevent.Recorder
 }
 
 // TCP is the Network of the operating system.
 type TCP struct {
-	// From is the local address of connections that are dialled; the zero value leaves it to the system.
-	From netip.Addr
+	// LocalAddr is the local address of connections that are dialled; the zero value leaves it to the system.
+	LocalAddr netip.Addr
 
 	listen net.ListenConfig
 }
@@ -54,8 +54,8 @@
 // Dial implements Network.
 func (t *TCP) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
-	if t.From.IsValid() {
-		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(t.From, 0))
+	if t.LocalAddr.IsValid() {
+		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(t.LocalAddr, 0))
 	}
 	return d.DialContext(ctx, network, address)
 }
--- a/paentry/daemon_test.go
+++ b/paentry/daemon_test.go
@@ -132,7 +132,7 @@
 	random := rand.New(rand.NewPCG(uint64(i), 7))
 	d, err := paentry.New(paentry.Config{
 		Settings: e, Incarnation: pamember.Incarnation(f.clock.Now().UnixMilli()), Clock: f.clock, Random: random,
-		Store: f.store.As(paplatform.Caller(e.Name)), Machines: f.machines,
+		Store: f.store.As(paplatform.Caller(e.Name)), VMList: f.machines,
 		Network:  &panetwork.Host{Network: f.network, Address: e.Callers.Addr()},
 		Recorder: paevent.NewRecorder(paevent.RecorderConfig{Process: string(e.Name), Log: zerolog.Nop(), Clock: f.clock}),
 	})
--- a/paentry/platform.go
+++ b/paentry/platform.go
@@ -27,7 +27,7 @@
 func (d *Daemon) listMachines(ctx context.Context) {
 	failed := false
 	for {
-		all, err := d.config.Machines.List(ctx)
+		all, err := d.config.VMList.List(ctx)
 		switch {
 		case err == nil:
 			d.post(pacontrol.Listed{VMs: all})
@@ -74,8 +74,8 @@
 }
 
 const (
-	// HealthPathOfTargets is where targets tell their health, as JSON with a State.
-	HealthPathOfTargets = "/Health"
+	// TargetHealthPath is where targets tell their health, as JSON with a State.
+	TargetHealthPath = "/Health"
 	// drainingState is the State of a target that is about to stop, failingState of one that is broken.
 	drainingState = "Draining"
 	failingState  = "Failing"
@@ -89,7 +89,7 @@
 func (d *Daemon) readHealth(ctx context.Context, p pacontrol.Probe) (state string, ok bool) {
 	t := &http.Transport{DialContext: d.config.Network.Dial, DisableKeepAlives: true}
 	defer t.CloseIdleConnections()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address.String()+HealthPathOfTargets, nil)
+	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Address.String()+TargetHealthPath, nil)
 	if err != nil {
 		return "", false
 	}
--- a/paledger/world_test.go
+++ b/paledger/world_test.go
@@ -68,7 +68,7 @@
 func (w *world) boot(name pabundle.EntryName) {
 	w.starts++
 	n := &node{offset: time.Duration(w.random.IntN(5000)-2500) * time.Millisecond}
-	n.view = &paview.View{Self: paview.Member{Name: name, Incarnation: w.starts}, Lag: lag, Started: w.clock(n)}
+	n.view = &paview.View{Self: paview.Member{Name: name, Incarnation: w.starts}, ListLag: lag, Started: w.clock(n)}
 	n.ledger = &Ledger{Self: name, Incarnation: w.starts, Region: region, Capacity: 100}
 	n.ledger.SetHomes(w.clock(n), 1, regions)
 	w.nodes[name] = n
@@ -99,7 +99,7 @@
 		n.view.Tick(w.clock(n))
 		n.ledger.Tick(w.clock(n))
 		if !n.blind && w.random.IntN(2) == 0 {
-			n.view.List(w.clock(n), w.lists[max(0, len(w.lists)-1-w.random.IntN(int(lag.Seconds())))])
+			n.view.UpdateList(w.clock(n), w.lists[max(0, len(w.lists)-1-w.random.IntN(int(lag.Seconds())))])
 		}
 		w.announce(n)
 		w.deliver(n)
@@ -108,10 +108,10 @@
 }
 
 func (w *world) announce(n *node) {
-	a := n.view.Announcement()
+	a := n.view.NewAnnouncement()
 	for _, name := range entryVMs {
 		if o := w.nodes[name]; o != nil && o != n && o.cut == n.cut && w.random.IntN(5) > 0 {
-			o.mail = append(o.mail, func() { o.view.Hear(w.clock(o), a) })
+			o.mail = append(o.mail, func() { o.view.Receive(w.clock(o), a) })
 		}
 	}
 }
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -43,7 +43,7 @@
 	name := string(set.Name)
 	seed := uint64(clock.Now().UnixNano())
 	random := rand.New(rand.NewPCG(seed, uint64(os.Getpid())))
-	network := &paentry.TCP{From: set.DialFrom}
+	network := &paentry.TCP{LocalAddr: set.DialFrom}
 	transport := &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: platformConnections}
 	store := &platform.StoreClient{
 		BaseURL: set.Store.String(), Caller: paplatform.Caller(name), Clock: clock, Transport: transport,
@@ -52,7 +52,7 @@
 	d, err := paentry.New(paentry.Config{
 		Settings: set, Version: Version, Incarnation: pamember.Incarnation(clock.Now().UnixMilli()),
 		Clock: clock, Random: random, Network: network,
-		Store: store, Machines: &paplatform.VMListClient{Base: set.Machines.String(), Transport: transport},
+		Store: store, VMList: &paplatform.VMListClient{Base: set.Machines.String(), Transport: transport},
 		Recorder: paevent.NewRecorder(paevent.RecorderConfig{
 			Process: name, Clock: clock, Log: log.Level(set.LogLevel).With().Str("Process", name).Logger(),
 		}),
--- a/paroom/room.go
+++ b/paroom/room.go
@@ -59,12 +59,12 @@
 	Bytes                 int64
 }
 
-// Room is the account of one entry VM. Set the exported fields before use; it is used by one
+// Controller is the account of one entry VM. Set the exported fields before use; it is used by one
 // goroutine at a time.
-type Room struct {
+type Controller struct {
 	Limits Limits
-	// CacheTime is how long callers use a look-up's answer.
-	CacheTime time.Duration
+	// CacheTTL is how long callers use a look-up's answer.
+	CacheTTL time.Duration
 
 	connections, requests int
 	bytes                 int64
@@ -74,36 +74,36 @@
 	weighed               time.Time
 }
 
-// Verdict is the outcome of admission.
-type Verdict struct {
+// Decision is the outcome of admission.
+type Decision struct {
 	Refused bool
-	// ComeBack is when to come back after a refusal, jittered.
-	ComeBack time.Duration
+	// RetryAfter is when to come back after a refusal, jittered.
+	RetryAfter time.Duration
 }
 
 // Admit decides on a request that would hold bytes in memory, and counts it if it is let in; random
 // is in [0, 1). Call End with the same bytes when it is over.
 //
 // A refusal is final and at once: the caller keeps the time to go to the next entry VM of its list.
-func (r *Room) Admit(now time.Time, c Class, bytes int64, random float64) Verdict {
+func (r *Controller) Admit(now time.Time, c Class, bytes int64, random float64) Decision {
 	use := max(r.counted(1, bytes), r.processor(now))
 	if use > thresholds[c] {
-		return Verdict{Refused: true, ComeBack: r.comeBack(use, random)}
+		return Decision{Refused: true, RetryAfter: r.comeBack(use, random)}
 	}
 	r.requests++
 	r.bytes += bytes
-	return Verdict{}
+	return Decision{}
 }
 
-// End gives back what a request held.
-func (r *Room) End(bytes int64) {
+// Release gives back what a request held.
+func (r *Controller) Release(bytes int64) {
 	r.requests = max(0, r.requests-1)
 	r.bytes = max(0, r.bytes-bytes)
 }
 
 // Grow counts bytes that a running request holds beyond what it was admitted with; negative bytes
 // give back. It returns false, and counts nothing, when the limit forbids it: read no further then.
-func (r *Room) Grow(bytes int64) bool {
+func (r *Controller) Grow(bytes int64) bool {
 	if bytes > 0 && r.Limits.Bytes > 0 && r.bytes+bytes > r.Limits.Bytes {
 		return false
 	}
@@ -112,7 +112,7 @@
 }
 
 // Connect counts a caller's connection, or returns false when there is no room for it.
-func (r *Room) Connect() bool {
+func (r *Controller) Connect() bool {
 	if r.Limits.Connections > 0 && r.connections >= r.Limits.Connections {
 		return false
 	}
@@ -121,10 +121,10 @@
 }
 
 // Disconnect gives a connection back.
-func (r *Room) Disconnect() { r.connections = max(0, r.connections-1) }
+func (r *Controller) Disconnect() { r.connections = max(0, r.connections-1) }
 
-// Measure takes the busy share of the processors, 0 to 1.
-func (r *Room) Measure(now time.Time, busy float64) {
+// SetCPU takes the busy share of the processors, 0 to 1.
+func (r *Controller) SetCPU(now time.Time, busy float64) {
 	if math.IsNaN(busy) {
 		return
 	}
@@ -137,18 +137,18 @@
 	r.busyAt = now
 }
 
-// Weigh moves the weight for look-ups; call it about once a second.
+// UpdateWeight moves the weight for look-ups; call it about once a second.
 //
 // The load is callers that act on a cached answer until it has expired. Moved at once, the weight
 // would send all callers to the emptiest entry VM for a whole life of the answers, and then all to
 // the next. It goes down over one life of the answers and up over three.
-func (r *Room) Weigh(now time.Time) {
+func (r *Controller) UpdateWeight(now time.Time) {
 	want := math.Max(minWeight, 1-r.use(now))
 	if r.weighed.IsZero() {
 		r.weight, r.weighed = want, now
 		return
 	}
-	life := r.CacheTime
+	life := r.CacheTTL
 	if life <= 0 {
 		life = defaultCacheTime
 	}
--- a/paroom/room_test.go
+++ b/paroom/room_test.go
@@ -27,7 +27,7 @@
 // entry VM would either run out of memory or refuse callers for ever after.
 func TestLimitsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &Room{Limits: Limits{Connections: 5, Requests: 10, Bytes: 1000}}
+		r := &Controller{Limits: Limits{Connections: 5, Requests: 10, Bytes: 1000}}
 		var running []int64
 		var total int64
 		connections := 0
@@ -37,7 +37,7 @@
 				bytes := rapid.Int64Range(0, 400).Draw(t, "bytes")
 				v := r.Admit(epoch, c, bytes, 0.5)
 				fits := float64(len(running)+1) <= thresholds[c]*10 && float64(total+bytes) <= thresholds[c]*1000
-				if v.Refused == fits || v.Refused && v.ComeBack < minComeBack/2 {
+				if v.Refused == fits || v.Refused && v.RetryAfter < minComeBack/2 {
 					t.Fatalf("%v of %d bytes beside %d requests of %d bytes: %+v", c, bytes, len(running), total, v)
 				}
 				if !v.Refused {
@@ -54,7 +54,7 @@
 			},
 			"end": func(*rapid.T) {
 				if n := len(running); n > 0 {
-					r.End(running[n-1])
+					r.Release(running[n-1])
 					running, total = running[:n-1], total-running[n-1]
 				}
 			},
@@ -74,7 +74,7 @@
 
 // entry is an entry VM that slows down when its processors are busy: beyond 1 the work piles up.
 type entry struct {
-	room    Room
+	room    Controller
 	dead    bool
 	slow    float64 // capacity relative to the others
 	demand  int
@@ -138,13 +138,13 @@
 			e := &es[i]
 			tick := e.slow * capacity / 10
 			e.peak = max(e.peak, e.backlog/tick)
-			e.room.Measure(now, min(1, e.backlog/tick))
+			e.room.SetCPU(now, min(1, e.backlog/tick))
 			for range int(min(e.backlog, tick)) {
-				e.room.End(0)
+				e.room.Release(0)
 			}
 			e.backlog = max(0, e.backlog-tick)
 			if n%10 == 0 {
-				e.room.Weigh(now)
+				e.room.UpdateWeight(now)
 			}
 			w[i] = e.room.Weight()
 		}
@@ -228,12 +228,12 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	r := &Room{Limits: Limits{Requests: 1000, Bytes: 1 << 30}}
-	r.Measure(epoch, 0.5)
+	r := &Controller{Limits: Limits{Requests: 1000, Bytes: 1 << 30}}
+	r.SetCPU(epoch, 0.5)
 	b.ReportAllocs()
 	for b.Loop() {
 		if !r.Admit(epoch, Short, 1000, 0.5).Refused {
-			r.End(1000)
+			r.Release(1000)
 		}
 	}
 }
--- a/paview/query.go
+++ b/paview/query.go
@@ -6,17 +6,17 @@
 	"papayahead/pabundle"
 )
 
-// Announcement returns what to tell the others now; each call raises the version.
-func (v *View) Announcement() Announcement {
+// NewAnnouncement returns what to tell the others now; each call raises the version.
+func (v *View) NewAnnouncement() Announcement {
 	v.version++
 	a := Announcement{Member: v.Self, Version: v.version, Retired: v.retired}
 	for n, o := range v.others {
 		if !o.heard.Retired {
 			m := Member{Name: n, Incarnation: o.heard.Incarnation, Round: o.heard.Round}
-			a.Sees = append(a.Sees, Seen{Member: m, Learned: !o.direct})
+			a.Members = append(a.Members, SeenMember{Member: m, Learned: !o.direct})
 		}
 	}
-	slices.SortFunc(a.Sees, func(x, y Seen) int { return compare(x.Name, y.Name) })
+	slices.SortFunc(a.Members, func(x, y SeenMember) int { return compare(x.Name, y.Name) })
 	return a
 }
 
--- a/paview/view.go
+++ b/paview/view.go
@@ -8,11 +8,11 @@
 	"papayahead/pabundle"
 )
 
-// FreezeGap is the pause between two calls after which a view trusts nothing it knew. Load: ticks
+// MaxTickGap is the pause between two calls after which a view trusts nothing it knew. Load: ticks
 // of a second or less. Harm: a process that slept while the list dropped its VM acts on keys and
 // shares that others hold by now. Value: above any tick under load, below the time in which the
 // list drops a VM and the others take over.
-const FreezeGap = 3 * time.Second
+const MaxTickGap = 3 * time.Second
 
 // MaxMembers bounds what is taken from announcements.
 const MaxMembers = 512
@@ -33,12 +33,12 @@
 	Version uint64
 	// Retired says that the member uses no view any more and never will again.
 	Retired bool
-	// Sees lists the members that the sender counts, as it last heard of them.
-	Sees []Seen
+	// Members lists the members that the sender counts, as it last heard of them.
+	Members []SeenMember
 }
 
-// Seen is a member as another one counts it.
-type Seen struct {
+// SeenMember is a member as another one counts it.
+type SeenMember struct {
 	Member
 	// Learned says that the sender knows it only from others; what is learned is not passed on,
 	// or two entry VMs would remind each other of a dead one for ever.
@@ -50,8 +50,8 @@
 type View struct {
 	// Self is this entry VM and its start.
 	Self Member
-	// Lag is the longest time that a change of the VM list takes to be seen by every reader.
-	Lag time.Duration
+	// ListLag is the longest time that a change of the VM list takes to be seen by every reader.
+	ListLag time.Duration
 	// Started is when this process started.
 	Started time.Time
 
@@ -72,10 +72,10 @@
 	direct      bool // from the own list or from itself
 }
 
-// List takes a successful read of the VM list: the names of the region's entry VMs, live and
+// UpdateList takes a successful read of the VM list: the names of the region's entry VMs, live and
 // leaving. A name is dropped once reads have lacked it for Lag. While this VM is not named itself,
 // there is no agreed view: either the list is older than this VM, or the platform counts it as gone.
-func (v *View) List(now time.Time, names []pabundle.EntryName) {
+func (v *View) UpdateList(now time.Time, names []pabundle.EntryName) {
 	v.Tick(now)
 	v.listed = now
 	if v.present = slices.Contains(names, v.Self.Name); !v.present {
@@ -93,17 +93,17 @@
 		case slices.Contains(names, n):
 		case o.absentSince.IsZero():
 			o.absentSince = now
-		case now.Sub(o.absentSince) >= v.Lag:
+		case now.Sub(o.absentSince) >= v.ListLag:
 			delete(v.others, n)
 		}
 	}
 	v.settle()
 }
 
-// Hear takes an announcement of another entry VM; older ones than the last are dropped.
-func (v *View) Hear(now time.Time, a Announcement) {
+// Receive takes an announcement of another entry VM; older ones than the last are dropped.
+func (v *View) Receive(now time.Time, a Announcement) {
 	v.Tick(now)
-	if a.Name == v.Self.Name || a.Name == "" || len(a.Sees) > MaxMembers || len(v.others) >= MaxMembers {
+	if a.Name == v.Self.Name || a.Name == "" || len(a.Members) > MaxMembers || len(v.others) >= MaxMembers {
 		return
 	}
 	o := v.other(a.Name)
@@ -113,7 +113,7 @@
 	}
 	o.heard, o.direct = a, true
 	o.incarnation = max(o.incarnation, a.Incarnation)
-	for _, m := range a.Sees {
+	for _, m := range a.Members {
 		if m.Name != v.Self.Name && m.Name != "" && (!m.Learned || v.others[m.Name] != nil) && len(v.others) < MaxMembers {
 			l := v.other(m.Name)
 			l.incarnation = max(l.incarnation, m.Incarnation)
@@ -128,8 +128,8 @@
 // keepers of one key. The guard holds because the gap is found before the view is used again, and
 // the new round makes every confirmation from before the pause worthless.
 func (v *View) Tick(now time.Time) {
-	if !v.last.IsZero() && now.Sub(v.last) > FreezeGap {
-		v.Distrust(now)
+	if !v.last.IsZero() && now.Sub(v.last) > MaxTickGap {
+		v.Invalidate(now)
 	}
 	if now.After(v.last) {
 		v.last = now
@@ -137,8 +137,8 @@
 	v.settle()
 }
 
-// Distrust drops the agreed view and asks to be confirmed anew.
-func (v *View) Distrust(now time.Time) {
+// Invalidate drops the agreed view and asks to be confirmed anew.
+func (v *View) Invalidate(now time.Time) {
 	v.Self.Round++
 	v.agreed = nil
 	v.Started = now
@@ -164,7 +164,7 @@
 
 // settle adopts the members as agreed when all of them confirm.
 func (v *View) settle() {
-	if v.retired || !v.present || v.listed.Sub(v.Started) < v.Lag {
+	if v.retired || !v.present || v.listed.Sub(v.Started) < v.ListLag {
 		return
 	}
 	for _, o := range v.others {
@@ -192,7 +192,7 @@
 	if o.heard.Incarnation < o.incarnation {
 		return false
 	}
-	for _, m := range o.heard.Sees {
+	for _, m := range o.heard.Members {
 		if m.Name == self.Name {
 			return m.Incarnation == self.Incarnation && m.Round >= self.Round
 		}
--- a/paview/view_test.go
+++ b/paview/view_test.go
@@ -16,14 +16,14 @@
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
 func view(name pabundle.EntryName, incarnation uint64) *View {
-	return &View{Self: Member{Name: name, Incarnation: incarnation}, Lag: lag, Started: epoch}
+	return &View{Self: Member{Name: name, Incarnation: incarnation}, ListLag: lag, Started: epoch}
 }
 
 // says is an announcement of a member that counts others.
 func says(name pabundle.EntryName, incarnation, version uint64, sees ...Member) Announcement {
 	a := Announcement{Member: Member{Name: name, Incarnation: incarnation}, Version: version}
 	for _, m := range sees {
-		a.Sees = append(a.Sees, Seen{Member: m})
+		a.Members = append(a.Members, SeenMember{Member: m})
 	}
 	return a
 }
@@ -32,7 +32,7 @@
 	for at := v.last; at.Before(epoch.Add(after)) && !v.last.IsZero(); at = at.Add(time.Second) {
 		v.Tick(at)
 	}
-	v.List(epoch.Add(after), names)
+	v.UpdateList(epoch.Add(after), names)
 }
 
 // Two entry VMs of a region each believe in a set of members. Each case is an order of events after
@@ -52,51 +52,51 @@
 		"a member is silent":                           {1, func(v *View) { list(v, lag, "i", "k") }, nil},
 		"confirmed": {1, func(v *View) {
 			list(v, lag, "i", "k")
-			v.Hear(v.last, says("i", 1, 1, k))
+			v.Receive(v.last, says("i", 1, 1, k))
 		}, []pabundle.EntryName{"i", "k"}},
 		"confirmed to an earlier start": {2, func(v *View) {
 			list(v, lag, "i", "k")
-			v.Hear(v.last, says("i", 1, 1, k))
+			v.Receive(v.last, says("i", 1, 1, k))
 		}, nil},
 		"confirmed to an earlier round": {1, func(v *View) {
 			list(v, lag, "i", "k")
-			v.Hear(v.last, says("i", 1, 1, k))
-			v.Distrust(epoch)
+			v.Receive(v.last, says("i", 1, 1, k))
+			v.Invalidate(epoch)
 			v.Tick(v.last)
 		}, nil},
 		"frozen": {1, func(v *View) {
 			list(v, lag, "k")
-			v.Tick(v.last.Add(FreezeGap + 1))
+			v.Tick(v.last.Add(MaxTickGap + 1))
 		}, nil},
 		"confirmed by a start that is over": {2, func(v *View) {
 			list(v, lag, "a", "i", "k")
-			v.Hear(v.last, says("i", 1, 1, k2))
-			v.Hear(v.last, says("a", 1, 1, k2, Member{"i", 2, 0}))
+			v.Receive(v.last, says("i", 1, 1, k2))
+			v.Receive(v.last, says("a", 1, 1, k2, Member{"i", 2, 0}))
 		}, nil},
 		"another one counts a member that the list lacks": {1, func(v *View) {
 			list(v, lag, "a", "k")
-			v.Hear(v.last, says("a", 1, 1, k, Member{"m", 1, 0}))
+			v.Receive(v.last, says("a", 1, 1, k, Member{"m", 1, 0}))
 		}, nil},
 		"a newcomer is counted at once, and an old list does not drop it": {1, func(v *View) {
 			list(v, lag, "k")
-			v.Hear(v.last, says("m", 1, 1))
+			v.Receive(v.last, says("m", 1, 1))
 			list(v, lag+time.Second, "k")
 			list(v, lag+2*time.Second, "k")
 		}, []pabundle.EntryName{"k", "m"}},
 		"a member that is gone from the list for the lag": {1, func(v *View) {
 			list(v, lag, "k")
-			v.Hear(v.last, says("m", 1, 1, k))
+			v.Receive(v.last, says("m", 1, 1, k))
 			list(v, lag+time.Second, "k")
 			list(v, 2*lag+time.Second, "k")
 		}, []pabundle.EntryName{"k"}},
 		"an older announcement comes late": {1, func(v *View) {
 			list(v, lag, "i", "k")
-			v.Hear(v.last, says("i", 1, 2))
-			v.Hear(v.last, says("i", 1, 1, k))
+			v.Receive(v.last, says("i", 1, 2))
+			v.Receive(v.last, says("i", 1, 1, k))
 		}, nil},
 		"a member retired": {1, func(v *View) {
 			list(v, lag, "i", "k")
-			v.Hear(v.last, Announcement{Member: Member{"i", 1, 0}, Version: 1, Retired: true})
+			v.Receive(v.last, Announcement{Member: Member{"i", 1, 0}, Version: 1, Retired: true})
 		}, []pabundle.EntryName{"k"}},
 	}
 	for name, c := range cases {
@@ -122,11 +122,11 @@
 		}
 		for i, v := range views {
 			if second%3 == i {
-				v.List(now, names)
+				v.UpdateList(now, names)
 			}
-			a := v.Announcement()
+			a := v.NewAnnouncement()
 			for _, o := range views {
-				o.Hear(now, a)
+				o.Receive(now, a)
 			}
 		}
 	}
@@ -152,8 +152,8 @@
 		if a, err := AnnouncementFromWire(&m); err == nil {
 			v := view("k", 1)
 			list(v, lag, "i", "k")
-			v.Hear(v.last, a)
-			v.Announcement().Wire()
+			v.Receive(v.last, a)
+			v.NewAnnouncement().Wire()
 		}
 	})
 }
--- a/paview/wire.go
+++ b/paview/wire.go
@@ -15,7 +15,7 @@
 	m := &pawire.MemberView{
 		Name: string(a.Name), Incarnation: a.Incarnation, Round: a.Round, Version: a.Version, Retired: a.Retired,
 	}
-	for _, s := range a.Sees {
+	for _, s := range a.Members {
 		m.Members = append(m.Members, &pawire.SeenMember{
 			Name: string(s.Name), Incarnation: s.Incarnation, Round: s.Round, Learned: s.Learned,
 		})
@@ -40,7 +40,7 @@
 			return Announcement{}, trace.BadParameter("member view: a member's name has %d bytes, want 1 to %d", n, maxName)
 		}
 		seen := Member{pabundle.EntryName(s.GetName()), s.GetIncarnation(), s.GetRound()}
-		a.Sees = append(a.Sees, Seen{Member: seen, Learned: s.GetLearned()})
+		a.Members = append(a.Members, SeenMember{Member: seen, Learned: s.GetLearned()})
 	}
 	return a, nil
 }
