--- a/paentry/asks.go
+++ b/paentry/asks.go
@@ -11,50 +11,50 @@
 	"papayahead/paevent"
 )
 
-// errTooManyCalls says that an ask was not sent because too many calls were under way.
-var errTooManyCalls = trace.LimitExceeded("too many calls to other entry VMs are under way")
+// errTooManyCalls is the failure of a credit request that was dropped because maxControlCalls were in progress.
+var errTooManyCalls = trace.LimitExceeded("credit request not sent: too many calls to other entry VMs in progress")
 
-// askAnswer is what became of one ask for credits.
-type askAnswer string
+// askOutcome is the outcome of one credit request.
+type askOutcome string
 
-// The answers, as the metric names them.
+// The values of the label "answer" of papayahead_credit_asks_total.
 const (
-	askGranted askAnswer = "Granted"
-	askEmpty   askAnswer = "Empty"
-	askFailed  askAnswer = "Failed"
+	askGranted askOutcome = "Granted"
+	askEmpty   askOutcome = "Empty"
+	askFailed  askOutcome = "Failed"
 )
 
-// withheldAsks is how many asks in a row for waiting requests get no credit before it is logged: a
-// second of them or more.
-const withheldAsks = 20
+// withheldThreshold is the number of consecutive credit requests for waiting requests that are answered
+// without a credit before this is logged; it corresponds to a second or more of asking.
+const withheldThreshold = 20
 
-// askRecord knows which granters fail or grant nothing, so that each spell is logged once. The zero
-// value is ready for use.
-type askRecord struct {
-	mutex  sync.Mutex
-	spells map[netip.AddrPort]askSpell
+// askStreaks tracks the granters that fail to answer or grant nothing, so that each streak is logged
+// once. The zero value is ready for use.
+type askStreaks struct {
+	mutex   sync.Mutex
+	streaks map[netip.AddrPort]askStreak
 }
 
-// askSpell is a granter's asks in a row without a credit.
-type askSpell struct {
+// askStreak counts consecutive credit requests to one granter that brought no credit.
+type askStreak struct {
 	failed, empty int
 	logged        bool
 }
 
-// count takes the outcome of one ask and returns the event to log, nil for none.
-func (r *askRecord) count(granter netip.AddrPort, a askAnswer, reason string) paevent.Event {
+// count records the outcome of one credit request and returns the event to log, or nil.
+func (r *askStreaks) count(granter netip.AddrPort, a askOutcome, reason string) paevent.Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	s := r.spells[granter]
+	s := r.streaks[granter]
 	if a == askGranted {
-		delete(r.spells, granter)
+		delete(r.streaks, granter)
 		if s.logged {
 			return paevent.CreditsAnswered{Granter: granter.String()}
 		}
 		return nil
 	}
-	if r.spells == nil {
-		r.spells = map[netip.AddrPort]askSpell{}
+	if r.streaks == nil {
+		r.streaks = map[netip.AddrPort]askStreak{}
 	}
 	var e paevent.Event
 	switch a {
@@ -63,17 +63,18 @@
 			e = paevent.CreditsUnanswered{Granter: granter.String(), Reason: reason}
 		}
 	default:
-		if s.empty++; s.empty == withheldAsks {
+		if s.empty++; s.empty == withheldThreshold {
 			e = paevent.CreditsWithheld{Granter: granter.String(), Asks: s.empty}
 		}
 	}
 	s.logged = s.logged || e != nil
-	r.spells[granter] = s
+	r.streaks[granter] = s
 	return e
 }
 
-// noteAsk counts an ask and logs where a spell without credits begins and ends.
-func (p *peers) noteAsk(a pacontrol.AskCredit, g pacredit.Grant, err error) {
+// recordAsk counts a credit request in the metrics and logs the start and end of a streak without
+// credits. An empty answer to a request made ahead of demand does not count towards a streak.
+func (p *peers) recordAsk(a pacontrol.AskCredit, g pacredit.Grant, err error) {
 	answer, reason := askGranted, ""
 	switch {
 	case err != nil:
@@ -82,12 +83,12 @@
 		answer = askEmpty
 	}
 	for _, x := range a.Ask.Items {
-		p.daemon.metrics.asks(x.Service, a.Ahead, answer).Inc()
+		p.daemon.metrics.creditAsks(x.Service, a.Ahead, answer).Inc()
 	}
 	if a.Ahead && answer == askEmpty {
 		return
 	}
-	if e := p.asks.count(a.Address, answer, reason); e != nil {
+	if e := p.askStreaks.count(a.Address, answer, reason); e != nil {
 		p.daemon.record(e)
 	}
 }
--- a/paentry/config.go
+++ b/paentry/config.go
@@ -14,7 +14,7 @@
 	"papayahead/pasetting"
 )
 
-// Network is what a daemon reaches others by.
+// Network opens listeners and connections; tests replace it by a network in memory.
 type Network interface {
 	// Listen opens a TCP listener.
 	Listen(ctx context.Context, a netip.AddrPort) (net.Listener, error)
@@ -22,25 +22,25 @@
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Config is everything that a Daemon touches.
+// Config holds the settings of a Daemon and the services that it uses.
 type Config struct {
 	Settings pasetting.Entry
 	// Version is reported in events.
 	Version string
-	// Incarnation tells this process from its predecessors of the same name: milliseconds since 1970.
+	// Incarnation distinguishes this process from earlier ones of the same name: milliseconds since 1970.
 	Incarnation pamember.Incarnation
 	Clock       clockwork.Clock
-	// Random belongs to the Daemon.
+	// Random must not be used by others: the Daemon does not lock it.
 	Random   *rand.Rand
 	Store    paplatform.Store
-	VMList paplatform.VMList
+	VMList   paplatform.VMList
 	Network  Network
 	Recorder *paevent.Recorder
 }
 
 // TCP is the Network of the operating system.
 type TCP struct {
-	// LocalAddr is the local address of connections that are dialled; the zero value leaves it to the system.
+	// LocalAddr is the local address of outgoing connections; the zero value lets the system choose.
 	LocalAddr netip.Addr
 
 	listen net.ListenConfig
--- a/paentry/daemon.go
+++ b/paentry/daemon.go
@@ -30,7 +30,7 @@
 	control  *pacontrol.Control
 	snapshot atomic.Pointer[pacontrol.Snapshot]
 	steps    chan step
-	// done ends when the control goroutine has, draining when the graceful shutdown begins.
+	// done is closed when the control goroutine has returned, draining when the graceful shutdown begins.
 	done, draining chan struct{}
 
 	front   *paproxy.Front
@@ -40,10 +40,11 @@
 	heads   *paroll.HeadWatch
 	metrics *metrics
 
-	ids      atomic.Uint64
-	flights  sync.Map // exchange to *flight
+	lastID   atomic.Uint64
+	requests sync.Map // paproxy.Request.Exchange to *pendingRequest
 	inFlight atomic.Int64
-	waiting  map[paowner.RequestID]*flight
+	// waiting are the requests that may get a placement; only the control goroutine uses it.
+	waiting map[paowner.RequestID]*pendingRequest
 
 	listeners  listeners
 	tasks      sync.WaitGroup
@@ -51,10 +52,10 @@
 	tasksEnded bool
 }
 
-// listeners are the open ports.
+// listeners holds the listening sockets; a nil one is not open.
 type listeners struct{ callers, peers, operators net.Listener }
 
-// New returns a Daemon that has opened no port yet.
+// New returns a Daemon; Run opens its ports. It fails if the control state refuses the settings.
 func New(c Config) (*Daemon, error) {
 	s := c.Settings
 	k, err := pacontrol.New(pacontrol.Config{
@@ -78,7 +79,7 @@
 		steps:    make(chan step, stepBuffer),
 		done:     make(chan struct{}),
 		draining: make(chan struct{}),
-		waiting:  map[paowner.RequestID]*flight{},
+		waiting:  map[paowner.RequestID]*pendingRequest{},
 		metrics:  newMetrics(),
 	}
 	d.snapshot.Store(&pacontrol.Snapshot{})
@@ -94,27 +95,28 @@
 	return d, nil
 }
 
-// Run opens the ports and serves until the context ends; then it shuts down gracefully and returns.
-// A second end, of hard, gives up what still runs.
-func (d *Daemon) Run(ctx, hard context.Context) error {
+// Run opens the ports and serves until ctx is cancelled, then shuts down gracefully and returns.
+// Cancelling abort cuts the shutdown short: requests in flight are dropped. Run returns an error
+// only if a port can't be opened.
+func (d *Daemon) Run(ctx, abort context.Context) error {
 	if err := d.open(ctx); err != nil {
 		return trace.Wrap(err)
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	d.serve(life)
+	serveCtx, stopServing := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopServing()
+	d.serve(serveCtx)
 	s := d.config.Settings
 	d.record(paevent.Started{
 		Role: "entry", Version: d.config.Version, Zone: string(s.Zone),
 		Callers: s.CallersAddress.String(), Peers: s.PeersAddress.String(),
 	})
 	<-ctx.Done()
-	d.drain(hard)
-	end()
+	d.drain(abort)
+	stopServing()
 	d.listeners.close()
 	d.endTasks()
 	d.targets.Close()
-	// What is idle closes with the process in any case.
+	// The error does not matter: only idle connections are left.
 	_ = d.front.Peers.Close()
 	return nil
 }
@@ -143,18 +145,18 @@
 	}
 }
 
-// serve starts the goroutines; all end with the context.
+// serve starts the daemon's goroutines; they return when ctx is cancelled.
 func (d *Daemon) serve(ctx context.Context) {
 	go d.runControl(ctx)
-	d.spawn(func() { d.listMachines(ctx) })
+	d.spawn(func() { d.pollVMList(ctx) })
 	d.spawn(func() { d.heads.Run(ctx) })
 	d.spawn(func() { d.servePeers(ctx) })
-	d.spawn(func() { d.measure(ctx) })
+	d.spawn(func() { d.reportCPU(ctx) })
 	d.spawn(func() { d.serveHTTP(ctx, d.listeners.callers, d.callersHandler()) })
 	d.spawn(func() { d.serveHTTP(ctx, d.listeners.operators, d.operatorsHandler()) })
 }
 
-// endTasks waits for all tasks and lets none begin.
+// endTasks keeps further tasks from starting and waits for the running ones.
 func (d *Daemon) endTasks() {
 	d.tasksMutex.Lock()
 	d.tasksEnded = true
@@ -162,9 +164,9 @@
 	d.tasks.Wait()
 }
 
-// spawn runs a task that Run waits for. After Run began to wait for the last of them it runs none: the
-// control goroutine, which is no task, may still want to send, and a task that joins while the others
-// are waited for corrupts the wait.
+// spawn runs f on a goroutine that Run waits for. Once endTasks has been called it does nothing: the
+// control goroutine, which is not a task, may still start calls then, and WaitGroup.Add must not run
+// concurrently with WaitGroup.Wait.
 func (d *Daemon) spawn(f func()) {
 	d.tasksMutex.Lock()
 	defer d.tasksMutex.Unlock()
@@ -178,32 +180,32 @@
 	}()
 }
 
-// serveHTTP serves until the context ends, and then until what is under way has been written: the
-// last piece of an answer may still stand in net/http when its request is over.
+// serveHTTP serves until ctx is cancelled, then shuts the server down, which waits until responses in
+// progress are written: net/http may still buffer the end of a response after its handler returned.
 func (d *Daemon) serveHTTP(ctx context.Context, l net.Listener, h http.Handler) {
-	server := paproxy.Limits{}.Server(d.closing(h))
+	server := paproxy.Limits{}.Server(d.closeWhenDraining(h))
 	flushed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(flushed)
-		limit, cancel := paclock.WithTimeout(context.WithoutCancel(ctx), d.config.Clock, flushLimit)
+		limit, cancel := paclock.WithTimeout(context.WithoutCancel(ctx), d.config.Clock, flushTimeout)
 		defer cancel()
 		if server.Shutdown(limit) != nil {
 			server.Close()
 		}
 	})
-	// Serve returns only because the server or its listener was closed, which ends the daemon.
+	// Serve returns only once the server or its listener is closed, on shutdown.
 	_ = server.Serve(paproxy.Watch(l))
 	if !stop() {
 		<-flushed
 	}
 }
 
-// flushLimit bounds the writing of what net/http still holds after the last request has ended.
-const flushLimit = 2 * time.Second
+// flushTimeout bounds how long net/http may take to write buffered responses after the last request has ended.
+const flushTimeout = 2 * time.Second
 
-// closing ends each connection with its next answer once the graceful shutdown has begun. The connections without a
-// request stay open until then: a caller's next one may be on its way.
-func (d *Daemon) closing(h http.Handler) http.Handler {
+// closeWhenDraining adds "Connection: close" to responses once the graceful shutdown has begun. Idle
+// connections stay open until then, because a caller's next request may already be on its way.
+func (d *Daemon) closeWhenDraining(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-d.draining:
@@ -214,9 +216,10 @@
 	})
 }
 
-// drain is the graceful shutdown. Peers and look-ups are told first, so that no new caller is sent
-// here; then the daemon serves on until cached answers have expired and the last request has ended.
-func (d *Daemon) drain(hard context.Context) {
+// drain shuts down gracefully. It first tells the peers, which leave this entry VM out of their
+// look-up answers, then serves on until cached answers have expired and the last request has ended,
+// the drain limit has passed or abort is cancelled.
+func (d *Daemon) drain(abort context.Context) {
 	start := d.config.Clock.Now()
 	d.record(paevent.Stopping{Reason: "asked to stop", InFlight: int(d.inFlight.Load())})
 	d.post(pacontrol.StopAsked{})
@@ -225,8 +228,8 @@
 	defer wait.Stop()
 	select {
 	case <-wait.Chan():
-		d.awaitIdle(hard, start.Add(d.config.Settings.DrainLimit))
-	case <-hard.Done():
+		d.awaitIdle(abort, start.Add(d.config.Settings.DrainLimit))
+	case <-abort.Done():
 	}
 	d.stepAndWait(pacontrol.Departed{})
 	d.record(paevent.Stopped{
@@ -236,20 +239,20 @@
 }
 
 const (
-	// drainMargin is the time that the news of a leaving entry VM takes to reach whoever answers
-	// look-ups, and a caller's request to arrive. Harm of less: a caller that looked up just before
-	// is cut off.
+	// drainMargin allows for the time until every entry VM that answers look-ups knows that this one is
+	// leaving, and until a caller's request arrives. If it is too short, a caller that looked up just
+	// before is cut off.
 	drainMargin = 2 * time.Second
-	// idlePoll is how often a draining daemon looks whether it is idle.
-	idlePoll = 50 * time.Millisecond
+	// idlePollInterval is how often a draining daemon checks for requests in flight.
+	idlePollInterval = 50 * time.Millisecond
 )
 
-// awaitIdle waits for the last request, the hard stop or the limit.
-func (d *Daemon) awaitIdle(hard context.Context, limit time.Time) {
+// awaitIdle waits until no request is in flight, abort is cancelled or the limit has passed.
+func (d *Daemon) awaitIdle(abort context.Context, limit time.Time) {
 	for d.inFlight.Load() > 0 && d.config.Clock.Now().Before(limit) {
 		select {
-		case <-d.config.Clock.After(idlePoll):
-		case <-hard.Done():
+		case <-d.config.Clock.After(idlePollInterval):
+		case <-abort.Done():
 			return
 		}
 	}
@@ -257,7 +260,7 @@
 
 func (d *Daemon) record(e paevent.Event) { d.config.Recorder.Record(e) }
 
-// sleep waits and reports whether the context is still alive.
+// sleep waits for t and returns true, or returns false as soon as ctx is cancelled.
 func sleep(ctx context.Context, c clockwork.Clock, t time.Duration) bool {
 	select {
 	case <-c.After(t):
--- a/paentry/daemon_test.go
+++ b/paentry/daemon_test.go
@@ -30,8 +30,8 @@
 	"papayahead/pastand"
 )
 
-// fleet is seven daemons with targets in one process, on a network in memory and a clock that the
-// test moves.
+// fleet runs seven daemons and their targets in one process, on a network in memory and a fake clock
+// that advances 10 ms every 4 ms.
 type fleet struct {
 	t        *testing.T
 	network  *panetwork.Network
@@ -60,7 +60,7 @@
 	}
 	f.bundle = b
 	f.startTargets()
-	f.planEntries()
+	f.addEntries()
 	ticking, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() {
@@ -69,18 +69,19 @@
 			time.Sleep(4 * time.Millisecond)
 		}
 	}()
-	t.Cleanup(f.awaitEnd)
+	t.Cleanup(f.awaitShutdown)
 	for i := range f.entries {
 		f.start(i)
 	}
 	return f
 }
 
-// awaitEnd runs after every daemon was told to stop: one that goes on would log into an ended test.
-func (f *fleet) awaitEnd() {
+// awaitShutdown waits for all daemons, because one that outlives its test would log into an ended test.
+// It is to run after each has been told to stop.
+func (f *fleet) awaitShutdown() {
 	for _, e := range f.ended {
 		if err := <-e; err != nil {
-			f.t.Errorf("a daemon ended with %v", err)
+			f.t.Errorf("Run returned %v", err)
 		}
 	}
 }
@@ -88,7 +89,10 @@
 func (f *fleet) startTargets() {
 	for _, s := range f.bundle.Services {
 		for _, g := range s.Targets {
-			target := &pastand.Target{Name: string(g.Name), Slots: g.Slots, RunTimes: map[string]pastand.RunTime{"": {Mean: 5 * time.Millisecond}}, Clock: f.clock, Random: rand.New(rand.NewPCG(1, 1))}
+			target := &pastand.Target{
+				Name: string(g.Name), Slots: g.Slots, RunTimes: map[string]pastand.RunTime{"": {Mean: 5 * time.Millisecond}},
+				Clock: f.clock, Random: rand.New(rand.NewPCG(1, 1)),
+			}
 			h := &panetwork.Host{Network: f.network, Address: g.Address.Addr()}
 			l, err := h.Listen(context.Background(), g.Address)
 			if err != nil {
@@ -101,7 +105,8 @@
 	}
 }
 
-func (f *fleet) planEntries() {
+// addEntries plans one entry VM per zone, and a second one in the first zone, and adds them to the VM list.
+func (f *fleet) addEntries() {
 	zones := []pabundle.ZoneName{f.bundle.Regions[0].Zones[0]}
 	regions := map[pabundle.ZoneName]pabundle.RegionName{}
 	for _, r := range f.bundle.Regions {
@@ -115,7 +120,8 @@
 		e := pasetting.Entry{
 			Name: pabundle.EntryName(fmt.Sprintf("entry-%d", i+1)), Zone: z, Region: regions[z], Deployment: f.bundle.Deployment,
 			Callers: netip.AddrPortFrom(ip, 1), Peers: netip.AddrPortFrom(ip, 2), Operators: netip.AddrPortFrom(ip, 3),
-			TimeToLive: time.Second, ListLag: 2 * time.Second, DrainLimit: time.Minute, MaxConnections: 100, MaxRequests: 100, MaxBytes: 1 << 24,
+			TimeToLive: time.Second, ListLag: 2 * time.Second, DrainLimit: time.Minute,
+			MaxConnections: 100, MaxRequests: 100, MaxBytes: 1 << 24,
 		}
 		e.CallersAddress, e.PeersAddress = e.Callers, e.Peers
 		e.Store, _ = url.Parse("http://10.99.1.1:1")
@@ -149,7 +155,8 @@
 	f.t.Cleanup(cancel)
 }
 
-func (f *fleet) roll(g *WithT) {
+// rollOut proposes, reviews, signs off and rolls out the bundle.
+func (f *fleet) rollOut(g *WithT) {
 	o := func(name string) *paroll.Operator {
 		return &paroll.Operator{Name: name, Deployment: f.bundle.Deployment, Store: f.store, Clock: f.clock}
 	}
@@ -165,8 +172,8 @@
 	g.Expect(r.Outcome).To(Equal(paroll.Won))
 }
 
-// ask sends a request to an entry VM and returns the outcome.
-func (f *fleet) ask(i int, method, key string) string {
+// request sends a request to entry VM i and returns the outcome, with the reason after a space, or the error.
+func (f *fleet) request(i int, method, key string) string {
 	h := &panetwork.Host{Network: f.network, Address: netip.MustParseAddr("10.1.0.9")}
 	c := &http.Client{Transport: &http.Transport{DialContext: h.Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	q, err := http.NewRequest(method, "http://"+f.entries[i].Callers.String()+"/Services/deposits/?Size=100", http.NoBody)
@@ -189,7 +196,7 @@
 	return outcome
 }
 
-// outcomeOf reads an answer to a request for 100 bytes.
+// outcomeOf returns the outcome and reason of a response to a request for 100 bytes, "short" if bytes are missing.
 func outcomeOf(r *http.Response) (string, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -206,12 +213,13 @@
 	return outcome, nil
 }
 
-// A planned stop closed the connections without a request at once, also those with one on its way.
-func TestAPlannedStopServesWhatIsOnItsWay(t *testing.T) {
+// Guards against a graceful shutdown that closes idle connections at once: a request that is already on its
+// way on one of them is lost then.
+func TestDrainServesRequestsOnOpenConnections(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
-	f.roll(g)
-	g.Eventually(func() string { return f.ask(1, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
+	f.rollOut(g)
+	g.Eventually(func() string { return f.request(1, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
 	h := &panetwork.Host{Network: f.network, Address: netip.MustParseAddr("10.1.0.9")}
 	c, err := h.Dial(context.Background(), "tcp", f.entries[1].Callers.String())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -236,31 +244,32 @@
 	stopping := f.clock.Now()
 	g.Eventually(func() time.Duration { return f.clock.Since(stopping) }).Should(BeNumerically(">", time.Second))
 	outcome, last, err := send()
-	g.Expect(err).NotTo(HaveOccurred(), "the connection had no request when the stop began")
+	g.Expect(err).NotTo(HaveOccurred(), "a request on a connection that was idle when the shutdown began")
 	if outcome != "Answered" {
-		// While its targets go to other entry VMs it may know of none; a caller then goes elsewhere.
+		// While its targets move to other entry VMs it may know of none; the caller then retries elsewhere.
 		g.Expect(outcome).To(Equal("NotRun NoTarget"))
-		g.Eventually(func() string { return f.ask(0, http.MethodGet, "") }).WithTimeout(2 * time.Second).Should(Equal("Answered"))
+		g.Eventually(func() string { return f.request(0, http.MethodGet, "") }).WithTimeout(2 * time.Second).Should(Equal("Answered"))
 	}
-	g.Expect(last).To(BeTrue(), "the answer ends its connection")
+	g.Expect(last).To(BeTrue(), "the response carries Connection: close")
 	g.Eventually(f.ended[1]).WithTimeout(20 * time.Second).Should(Receive(BeNil()))
 }
 
-// A program embeds the daemon: seven of them on its own network and clock serve requests, take a
-// roll-out, and one stops gracefully while the others go on.
+// Seven daemons embedded in one program, on its own network and clock, apply a roll-out and serve
+// requests, and one shuts down gracefully while the others keep serving.
 func TestSevenDaemonsInOneProcess(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
-	g.Expect(f.ask(0, http.MethodGet, "")).To(HavePrefix("NotRun"), "before the first roll-out there is no bundle")
-	f.roll(g)
+	g.Expect(f.request(0, http.MethodGet, "")).To(HavePrefix("NotRun"), "before the first roll-out there is no bundle")
+	f.rollOut(g)
 	for i := range f.entries {
-		g.Eventually(func() string { return f.ask(i, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
+		g.Eventually(func() string { return f.request(i, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
 	}
 	key := 0
-	g.Eventually(func() string { key++; return f.ask(3, http.MethodPost, fmt.Sprintf("key-%d", key)) }).
+	g.Eventually(func() string { key++; return f.request(3, http.MethodPost, fmt.Sprintf("key-%d", key)) }).
 		WithTimeout(20 * time.Second).Should(Equal("Answered"))
-	g.Expect(f.ask(5, http.MethodPost, fmt.Sprintf("key-%d", key))).To(Equal("Answered Repeated"), "a repeat is told how the first copy ended")
+	g.Expect(f.request(5, http.MethodPost, fmt.Sprintf("key-%d", key))).
+		To(Equal("Answered Repeated"), "a repeat gets the outcome of the first copy")
 	f.stop[1]()
 	g.Eventually(f.ended[1]).WithTimeout(20 * time.Second).Should(Receive(BeNil()))
-	g.Expect(f.ask(0, http.MethodGet, "")).To(Equal("Answered"))
+	g.Expect(f.request(0, http.MethodGet, "")).To(Equal("Answered"))
 }
--- a/paentry/limits.go
+++ b/paentry/limits.go
@@ -14,13 +14,13 @@
 	"papayahead/pawire"
 )
 
-// The calls by which daemons keep their limits, and the answers to them.
+// Client and server of the calls for credits, agreement on the members and the idempotency-key ledger.
 
 func (p *peers) askCredit(ctx context.Context, a pacontrol.AskCredit) {
-	dropped := func() { p.noteAsk(a, pacredit.Grant{}, errTooManyCalls) }
-	p.call(ctx, controlTimeout, dropped, func(ctx context.Context) {
+	dropped := func() { p.recordAsk(a, pacredit.Grant{}, errTooManyCalls) }
+	p.startCall(ctx, controlTimeout, dropped, func(ctx context.Context) {
 		g, err := p.askGrant(ctx, a)
-		p.noteAsk(a, g, err)
+		p.recordAsk(a, g, err)
 		if err == nil {
 			p.daemon.post(pacontrol.CreditGranted{Grant: g})
 		}
@@ -38,7 +38,7 @@
 }
 
 func (p *peers) announce(ctx context.Context, a pacontrol.Announce) {
-	p.call(ctx, controlTimeout, nothing, func(ctx context.Context) {
+	p.startCall(ctx, controlTimeout, ignoreDrop, func(ctx context.Context) {
 		w, err := pawire.NewDRPCAgreementClient(p.conn(ctx, a.Address)).Announce(ctx, a.Announcement.Wire())
 		if err != nil {
 			return
@@ -52,7 +52,7 @@
 }
 
 func (p *peers) askStanding(ctx context.Context, a pacontrol.AskStanding) {
-	p.call(ctx, controlTimeout, nothing, func(ctx context.Context) {
+	p.startCall(ctx, controlTimeout, ignoreDrop, func(ctx context.Context) {
 		c := pawire.NewDRPCAgreementClient(p.conn(ctx, a.Address))
 		w, err := c.Standing(ctx, &pawire.StandingAsk{Sequence: uint64(a.Sequence)})
 		if err != nil {
@@ -66,14 +66,14 @@
 	})
 }
 
-// claimAttempts is how often a claim is sent. Failure: a kept connection to the keeper has broken, and
-// shows as a claim that is lost at once. A claim is idempotent: its keeper grants a key to one copy,
-// however often that copy asks.
+// claimAttempts is the number of times a claim is sent. A pooled connection to the key's keeper may have
+// broken, which makes the first attempt fail at once. Repeating is safe: the keeper grants a key to one
+// copy of a request, however often that copy claims it.
 const claimAttempts = 2
 
 func (p *peers) claim(ctx context.Context, c pacontrol.ClaimKey) {
 	answer := pacontrol.Claimed{Request: c.Request, Lost: true}
-	p.call(ctx, controlTimeout, func() { go p.daemon.post(answer) }, func(ctx context.Context) {
+	p.startCall(ctx, controlTimeout, func() { go p.daemon.post(answer) }, func(ctx context.Context) {
 		for range claimAttempts {
 			w, err := pawire.NewDRPCLedgerClient(p.conn(ctx, c.Address)).Claim(ctx, c.Claim.Wire())
 			if err != nil {
@@ -89,27 +89,27 @@
 }
 
 const (
-	// settleAttempts bounds how often a settlement is sent. Load: a keeper that is slow for a moment.
-	// Harm of less: the caller's repeats are told Unknown, which is true but of no use to them.
+	// settleAttempts bounds how often a settlement is sent, to outlast a keeper that is slow for a moment.
+	// If none arrives, repeats of the request are answered Unknown, which is true but of no use to the caller.
 	settleAttempts = 3
-	// settlePause is the time between them.
-	settlePause = 200 * time.Millisecond
+	// settleRetryDelay is the time between two of these attempts.
+	settleRetryDelay = 200 * time.Millisecond
 )
 
 func (p *peers) settle(ctx context.Context, s pacontrol.SettleKey) {
-	p.call(ctx, settleAttempts*(controlTimeout+settlePause), nothing, func(ctx context.Context) {
+	p.startCall(ctx, settleAttempts*(controlTimeout+settleRetryDelay), ignoreDrop, func(ctx context.Context) {
 		for range settleAttempts {
 			_, err := pawire.NewDRPCLedgerClient(p.conn(ctx, s.Address)).Settle(ctx, s.Settlement.Wire())
-			if err == nil || !sleep(ctx, p.daemon.config.Clock, settlePause) {
+			if err == nil || !sleep(ctx, p.daemon.config.Clock, settleRetryDelay) {
 				return
 			}
 		}
 	})
 }
 
-func (p *peers) handKeys(ctx context.Context, h pacontrol.HandKeys) {
-	p.call(ctx, pieceTimeout, nothing, func(ctx context.Context) {
-		// A lost part leaves the handover incomplete, and the successor refuses what it does not know.
+func (p *peers) handOverKeys(ctx context.Context, h pacontrol.HandKeys) {
+	p.startCall(ctx, pieceTimeout, ignoreDrop, func(ctx context.Context) {
+		// The error is ignored: if a part is lost, the successor refuses the keys that it does not know.
 		_, _ = pawire.NewDRPCLedgerClient(p.conn(ctx, h.Address)).Handover(ctx, h.Handover.Wire())
 	})
 }
@@ -121,7 +121,7 @@
 		return nil, trace.Wrap(err)
 	}
 	reply := pacredit.Grant{}
-	s.daemon.ask(pacontrol.CreditAsked{Ask: a, Ahead: w.GetAhead()}, func(e pacontrol.Effect) bool {
+	s.daemon.stepAndReply(pacontrol.CreditAsked{Ask: a, Ahead: w.GetAhead()}, func(e pacontrol.Effect) bool {
 		g, ok := e.(pacontrol.ReplyGrant)
 		if ok {
 			reply = g.Grant
@@ -138,7 +138,7 @@
 		return nil, trace.Wrap(err)
 	}
 	reply := paview.Announcement{}
-	s.daemon.ask(pacontrol.Announced{Announcement: a}, func(e pacontrol.Effect) bool {
+	s.daemon.stepAndReply(pacontrol.Announced{Announcement: a}, func(e pacontrol.Effect) bool {
 		r, ok := e.(pacontrol.ReplyAnnounce)
 		if ok {
 			reply = r.Announcement
@@ -151,7 +151,7 @@
 // Standing implements pawire.DRPCAgreementServer.
 func (s *peerServer) Standing(_ context.Context, w *pawire.StandingAsk) (*pawire.StandingTold, error) {
 	reply := pacontrol.Standing{}
-	s.daemon.ask(pacontrol.StandingAsked{Sequence: pabundle.Sequence(w.GetSequence())}, func(e pacontrol.Effect) bool {
+	s.daemon.stepAndReply(pacontrol.StandingAsked{Sequence: pabundle.Sequence(w.GetSequence())}, func(e pacontrol.Effect) bool {
 		r, ok := e.(pacontrol.ReplyStanding)
 		if ok {
 			reply = r.Standing
@@ -168,7 +168,7 @@
 		return nil, trace.Wrap(err)
 	}
 	reply := paledger.Reply{}
-	s.daemon.ask(pacontrol.ClaimAsked{Claim: c}, func(e pacontrol.Effect) bool {
+	s.daemon.stepAndReply(pacontrol.ClaimAsked{Claim: c}, func(e pacontrol.Effect) bool {
 		r, ok := e.(pacontrol.ReplyClaim)
 		if ok {
 			reply = r.Reply
--- a/paentry/links.go
+++ b/paentry/links.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// headBytes is what a request's or answer's head counts for on a link.
+	// headBytes is the size that is assumed for the head of a request or response on a link.
 	headBytes palink.Bytes = 1 << 10
-	// noRatePause is how long a body waits to look again while this entry VM has no part of a link:
-	// the region's entry VMs do not agree on who counts, which they do within seconds.
-	noRatePause = 100 * time.Millisecond
-	// linkComeBack is what a caller is told when the link is full, if the link gave no time.
-	linkComeBack = time.Second
+	// noRateRetry is how long a body waits before it checks again whether this entry VM has a share of the
+	// link. It has none while the region's entry VMs disagree on their members, which lasts seconds.
+	noRateRetry = 100 * time.Millisecond
+	// linkRetryAfter is the least time after which a caller may retry when the link is full.
+	linkRetryAfter = time.Second
 )
 
-// links keeps what this entry VM sends to each other region within its part of the link. Traffic
-// uses it directly, under one lock that is held for a few hundred nanoseconds.
+// links limits the rate at which this entry VM sends to each other region to its share of the link.
+// Request goroutines call it directly, under one mutex that is held for a few hundred nanoseconds.
 type links struct {
 	clock clockwork.Clock
 	self  pabundle.RegionName
 
 	mu      sync.Mutex
 	budgets map[pabundle.RegionName]*palink.Budget
-	// regions are the entry VMs' regions.
+	// regions maps each entry VM to its region.
 	regions map[pabundle.EntryName]pabundle.RegionName
-	// sent counts the bytes that each request under way has sent over a link.
+	// sent counts the bytes that each request in flight has sent over a link.
 	sent map[paproxy.RequestID]palink.Bytes
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// follow takes the links' capacities, and who shares them, from a snapshot.
-func (l *links) follow(s *pacontrol.Snapshot) {
+// update sets the budgets from a snapshot's link capacities and number of agreed members.
+func (l *links) update(s *pacontrol.Snapshot) {
 	if s.Bundle == nil || s.View == nil {
 		return
 	}
@@ -71,8 +71,9 @@
 	}
 }
 
-// admit books the head of a request that leaves the region. It reports false when the link has no
-// room for it in time; the placement is ended as not run then, and another one follows.
+// admit reserves link budget for the head of a request that is forwarded to another region. If the link
+// is too busy, it ends the placement as NotRun, for which the control state sends another placement, and
+// returns false.
 func (l *links) admit(p paproxy.Placement, size int64) bool {
 	f, ok := p.(paproxy.Forward)
 	if !ok {
@@ -94,13 +95,13 @@
 		return true
 	}
 	f.Done(paproxy.Result{
-		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, ComeBack: max(linkComeBack, k.ComeBack),
+		Outcome: paproxy.NotRun, Reason: "LinkFull", Fault: paproxy.FaultRefused, ComeBack: max(linkRetryAfter, k.ComeBack),
 	})
 	return false
 }
 
-// budget returns the budget towards an entry VM's region, nil within the own one; the caller holds
-// the lock.
+// budget returns the budget of the link to an entry VM's region. It returns nil, for no limit, within the
+// own region, for an unknown entry VM and without a configured link. The caller holds the mutex.
 func (l *links) budget(to pabundle.EntryName) *palink.Budget {
 	r, ok := l.regions[to]
 	if !ok || r == l.self {
@@ -109,14 +110,15 @@
 	return l.budgets[r]
 }
 
-// Pace implements paproxy.Pacer: it waits until the link has room for the next bytes. The first
-// bytes of a body go with the short messages; what comes after them is a long transfer.
+// Pace implements paproxy.Pacer: it waits until the link's budget allows the next bytes to be sent. The
+// first palink.MaxShort bytes of a request have the priority of short messages, later ones that of long
+// transfers. It returns ctx.Err() if ctx is cancelled first.
 func (l *links) Pace(ctx context.Context, f paproxy.Flow, bytes int) error {
 	if f.Peer == "" || !f.Sending {
 		return nil
 	}
 	for left := palink.Bytes(bytes); left > 0; {
-		n, wait := l.book(f, left)
+		n, wait := l.reserve(f, left)
 		left -= n
 		if wait <= 0 {
 			continue
@@ -130,8 +132,8 @@
 	return nil
 }
 
-// book takes room for up to n bytes and returns for how many, and how long to wait before they go.
-func (l *links) book(f paproxy.Flow, n palink.Bytes) (palink.Bytes, time.Duration) {
+// reserve takes budget for up to n bytes. It returns for how many, and how long to wait before sending them.
+func (l *links) reserve(f paproxy.Flow, n palink.Bytes) (palink.Bytes, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.budget(f.Peer)
@@ -148,13 +150,13 @@
 	n = min(n, palink.MaxChunk)
 	wait, ok := b.Pace(now, n)
 	if !ok {
-		return 0, noRatePause
+		return 0, noRateRetry
 	}
 	l.sent[f.Request] += n
 	return n, wait
 }
 
-// forget drops the account of a request that is over.
+// forget drops the byte count of a request that has ended.
 func (l *links) forget(id paproxy.RequestID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/paentry/lookup.go
+++ b/paentry/lookup.go
@@ -13,11 +13,11 @@
 	"papayahead/paproxy"
 )
 
-// LookUpPath is where callers ask which entry VMs to use: GET /LookUp/SERVICE, with ?Caller=IP to
-// ask for another address than one's own.
+// LookUpPath is where callers look up which entry VMs to use: GET /LookUp/SERVICE. The query parameter
+// Caller=IP looks up for another address than the sender's.
 const LookUpPath = "/LookUp/"
 
-// regionOf returns the region of a caller by its address, this entry VM's own if no block holds it.
+// regionOf returns the region whose address blocks contain the caller, or this entry VM's own if none does.
 func (d *Daemon) regionOf(s *pacontrol.Snapshot, caller netip.Addr) pabundle.RegionName {
 	if s.Blocks != nil {
 		if r, ok := s.Blocks.Region(caller.Unmap()); ok {
@@ -27,8 +27,8 @@
 	return d.config.Settings.Region
 }
 
-// callersHandler routes by prefix and by hand: a ServeMux would answer paths with "//" or ".." by a
-// redirect, which a caller's POST does not survive.
+// callersHandler serves look-ups and requests. It does not use http.ServeMux, which redirects paths that
+// contain "//" or ".."; a client that follows the redirect may turn its POST into a GET.
 func (d *Daemon) callersHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if service, ok := strings.CutPrefix(r.URL.Path, LookUpPath); ok {
@@ -59,8 +59,8 @@
 		refuseLookUp(w, http.StatusBadRequest, "Caller: want an IP address")
 		return
 	}
-	// Look-ups send callers to their own region only: traffic moves between regions by forwarding
-	// alone, so that one budget counts it, and no cached answer can pass the cap.
+	// Look-ups send callers to their own region only. Traffic moves between regions by forwarding alone,
+	// so that one budget counts all of it and cached answers can't exceed the limit on shifted traffic.
 	region := d.regionOf(s, caller)
 	a := s.Plan.Answer(palookup.Query{
 		Service: name, Caller: caller, Region: region, Sequence: s.Head.Sequence,
@@ -68,10 +68,11 @@
 	})
 	a.TimeToLive.Duration = d.config.Settings.TimeToLive
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that went away needs no answer.
+	// A write error means that the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(a)
 }
 
+// callerOf returns the address to look up for: the parameter Caller, or else the sender's.
 func callerOf(r *http.Request) (netip.Addr, bool) {
 	if a := r.URL.Query().Get("Caller"); a != "" {
 		c, err := netip.ParseAddr(a)
@@ -85,7 +86,7 @@
 	return c, err == nil
 }
 
-// lookUpRefusal is the body of a look-up without an answer.
+// lookUpRefusal is the JSON body of a refused look-up.
 type lookUpRefusal struct{ Reason string }
 
 func refuseLookUp(w http.ResponseWriter, status int, reason string) {
--- a/paentry/loop.go
+++ b/paentry/loop.go
@@ -11,20 +11,23 @@
 	"papayahead/paproxy"
 )
 
-// stepBuffer is how many steps may wait. Load: a burst on all connections at once. Harm of less:
-// traffic goroutines block where they only report; of more: a stuck control goroutine shows late.
+// stepBuffer is the capacity of the channel to the control goroutine, enough for a burst on all
+// connections at once. With a smaller one, request goroutines block when they only report an event;
+// with a larger one, a stuck control goroutine is noticed late.
 const stepBuffer = 4096
 
-// step is one event for the control goroutine, and what it needs beside it.
+// step is one event for the control goroutine.
 type step struct {
+	// event may be nil, to only run then.
 	event pacontrol.Event
-	// flight is the request that is offered.
-	flight *flight
-	// then runs on the control goroutine after the event; it must not block.
+	// request is set with a pacontrol.Offered event; it receives the placements.
+	request *pendingRequest
+	// then, if set, runs on the control goroutine after the event and before its effects start; it
+	// must not block.
 	then func(effects []pacontrol.Effect)
 }
 
-// post hands an event to the control goroutine. Once that has ended, events are dropped.
+// post sends an event to the control goroutine. Once that has returned, events are dropped.
 func (d *Daemon) post(e pacontrol.Event) { d.send(step{event: e}) }
 
 func (d *Daemon) send(s step) {
@@ -34,17 +37,17 @@
 	}
 }
 
-// stepAndWait returns after the event has been taken and its effects carried out.
+// stepAndWait sends an event and returns once the control state has applied it.
 func (d *Daemon) stepAndWait(e pacontrol.Event) {
-	taken := make(chan struct{})
-	d.send(step{event: e, then: func([]pacontrol.Effect) { close(taken) }})
+	applied := make(chan struct{})
+	d.send(step{event: e, then: func([]pacontrol.Effect) { close(applied) }})
 	select {
-	case <-taken:
+	case <-applied:
 	case <-d.done:
 	}
 }
 
-// query runs f on the control goroutine and waits for it.
+// query runs f on the control goroutine and waits for it; f does not run if that has returned.
 func (d *Daemon) query(f func(k *pacontrol.Control)) {
 	answered := make(chan struct{})
 	d.send(step{then: func([]pacontrol.Effect) {
@@ -57,7 +60,7 @@
 	}
 }
 
-// runControl owns the control state.
+// runControl is the control goroutine: it applies steps and ticks until ctx is cancelled.
 func (d *Daemon) runControl(ctx context.Context) {
 	defer close(d.done)
 	pause := pamember.TickInterval
@@ -68,12 +71,12 @@
 		case <-ctx.Done():
 			return
 		case <-tick.Chan():
-			d.take(ctx, step{event: pacontrol.Tick{}})
-			pause = d.tickPause()
+			d.handle(ctx, step{event: pacontrol.Tick{}})
+			pause = d.tickInterval()
 			tick.Reset(pause)
 		case s := <-d.steps:
-			d.take(ctx, s)
-			if next := d.tickPause(); next < pause {
+			d.handle(ctx, s)
+			if next := d.tickInterval(); next < pause {
 				pause = next
 				tick.Reset(pause)
 			}
@@ -81,59 +84,61 @@
 	}
 }
 
-// tickPause is the time to the next tick. Without requests nothing is due before the timers of
-// membership and shares, five times a second; an idle daemon's wake-ups cost more than their work.
-func (d *Daemon) tickPause() time.Duration {
+// tickInterval returns the time to the next tick. Without requests in the control state only the
+// timers of membership and shares are due, five times a second; a shorter interval would make an idle
+// daemon spend more on waking up than on the work.
+func (d *Daemon) tickInterval() time.Duration {
 	if d.control.Held() > 0 {
 		return pacontrol.TickInterval
 	}
 	return pamember.TickInterval
 }
 
-func (d *Daemon) take(ctx context.Context, s step) {
-	if s.flight != nil {
-		d.waiting[s.flight.id] = s.flight
+// handle applies one step to the control state and starts its effects.
+func (d *Daemon) handle(ctx context.Context, s step) {
+	if s.request != nil {
+		d.waiting[s.request.id] = s.request
 	}
 	var effects []pacontrol.Effect
 	if s.event != nil {
 		out := d.control.Step(d.config.Clock.Now(), s.event)
 		if out.Snapshot != nil {
 			d.snapshot.Store(out.Snapshot)
-			d.links.follow(out.Snapshot)
-			d.followHeads(out.Snapshot)
+			d.links.update(out.Snapshot)
+			d.updateHeadWatch(out.Snapshot)
 		}
 		effects = out.Effects
 	}
 	if s.then != nil {
 		s.then(effects)
 	}
-	d.carryOut(ctx, effects)
+	d.execute(ctx, effects)
 }
 
-// followHeads lets this daemon watch the store if it is one of those that do so for their zone.
-func (d *Daemon) followHeads(s *pacontrol.Snapshot) {
+// updateHeadWatch starts or stops watching the store's head: a few entry VMs do so for their zone.
+func (d *Daemon) updateHeadWatch(s *pacontrol.Snapshot) {
 	d.heads.Follow(s.Watches)
 	if s.Bundle != nil {
 		d.heads.Known()
 	}
 }
 
-// carryOut starts what the control state decided; nothing here waits.
-func (d *Daemon) carryOut(ctx context.Context, effects []pacontrol.Effect) {
+// execute starts the effects that the control state decided on; it must not block.
+func (d *Daemon) execute(ctx context.Context, effects []pacontrol.Effect) {
 	for _, e := range effects {
 		switch v := e.(type) {
 		case pacontrol.Start:
-			d.placed(v.Request, d.local(v))
+			d.deliver(v.Request, d.localPlacement(v))
 		case pacontrol.Forward:
-			d.placed(v.Request, d.forward(v))
+			d.deliver(v.Request, d.forwardPlacement(v))
 		case pacontrol.Refuse:
-			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), ComeBack: v.ComeBack})
+			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), ComeBack: v.ComeBack})
 			delete(d.waiting, v.Request)
 		case pacontrol.Fail:
-			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
+			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
 			delete(d.waiting, v.Request)
 		case pacontrol.Conclude:
-			d.placed(v.Request, concluded(v))
+			d.deliver(v.Request, knownOutcome(v))
 			delete(d.waiting, v.Request)
 		case pacontrol.AskCredit:
 			d.peers.askCredit(ctx, v)
@@ -146,7 +151,7 @@
 		case pacontrol.SettleKey:
 			d.peers.settle(ctx, v)
 		case pacontrol.HandKeys:
-			d.peers.handKeys(ctx, v)
+			d.peers.handOverKeys(ctx, v)
 		case pacontrol.Send:
 			d.peers.sendMember(ctx, v.Envelope)
 		case pacontrol.OfferHead:
@@ -163,9 +168,9 @@
 	}
 }
 
-// placed hands a placement to the request that waits for it. A request that has gone meanwhile is
-// ended at once, so that its slot is free again: nothing was sent.
-func (d *Daemon) placed(id paowner.RequestID, p paproxy.Placement) {
+// deliver sends a placement to the request that waits for it. The placement of a request that has ended
+// meanwhile is dropped: the Landed event of that request has released its slot.
+func (d *Daemon) deliver(id paowner.RequestID, p paproxy.Placement) {
 	f := d.waiting[id]
 	if f == nil {
 		return
@@ -173,8 +178,8 @@
 	f.placements <- p
 }
 
-// concluded is the final answer to a request of which an earlier copy is known.
-func concluded(v pacontrol.Conclude) paproxy.Placement {
+// knownOutcome returns the final placement of a repeated request whose earlier copy has a known end.
+func knownOutcome(v pacontrol.Conclude) paproxy.Placement {
 	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, ComeBack: v.ComeBack}
 	switch v.Outcome {
 	case paledger.EndedAnswered:
--- a/paentry/metrics.go
+++ b/paentry/metrics.go
@@ -18,7 +18,7 @@
 	"papayahead/paproxy"
 )
 
-// metrics are one daemon's counters; a set of their own keeps daemons in one process apart.
+// metrics holds one daemon's counters, in a set of its own because a process can run many daemons.
 type metrics struct {
 	set     *vm.Set
 	lookUps *vm.Counter
@@ -29,6 +29,7 @@
 	return &metrics{set: s, lookUps: s.NewCounter("papayahead_look_ups_total")}
 }
 
+// finished counts a request and the time from its arrival to its end.
 func (m *metrics) finished(r paproxy.Request, last paproxy.Result, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("papayahead_requests_total{service=%q,outcome=%q,reason=%q}",
 		r.Service, last.Outcome, last.Reason)).Inc()
@@ -39,17 +40,18 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf("papayahead_refusal_seconds{service=%q}", r.Service)).Update(took.Seconds())
 }
 
-// asks counts the asks for credits, ahead of requests or for those that wait.
-func (m *metrics) asks(n pabundle.ServiceName, ahead bool, a askAnswer) *vm.Counter {
+// creditAsks returns the counter of credit requests, made ahead of demand or for waiting requests.
+func (m *metrics) creditAsks(n pabundle.ServiceName, ahead bool, a askOutcome) *vm.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf("papayahead_credit_asks_total{service=%q,ahead=\"%t\",answer=%q}", n, ahead, a))
 }
 
 func (d *Daemon) answerMetrics(w http.ResponseWriter, _ *http.Request) {
 	s := d.snapshot.Load()
+	// Creates the counters of all label values, so that they are written as 0 before the first request.
 	for n := range s.Loads {
-		for _, a := range [...]askAnswer{askGranted, askEmpty, askFailed} {
-			d.metrics.asks(n, true, a)
-			d.metrics.asks(n, false, a)
+		for _, a := range [...]askOutcome{askGranted, askEmpty, askFailed} {
+			d.metrics.creditAsks(n, true, a)
+			d.metrics.creditAsks(n, false, a)
 		}
 	}
 	d.metrics.set.WritePrometheus(w)
@@ -62,14 +64,14 @@
 	vm.WriteProcessMetrics(w)
 }
 
-// writeState writes what the daemon knows of itself and of the deployment.
+// writeState writes the gauges of the daemon itself and of the membership.
 func (d *Daemon) writeState(w io.Writer, s *pacontrol.Snapshot) {
 	vm.WriteGaugeUint64(w, "papayahead_sequence", uint64(s.Head.Sequence))
 	vm.WriteGaugeUint64(w, "papayahead_in_flight", uint64(max(0, d.inFlight.Load())))
 	vm.WriteGaugeUint64(w, "papayahead_owned_targets", uint64(s.Owned))
 	vm.WriteGaugeUint64(w, "papayahead_agreed_members", uint64(s.Members))
-	vm.WriteGaugeUint64(w, "papayahead_stopping", flag(s.Stopping))
-	vm.WriteGaugeUint64(w, "papayahead_watches_store", flag(s.Watches))
+	vm.WriteGaugeUint64(w, "papayahead_stopping", boolGauge(s.Stopping))
+	vm.WriteGaugeUint64(w, "papayahead_watches_store", boolGauge(s.Watches))
 	vm.WriteGaugeFloat64(w, "papayahead_room_use", s.Use)
 	if s.View == nil {
 		return
@@ -101,7 +103,7 @@
 	}
 }
 
-// writeLinks writes this entry VM's part of each link that leaves its region.
+// writeLinks writes this entry VM's share of each link from its region to another.
 func writeLinks(w io.Writer, s *pacontrol.Snapshot, from pabundle.RegionName) {
 	if s.Bundle == nil {
 		return
@@ -114,7 +116,7 @@
 	}
 }
 
-// writeEvents counts the events that ask for attention, so that an alarm can be raised on them.
+// writeEvents writes the counts of all events above level info, so that alerts can be based on them.
 func (d *Daemon) writeEvents(w io.Writer) {
 	for _, e := range paevent.Catalogue() {
 		k := e.Kind()
@@ -126,7 +128,7 @@
 	}
 }
 
-func flag(b bool) uint64 {
+func boolGauge(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/paentry/metrics_page_test.go
+++ b/paentry/metrics_page_test.go
@@ -22,12 +22,13 @@
 	histogramOf = regexp.MustCompile(`_(bucket|sum|count)$`)
 )
 
-// An operator builds an alarm on a metric that the page names and the daemon does not write; it never fires.
+// Guards against a metric that docs/METRICS.md lists and the daemon does not write, or the reverse: an alert
+// on it never fires.
 func TestMetricsPageAgreesWithTheDaemon(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(t)
-	f.roll(g)
-	g.Eventually(func() string { return f.ask(0, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
+	f.rollOut(g)
+	g.Eventually(func() string { return f.request(0, http.MethodGet, "") }).WithTimeout(10 * time.Second).Should(Equal("Answered"))
 	f.get(g, f.entries[0].Callers, "/Services/deposits/", "1")
 	page, err := os.ReadFile("../docs/METRICS.md")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -35,7 +36,7 @@
 	for _, m := range documented.FindAllStringSubmatch(string(page), -1) {
 		listed[m[1]] = true
 	}
-	// Credits are held only while a share goes to another region, which no daemon of this fleet needs.
+	// Credits are held only while a share of the requests goes to another region, which this fleet never needs.
 	written := map[string]bool{"papayahead_credits_held": true}
 	g.Eventually(func() map[string]bool {
 		for _, m := range sampleName.FindAllStringSubmatch(f.get(g, f.entries[0].Operators, paentry.MetricsPath, ""), -1) {
@@ -45,7 +46,7 @@
 	}).WithTimeout(10 * time.Second).Should(Equal(listed))
 }
 
-// get asks for a path, with a deadline in milliseconds, and returns the body.
+// get sends a GET request with the deadline, in milliseconds, in a header, and returns the body.
 func (f *fleet) get(g *WithT, a netip.AddrPort, path, deadline string) string {
 	h := &panetwork.Host{Network: f.network, Address: netip.MustParseAddr("10.1.0.9")}
 	c := &http.Client{Transport: &http.Transport{DialContext: h.Dial, DisableKeepAlives: true}}
--- a/paentry/operators.go
+++ b/paentry/operators.go
@@ -9,17 +9,17 @@
 	"papayahead/pamember"
 )
 
-// The paths of the operators' port, beside paevent.TimelinePath.
+// The paths of the operators' port, in addition to paevent.TimelinePath.
 const (
 	// MetricsPath serves the metrics in the Prometheus text format.
 	MetricsPath = "/Metrics"
-	// HealthPath answers 200 while the daemon takes work and 503 otherwise.
+	// HealthPath answers 200 while the daemon accepts requests, and 503 before it has a bundle or while it stops.
 	HealthPath = "/Health"
 	// StatusPath serves Status.
 	StatusPath = "/Status"
 )
 
-// Status is what a daemon tells operators of itself, as JSON.
+// Status is the JSON answer on StatusPath.
 type Status struct {
 	Entry       pabundle.EntryName
 	Zone        pabundle.ZoneName
@@ -30,12 +30,12 @@
 	InFlight    int64
 	// Owned is the number of targets that this entry VM owns.
 	Owned int
-	// Agreed is how many entry VMs of the region agree on who counts; 0 is no agreement.
+	// Agreed is the number of members that the region's entry VMs agree on; 0 means no agreement.
 	Agreed  int
 	Members []MemberStatus
 }
 
-// MemberStatus is one entry VM as another sees it.
+// MemberStatus is the membership state of an entry VM as the answering one sees it.
 type MemberStatus struct {
 	Name  pabundle.EntryName
 	Zone  pabundle.ZoneName
--- a/paentry/peers.go
+++ b/paentry/peers.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	// controlTimeout bounds a small call between daemons. Load: 35 ms between regions. Harm of less:
-	// calls over a busy link count as lost; of more: calls to a dead peer pile up.
+	// controlTimeout bounds a small call between daemons; a message between regions takes 35 ms. With a
+	// shorter timeout, calls over a busy link count as lost; with a longer one, calls to a dead peer pile up.
 	controlTimeout = time.Second
-	// pieceTimeout bounds the transfer of a piece of up to a megabyte.
+	// pieceTimeout bounds the transfer of a bundle piece of up to a megabyte.
 	pieceTimeout = 5 * time.Second
-	// maxControlCalls bounds the control calls under way; beyond it messages are dropped, as the
-	// network may drop them.
+	// maxControlCalls bounds the control calls in progress. Further ones are dropped, which their callers
+	// handle like a message lost in the network.
 	maxControlCalls = 256
-	// peerConnections bounds the kept control connections, per peer and in all; a daemon talks to a
-	// few dozen neighbours.
-	peerConnections    = 2
-	allPeerConnections = 128
-	// peerIdle closes control connections that were not used.
-	peerIdle = time.Minute
+	// connectionsPerPeer and totalPeerConnections bound the pooled control connections; a daemon talks to
+	// a few dozen peers.
+	connectionsPerPeer   = 2
+	totalPeerConnections = 128
+	// peerIdleTimeout is the time after which an unused control connection is closed.
+	peerIdleTimeout = time.Minute
 )
 
-// peers makes small calls to other daemons, on connections of their own: a slow stream of a
-// forwarded request must not hold up a heartbeat.
+// peers makes control calls to other daemons. They use their own connections, so that the slow stream of
+// a forwarded request does not delay a heartbeat.
 type peers struct {
-	daemon *Daemon
-	pool   *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
-	slots  chan struct{}
-	asks   askRecord
+	daemon     *Daemon
+	pool       *drpcpool.Pool[netip.AddrPort, drpcpool.Conn]
+	slots      chan struct{}
+	askStreaks askStreaks
 }
 
 func newPeers(d *Daemon) *peers {
 	return &peers{
 		daemon: d,
 		pool: drpcpool.New[netip.AddrPort, drpcpool.Conn](drpcpool.Options{
-			Expiration: peerIdle, Capacity: allPeerConnections, KeyCapacity: peerConnections,
+			Expiration: peerIdleTimeout, Capacity: totalPeerConnections, KeyCapacity: connectionsPerPeer,
 		}),
 		slots: make(chan struct{}, maxControlCalls),
 	}
@@ -65,8 +65,8 @@
 	})
 }
 
-// call runs one small call on a goroutine of its own; with too many under way it is dropped.
-func (p *peers) call(ctx context.Context, timeout time.Duration, dropped func(), f func(ctx context.Context)) {
+// startCall runs f on its own goroutine with a timeout. If maxControlCalls are in progress, it calls dropped instead.
+func (p *peers) startCall(ctx context.Context, timeout time.Duration, dropped func(), f func(ctx context.Context)) {
 	select {
 	case p.slots <- struct{}{}:
 	default:
@@ -81,11 +81,11 @@
 	})
 }
 
-func nothing() {}
+func ignoreDrop() {}
 
-// sendMember sends a membership message; what comes back is heard as messages of their own.
+// sendMember sends a membership message and posts the messages of the reply.
 func (p *peers) sendMember(ctx context.Context, e pamember.Envelope) {
-	p.call(ctx, controlTimeout, nothing, func(ctx context.Context) {
+	p.startCall(ctx, controlTimeout, ignoreDrop, func(ctx context.Context) {
 		c := pawire.NewDRPCMembershipClient(p.conn(ctx, e.Address))
 		w := pamember.ToWire([]pamember.Message{e.Message})
 		w.Stamp = p.daemon.config.Recorder.Stamps.Text()
@@ -94,11 +94,11 @@
 			return
 		}
 		p.daemon.config.Recorder.Stamps.Heard(r.GetStamp())
-		p.hear(r)
+		p.receiveMembers(r)
 	})
 }
 
-func (p *peers) hear(w *pawire.MemberMessages) {
+func (p *peers) receiveMembers(w *pawire.MemberMessages) {
 	all, err := pamember.FromWire(w)
 	if err != nil {
 		return
@@ -109,17 +109,17 @@
 }
 
 func (p *peers) offerHead(ctx context.Context, o pacontrol.OfferHead) {
-	p.call(ctx, controlTimeout, nothing, func(ctx context.Context) {
+	p.startCall(ctx, controlTimeout, ignoreDrop, func(ctx context.Context) {
 		c := pawire.NewDRPCSpreadingClient(p.conn(ctx, o.Address))
 		r, err := c.Offer(ctx, paspread.ToWire(p.daemon.config.Settings.Name, o.Head))
 		if err != nil {
 			return
 		}
-		p.heard(r)
+		p.receiveHead(r)
 	})
 }
 
-func (p *peers) heard(w *pawire.HeadOffer) {
+func (p *peers) receiveHead(w *pawire.HeadOffer) {
 	o, err := paspread.FromWire(w)
 	if err != nil {
 		return
@@ -127,10 +127,10 @@
 	p.daemon.post(pacontrol.HeadOffered{Peer: o.Peer, Head: o.Head})
 }
 
-// fetchPiece asks a peer or the store for a piece; a failure is told as a piece without data.
+// fetchPiece fetches a bundle piece from a peer or the store and posts it; a failure is posted as a piece without data.
 func (d *Daemon) fetchPiece(ctx context.Context, f pacontrol.FetchPiece) {
 	failed := pacontrol.PieceFetched{From: f.From, Digest: f.Digest}
-	d.peers.call(ctx, pieceTimeout, func() { go d.post(failed) }, func(ctx context.Context) {
+	d.peers.startCall(ctx, pieceTimeout, func() { go d.post(failed) }, func(ctx context.Context) {
 		got := failed
 		if f.From.Store {
 			got.Data = d.storedPiece(ctx, f.Digest)
@@ -141,6 +141,7 @@
 	})
 }
 
+// piece returns a bundle piece from a peer, nil if the peer lacks it or the call failed.
 func (p *peers) piece(ctx context.Context, a netip.AddrPort, g pabundle.Digest) []byte {
 	r, err := pawire.NewDRPCPiecesClient(p.conn(ctx, a)).Fetch(ctx, &pawire.PieceRequest{Digest: string(g)})
 	if err != nil || !r.GetFound() {
@@ -149,7 +150,7 @@
 	return r.GetData()
 }
 
-// servePeers answers the calls of other daemons.
+// servePeers serves the calls of other daemons until ctx is cancelled.
 func (d *Daemon) servePeers(ctx context.Context) {
 	mux := drpcmux.New()
 	s := &peerServer{daemon: d}
@@ -163,19 +164,19 @@
 		pawire.DRPCRegisterForwarding(mux, d.front),
 	} {
 		if err != nil {
-			panic("paentry: a service was registered twice: " + err.Error())
+			panic("paentry: registering a DRPC service: " + err.Error())
 		}
 	}
 	server := paproxy.PeerServer{Handler: mux}
-	// It returns only because the context ended, which closes the listener.
+	// Serve returns only once ctx is cancelled, which closes the listener.
 	_ = server.Serve(ctx, d.listeners.peers)
 }
 
-// peerServer is the other end of peers.
+// peerServer implements the DRPC services that peers calls on other daemons.
 type peerServer struct{ daemon *Daemon }
 
-// Exchange implements pawire.DRPCMembershipServer. What the control state sends back to the caller's
-// address goes into the reply.
+// Exchange implements pawire.DRPCMembershipServer. Messages that the control state sends to the caller in
+// answer go into the reply instead of a call of their own.
 func (s *peerServer) Exchange(ctx context.Context, w *pawire.MemberMessages) (*pawire.MemberMessages, error) {
 	all, err := pamember.FromWire(w)
 	if err != nil {
@@ -185,17 +186,17 @@
 	stamps.Heard(w.GetStamp())
 	var reply []pamember.Message
 	for _, m := range all {
-		reply = append(reply, s.daemon.answer(m)...)
+		reply = append(reply, s.daemon.memberReplies(m)...)
 	}
 	answer := pamember.ToWire(reply)
 	answer.Stamp = stamps.Text()
 	return answer, nil
 }
 
-// answer takes a message and returns what is to be answered to its sender.
-func (d *Daemon) answer(m pamember.Message) []pamember.Message {
+// memberReplies applies a membership message and returns the messages that answer its sender.
+func (d *Daemon) memberReplies(m pamember.Message) []pamember.Message {
 	var reply []pamember.Message
-	d.ask(pacontrol.PeerSaid{Message: m}, func(e pacontrol.Effect) bool {
+	d.stepAndReply(pacontrol.PeerSaid{Message: m}, func(e pacontrol.Effect) bool {
 		s, ok := e.(pacontrol.Send)
 		if !ok || s.Envelope.Address != m.From.PeerAddress {
 			return false
@@ -206,9 +207,9 @@
 	return reply
 }
 
-// ask takes an event and waits; take sees each effect on the control goroutine and says whether it
-// keeps the effect for itself.
-func (d *Daemon) ask(e pacontrol.Event, take func(pacontrol.Effect) bool) {
+// stepAndReply sends an event and waits until it is applied. On the control goroutine it passes each
+// effect to take; an effect for which take returns true is part of the reply and is not executed.
+func (d *Daemon) stepAndReply(e pacontrol.Event, take func(pacontrol.Effect) bool) {
 	answered := make(chan struct{})
 	d.send(step{event: e, then: func(effects []pacontrol.Effect) {
 		for i, x := range effects {
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -15,14 +15,14 @@
 	"papayahead/patarget"
 )
 
-// flight is one request between its first Place and its end.
-type flight struct {
+// pendingRequest is a request between its first Place and its end.
+type pendingRequest struct {
 	id paowner.RequestID
-	// placements has room for the answer to one attempt; the control goroutine fills it.
+	// placements is filled by the control goroutine, which must not block: its capacity is maxPlacements.
 	placements chan paproxy.Placement
 }
 
-// maxPlacements is how many placements may wait for a request: one, and the final one after it.
+// maxPlacements bounds the placements that wait for a request: at most one and the final one after it.
 const maxPlacements = 4
 
 func (d *Daemon) newFront() *paproxy.Front {
@@ -31,7 +31,8 @@
 		Services: d,
 		Targets:  d.targets,
 		Peers: &paproxy.Peers{
-			Self: d.config.Settings.Name, Dial: d.config.Network.Dial, Clock: d.config.Clock, Events: d.config.Recorder, Stamps: &d.config.Recorder.Stamps,
+			Self: d.config.Settings.Name, Dial: d.config.Network.Dial, Clock: d.config.Clock,
+			Events: d.config.Recorder, Stamps: &d.config.Recorder.Stamps,
 			NewCall: func() string { return string(d.newRequestID()) },
 		},
 		Register: &paproxy.Register{Incarnation: uint64(d.config.Incarnation), Clock: d.config.Clock},
@@ -44,10 +45,10 @@
 	}
 }
 
-// newRequestID returns an identity that no other process uses: the name and start of this one, and
-// a number.
+// newRequestID returns a request ID that is unique among all processes: this one's name and incarnation,
+// and a counter.
 func (d *Daemon) newRequestID() paproxy.RequestID {
-	n := d.ids.Add(1)
+	n := d.lastID.Add(1)
 	return paproxy.RequestID(string(d.config.Settings.Name) + "-" +
 		strconv.FormatUint(uint64(d.config.Incarnation), 36) + "-" + strconv.FormatUint(n, 36))
 }
@@ -61,10 +62,10 @@
 	return paproxy.Terms{Timeout: s.Timeout.Duration, MaxTimeout: s.MaxTimeout.Duration}, true
 }
 
-// Place implements paproxy.Placer. The first attempt offers the request to the control state; later
-// ones wait for what the control state made of the end of the one before.
+// Place implements paproxy.Placer. The first call for a request offers it to the control state; later
+// calls wait for the placement that the control state chooses after the previous attempt has ended.
 func (d *Daemon) Place(ctx context.Context, r paproxy.Request) paproxy.Placement {
-	f := d.flight(ctx, r)
+	f := d.pendingRequest(ctx, r)
 	for {
 		select {
 		case p := <-f.placements:
@@ -77,28 +78,30 @@
 	}
 }
 
-func (d *Daemon) flight(ctx context.Context, r paproxy.Request) *flight {
-	if f, ok := d.flights.Load(r.Exchange); ok {
-		return f.(*flight)
+// pendingRequest returns the state of a request. On the first call it offers the request to the control
+// state; the request ends with ctx.
+func (d *Daemon) pendingRequest(ctx context.Context, r paproxy.Request) *pendingRequest {
+	if f, ok := d.requests.Load(r.Exchange); ok {
+		return f.(*pendingRequest)
 	}
-	f := &flight{id: paowner.RequestID(r.Exchange), placements: make(chan paproxy.Placement, maxPlacements)}
-	d.flights.Store(r.Exchange, f)
+	f := &pendingRequest{id: paowner.RequestID(r.Exchange), placements: make(chan paproxy.Placement, maxPlacements)}
+	d.requests.Store(r.Exchange, f)
 	d.inFlight.Add(1)
 	context.AfterFunc(ctx, func() {
 		d.links.forget(r.ID)
-		d.land(r.Exchange, f)
+		d.endRequest(r.Exchange, f)
 	})
-	d.send(step{flight: f, event: d.offer(f.id, r)})
+	d.send(step{request: f, event: d.offeredEvent(f.id, r)})
 	return f
 }
 
-func (d *Daemon) offer(id paowner.RequestID, r paproxy.Request) pacontrol.Offered {
+func (d *Daemon) offeredEvent(id paowner.RequestID, r paproxy.Request) pacontrol.Offered {
 	o := pacontrol.Offered{
 		Request: paowner.Request{
 			ID: id, Service: r.Service, Deadline: r.Deadline, Idempotent: r.Idempotent,
 			Bytes: max(0, r.Size), Patience: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
 		},
-		// The caller's own identity may come twice; this one names this copy alone.
+		// Unlike the caller's request ID, which a repeat may carry too, this one names a single copy.
 		Identity:  d.copyID(id),
 		Origin:    r.Origin,
 		Credit:    r.Credit,
@@ -119,7 +122,7 @@
 	return o
 }
 
-// The classes by which run times are learned apart: reading and changing cost differently.
+// Run times are learned per class, since safe and other HTTP methods differ in cost.
 const (
 	classSafe uint8 = iota
 	classChanging
@@ -132,10 +135,10 @@
 	return classChanging
 }
 
-// blockBits is the length of the prefix by which callers are told apart where fairness asks for it.
+// blockBits is the prefix length of the address blocks between which callers are treated fairly.
 const blockBits = 24
 
-// blockOf identifies the block of addresses that a caller is in.
+// blockOf returns a hash of the address block of a caller, 0 for an invalid address.
 func blockOf(a netip.Addr) uint32 {
 	p, err := a.Unmap().Prefix(min(blockBits, a.Unmap().BitLen()))
 	if err != nil {
@@ -144,21 +147,22 @@
 	return uint32(xxhash.Sum64(p.Addr().AsSlice()))
 }
 
+// copyID returns a unique ID for one copy of a request that was offered to this daemon.
 func (d *Daemon) copyID(id paowner.RequestID) string {
 	return string(d.config.Settings.Name) + "-" + strconv.FormatUint(uint64(d.config.Incarnation), 36) +
 		"-c" + strconv.FormatUint(uint64(id), 36)
 }
 
-// land ends a request at this entry VM. A placement that nobody took was never acted on, so that
-// its slot is given back as not run.
-func (d *Daemon) land(exchange uint64, f *flight) {
-	d.flights.Delete(exchange)
+// endRequest ends a request at this entry VM. Placements that were not used are cancelled, which frees
+// their slots.
+func (d *Daemon) endRequest(exchange uint64, f *pendingRequest) {
+	d.requests.Delete(exchange)
 	d.send(step{event: pacontrol.Landed{Request: f.id}, then: func([]pacontrol.Effect) {
 		delete(d.waiting, f.id)
 		for {
 			select {
 			case p := <-f.placements:
-				d.giveBack(p)
+				d.cancelPlacement(p)
 			default:
 				d.inFlight.Add(-1)
 				return
@@ -167,45 +171,45 @@
 	}})
 }
 
-// giveBack ends an attempt that was never made. It runs on the control goroutine, which must not
-// wait for itself.
-func (d *Daemon) giveBack(p paproxy.Placement) {
-	notMade := paproxy.Result{Outcome: paproxy.NotRun, Reason: paproxy.ReasonCallerGone, Fault: paproxy.FaultCaller}
+// cancelPlacement ends an unused placement as NotRun. It runs on the control goroutine and calls Done on
+// another one: Done posts an event, which could block the control goroutine on its own channel.
+func (d *Daemon) cancelPlacement(p paproxy.Placement) {
+	notSent := paproxy.Result{Outcome: paproxy.NotRun, Reason: paproxy.ReasonCallerGone, Fault: paproxy.FaultCaller}
 	switch v := p.(type) {
 	case paproxy.Local:
-		go v.Done(notMade)
+		go v.Done(notSent)
 	case paproxy.Forward:
-		go v.Done(notMade)
+		go v.Done(notSent)
 	}
 }
 
-func (d *Daemon) local(v pacontrol.Start) paproxy.Placement {
+func (d *Daemon) localPlacement(v pacontrol.Start) paproxy.Placement {
 	return paproxy.Local{
 		Target: v.Target, Address: v.Address, MaxConnections: v.Connections,
 		Done: func(r paproxy.Result) {
 			if r.Draining {
 				d.post(pacontrol.Draining{Target: v.Target})
 			}
-			d.post(pacontrol.Ended{Request: v.Request, Result: ended(v.Attempt, r), Status: r.Status})
+			d.post(pacontrol.Ended{Request: v.Request, Result: attemptResult(v.Attempt, r), Status: r.Status})
 		},
 	}
 }
 
-func (d *Daemon) forward(v pacontrol.Forward) paproxy.Placement {
+func (d *Daemon) forwardPlacement(v pacontrol.Forward) paproxy.Placement {
 	return paproxy.Forward{
 		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, Patience: v.Patience,
 		Done: func(r paproxy.Result) {
-			d.post(pacontrol.Ended{Request: v.Request, Result: ended(v.Attempt, r), Status: r.Status})
+			d.post(pacontrol.Ended{Request: v.Request, Result: attemptResult(v.Attempt, r), Status: r.Status})
 		},
 	}
 }
 
-// ended tells the control state how an attempt ended.
-func ended(attempt int, r paproxy.Result) paowner.Result {
+// attemptResult converts the result of an attempt for the control state.
+func attemptResult(attempt int, r paproxy.Result) paowner.Result {
 	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, ComeBack: r.ComeBack}
 }
 
-// firstServerError is the least HTTP status by which a target says that it failed.
+// firstServerError is the lowest HTTP status that counts as a failure of the target.
 const firstServerError = 500
 
 func outcomeOf(r paproxy.Result) patarget.Outcome {
@@ -232,5 +236,5 @@
 	d.metrics.finished(r, last, d.config.Clock.Since(r.Arrived))
 }
 
-// probeTimeout bounds a probe. A target answers one in about 6 ms at Kartuli.
+// probeTimeout bounds a health probe. Targets of the Kartuli deployment answer one in about 6 ms.
 const probeTimeout = 500 * time.Millisecond
--- a/paentry/platform.go
+++ b/paentry/platform.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// listInterval is how often the VM list is read. Load: 12 failures and 360 replacements a day.
-	// Harm of more: a leaving target shows late; of less: the platform counts each read.
+	// listInterval is the time between reads of the VM list, which changes with 12 failures and 360
+	// replacements a day. With a longer one, a leaving target is noticed late; a shorter one costs more
+	// reads, each of which the platform counts.
 	listInterval = 2 * time.Second
-	// listReaders is how many daemons read the list that often; a larger fleet reads it less often each,
-	// so that the platform sees 50 reads a second at most. A leaving target's own word comes sooner.
-	listReaders = 100
+	// maxFullRateReaders is the largest fleet in which each daemon reads the list every listInterval. In a
+	// larger one each reads less often, so that the platform gets at most 50 reads a second. Leaving
+	// targets are still noticed in time: they report it themselves, on responses and probes.
+	maxFullRateReaders = 100
 )
 
-// listMachines reads the platform's VM list again and again.
-func (d *Daemon) listMachines(ctx context.Context) {
+// pollVMList reads the platform's VM list periodically. It records the first of consecutive failures.
+func (d *Daemon) pollVMList(ctx context.Context) {
 	failed := false
 	for {
 		all, err := d.config.VMList.List(ctx)
@@ -36,21 +38,22 @@
 			failed = true
 			d.record(paevent.ListUnreachable{Fault: err.Error()})
 		}
-		if !sleep(ctx, d.config.Clock, d.listPause()) {
+		if !sleep(ctx, d.config.Clock, d.listPollInterval()) {
 			return
 		}
 	}
 }
 
-// listPause is the time between two reads of the VM list.
-func (d *Daemon) listPause() time.Duration {
+// listPollInterval returns the time between two reads of the VM list.
+func (d *Daemon) listPollInterval() time.Duration {
 	v := d.snapshot.Load().View
-	if v == nil || len(v.Members) <= listReaders {
+	if v == nil || len(v.Members) <= maxFullRateReaders {
 		return listInterval
 	}
-	return listInterval * time.Duration(len(v.Members)) / listReaders
+	return listInterval * time.Duration(len(v.Members)) / maxFullRateReaders
 }
 
+// storedPiece reads a bundle piece from the store, nil if it is missing or the read failed.
 func (d *Daemon) storedPiece(ctx context.Context, g pabundle.Digest) []byte {
 	v, found, err := d.config.Store.Get(ctx, paroll.PieceKey(d.config.Settings.Deployment, g))
 	if err != nil || !found {
@@ -59,8 +62,8 @@
 	return v.Data
 }
 
-// probe asks a target for a sign of life, over a new connection. Its load is not asked for: only
-// this entry VM sends to the target, so its own count is exact and does not lag.
+// probe checks a target's health over a new connection and posts the result. It does not ask for the
+// target's load: only this entry VM sends to the target, so its own count is exact and up to date.
 func (d *Daemon) probe(ctx context.Context, p pacontrol.Probe) {
 	d.spawn(func() {
 		ctx, cancel := paclock.WithTimeout(ctx, d.config.Clock, probeTimeout)
@@ -74,18 +77,19 @@
 }
 
 const (
-	// TargetHealthPath is where targets tell their health, as JSON with a State.
+	// TargetHealthPath is where targets report their health, as JSON with the field State.
 	TargetHealthPath = "/Health"
-	// drainingState is the State of a target that is about to stop, failingState of one that is broken.
+	// drainingState is the State of a target that is about to stop, failingState that of a broken one.
 	drainingState = "Draining"
 	failingState  = "Failing"
-	// maxHealthReport bounds what is read of a health report, in bytes.
+	// maxHealthReport bounds the bytes that are read of a health report.
 	maxHealthReport = 64 << 10
 )
 
-// targetHealth is what a target's health endpoint answers.
+// targetHealth is the JSON answer of a target's health endpoint.
 type targetHealth struct{ State string }
 
+// readHealth returns the State that a target reports, and whether it answered 200 and is not failing.
 func (d *Daemon) readHealth(ctx context.Context, p pacontrol.Probe) (state string, ok bool) {
 	t := &http.Transport{DialContext: d.config.Network.Dial, DisableKeepAlives: true}
 	defer t.CloseIdleConnections()
