--- a/paroom/query.go
+++ b/paroom/query.go
@@ -20,33 +20,33 @@
 
 // Usage returns the present use.
 func (r *Controller) Usage(now time.Time) Usage {
-	return Usage{r.connections, r.requests, r.bytes, r.busy, r.use(now)}
+	return Usage{r.connections, r.requests, r.bytes, r.cpu, r.maxUse(now)}
 }
 
-func (r *Controller) use(now time.Time) float64 {
-	return max(r.counted(0, 0), r.processor(now), part(int64(r.connections), int64(r.Limits.Connections)))
+func (r *Controller) maxUse(now time.Time) float64 {
+	return max(r.exactUse(0, 0), r.cpuUse(now), fraction(int64(r.connections), int64(r.Limits.Connections)))
 }
 
-// counted is the use of the exact limits with this much more.
-func (r *Controller) counted(requests int, bytes int64) float64 {
-	return max(part(int64(r.requests+requests), int64(r.Limits.Requests)), part(r.bytes+bytes, r.Limits.Bytes))
+// exactUse is the use of the exact limits with this much more.
+func (r *Controller) exactUse(requests int, bytes int64) float64 {
+	return max(fraction(int64(r.requests+requests), int64(r.Limits.Requests)), fraction(r.bytes+bytes, r.Limits.Bytes))
 }
 
-func (r *Controller) processor(now time.Time) float64 {
-	if r.busyAt.IsZero() || now.Sub(r.busyAt) > busyAge {
+func (r *Controller) cpuUse(now time.Time) float64 {
+	if r.cpuAt.IsZero() || now.Sub(r.cpuAt) > maxCPUAge {
 		return 0
 	}
-	return r.busy / busyLimit
+	return r.cpu / cpuLimit
 }
 
-// comeBack grows with what is beyond the lowest threshold; half of it is jitter.
-func (r *Controller) comeBack(use, random float64) time.Duration {
+// retryAfter grows with what is beyond the lowest threshold; half of it is jitter.
+func (r *Controller) retryAfter(use, random float64) time.Duration {
 	over := math.Max(0, use-thresholds[Retry]) / (1 - thresholds[Retry])
-	wait := minComeBack.Seconds() * (1 + 4*over) * (0.5 + random)
-	return min(maxComeBack, max(minComeBack/2, time.Duration(wait*float64(time.Second))))
+	wait := minRetryAfter.Seconds() * (1 + 4*over) * (0.5 + random)
+	return min(maxRetryAfter, max(minRetryAfter/2, time.Duration(wait*float64(time.Second))))
 }
 
-func part(n, limit int64) float64 {
+func fraction(n, limit int64) float64 {
 	if limit <= 0 {
 		return 0
 	}
--- a/paroom/room.go
+++ b/paroom/room.go
@@ -35,22 +35,22 @@
 var thresholds = [...]float64{Retry: 0.95, Long: 0.97, Short: 0.99, Settled: 1}
 
 const (
-	// busyLimit is the busy share of the processors at which an entry VM counts as full. Harm: above
+	// cpuLimit is the busy share of the processors at which an entry VM counts as full. Harm: above
 	// it the run queue, and with it every latency, grows without bound. Value: with Poisson arrivals
 	// waiting at 85 % is under six times the service time, which is tens of microseconds here.
-	busyLimit = 0.85
-	// busyAge is the age from which on a measured share says nothing; the counted limits still hold.
-	busyAge = 5 * time.Second
-	// busySmoothing is the time over which the busy share is averaged. Harm: one collection of
+	cpuLimit = 0.85
+	// maxCPUAge is the age from which on a measured share says nothing; the counted limits still hold.
+	maxCPUAge = 5 * time.Second
+	// cpuSmoothing is the time over which the busy share is averaged. Harm: one collection of
 	// garbage would refuse callers. Value: a few samples at one a second.
-	busySmoothing = 2 * time.Second
-	// defaultCacheTime is the life of cached answers if none is set.
-	defaultCacheTime = 5 * time.Second
+	cpuSmoothing = 2 * time.Second
+	// defaultCacheTTL is the life of cached answers if none is set.
+	defaultCacheTTL = 5 * time.Second
 	// minWeight keeps a full entry VM in a few answers, or no caller would find out that it has room.
 	minWeight = 0.02
-	// minComeBack and maxComeBack bound the time to come back.
-	minComeBack = time.Second
-	maxComeBack = 20 * time.Second
+	// minRetryAfter and maxComeBack bound the time to come back.
+	minRetryAfter = time.Second
+	maxRetryAfter = 20 * time.Second
 )
 
 // Limits are what an entry VM can carry; a limit of 0 is not applied.
@@ -68,10 +68,10 @@
 
 	connections, requests int
 	bytes                 int64
-	busy                  float64
-	busyAt                time.Time
+	cpu                   float64
+	cpuAt                 time.Time
 	weight                float64
-	weighed               time.Time
+	weightAt              time.Time
 }
 
 // Decision is the outcome of admission.
@@ -86,9 +86,9 @@
 //
 // A refusal is final and at once: the caller keeps the time to go to the next entry VM of its list.
 func (r *Controller) Admit(now time.Time, c Class, bytes int64, random float64) Decision {
-	use := max(r.counted(1, bytes), r.processor(now))
+	use := max(r.exactUse(1, bytes), r.cpuUse(now))
 	if use > thresholds[c] {
-		return Decision{Refused: true, RetryAfter: r.comeBack(use, random)}
+		return Decision{Refused: true, RetryAfter: r.retryAfter(use, random)}
 	}
 	r.requests++
 	r.bytes += bytes
@@ -124,17 +124,17 @@
 func (r *Controller) Disconnect() { r.connections = max(0, r.connections-1) }
 
 // SetCPU takes the busy share of the processors, 0 to 1.
-func (r *Controller) SetCPU(now time.Time, busy float64) {
-	if math.IsNaN(busy) {
+func (r *Controller) SetCPU(now time.Time, share float64) {
+	if math.IsNaN(share) {
 		return
 	}
-	busy = math.Min(1, math.Max(0, busy))
-	part := 1.0
-	if passed := now.Sub(r.busyAt); !r.busyAt.IsZero() && passed < busyAge {
-		part = 1 - math.Exp(-passed.Seconds()/busySmoothing.Seconds())
+	share = math.Min(1, math.Max(0, share))
+	alpha := 1.0
+	if elapsed := now.Sub(r.cpuAt); !r.cpuAt.IsZero() && elapsed < maxCPUAge {
+		alpha = 1 - math.Exp(-elapsed.Seconds()/cpuSmoothing.Seconds())
 	}
-	r.busy += part * (busy - r.busy)
-	r.busyAt = now
+	r.cpu += alpha * (share - r.cpu)
+	r.cpuAt = now
 }
 
 // UpdateWeight moves the weight for look-ups; call it about once a second.
@@ -143,19 +143,19 @@
 // would send all callers to the emptiest entry VM for a whole life of the answers, and then all to
 // the next. It goes down over one life of the answers and up over three.
 func (r *Controller) UpdateWeight(now time.Time) {
-	want := math.Max(minWeight, 1-r.use(now))
-	if r.weighed.IsZero() {
-		r.weight, r.weighed = want, now
+	want := math.Max(minWeight, 1-r.maxUse(now))
+	if r.weightAt.IsZero() {
+		r.weight, r.weightAt = want, now
 		return
 	}
-	life := r.CacheTTL
-	if life <= 0 {
-		life = defaultCacheTime
+	ttl := r.CacheTTL
+	if ttl <= 0 {
+		ttl = defaultCacheTTL
 	}
 	if want > r.weight {
-		life *= 3
+		ttl *= 3
 	}
-	passed := max(0, now.Sub(r.weighed))
-	r.weight += (1 - math.Exp(-passed.Seconds()/life.Seconds())) * (want - r.weight)
-	r.weighed = now
+	elapsed := max(0, now.Sub(r.weightAt))
+	r.weight += (1 - math.Exp(-elapsed.Seconds()/ttl.Seconds())) * (want - r.weight)
+	r.weightAt = now
 }
--- a/paroom/room_test.go
+++ b/paroom/room_test.go
@@ -37,7 +37,7 @@
 				bytes := rapid.Int64Range(0, 400).Draw(t, "bytes")
 				v := r.Admit(epoch, c, bytes, 0.5)
 				fits := float64(len(running)+1) <= thresholds[c]*10 && float64(total+bytes) <= thresholds[c]*1000
-				if v.Refused == fits || v.Refused && v.RetryAfter < minComeBack/2 {
+				if v.Refused == fits || v.Refused && v.RetryAfter < minRetryAfter/2 {
 					t.Fatalf("%v of %d bytes beside %d requests of %d bytes: %+v", c, bytes, len(running), total, v)
 				}
 				if !v.Refused {
@@ -85,16 +85,16 @@
 
 // outcome is what came of a run of a fleet.
 type outcome struct {
-	// part is the part of the requests that were refused by those that stayed, peak the most work
+	// refused is the refused of the requests that were refused by those that stayed, peak the most work
 	// that waited at one of them in tenths of a second.
-	part, peak float64
+	refused, peak float64
 	// swing is the largest change of a weight in 5 s, long after the death.
 	swing float64
 }
 
-// fleet runs 7 entry VMs, the last of half the capacity, for three minutes at the given load; a third
+// simulate runs 7 entry VMs, the last of half the capacity, for three minutes at the given load; a third
 // of the requests is retries. Callers keep their answer for 5 s. The first entry VM dies after a minute.
-func fleet(load float64, lookUp func(es []entry, u float64) int) outcome {
+func simulate(load float64, lookUp func(es []entry, u float64) int) outcome {
 	const capacity, callers = 1000, 2100
 	random := rand.New(rand.NewPCG(7, 7))
 	es := make([]entry, 7)
@@ -106,7 +106,7 @@
 		}
 		es[i].room.Limits.Requests = int(es[i].slow * capacity / 5)
 	}
-	demand := load * 6.5 * busyLimit
+	demand := load * 6.5 * cpuLimit
 	var answers [callers]int
 	var weights [][7]float64
 	swing := 0.0
@@ -158,11 +158,11 @@
 	var o outcome
 	demands := 0
 	for _, e := range es[1:] {
-		o.part += float64(e.refused)
+		o.refused += float64(e.refused)
 		demands += e.demand
 		o.peak = max(o.peak, e.peak)
 	}
-	o.part /= float64(demands)
+	o.refused /= float64(demands)
 	o.swing = swing
 	return o
 }
@@ -187,19 +187,19 @@
 	return len(es) - 1
 }
 
-// byBusy picks the entry VM that is least busy now, as look-ups would without damping.
-func byBusy(es []entry, _ float64) int {
+// byCPU picks the entry VM that is least busy now, as look-ups would without damping.
+func byCPU(es []entry, _ float64) int {
 	best := -1
 	for i := range es {
-		if !es[i].dead && (best < 0 || es[i].room.busy < es[best].room.busy) {
+		if !es[i].dead && (best < 0 || es[i].room.cpu < es[best].room.cpu) {
 			best = i
 		}
 	}
 	return best
 }
 
-// evenly picks any live entry VM.
-func evenly(es []entry, u float64) int {
+// uniformly picks any live entry VM.
+func uniformly(es []entry, u float64) int {
 	for i := int(u * 7); ; i = (i + 3) % 7 {
 		if !es[i].dead {
 			return i
@@ -210,16 +210,16 @@
 // One of 7 entry VMs dies at 80 % load, and another one has half the capacity of the rest. If
 // look-ups ignored room, the small one would refuse while others idle; if they sent everyone to the
 // emptiest, it would be full and the next one after it. At 150 % they refuse before they slow down.
-func TestOneOfSevenIsLost(t *testing.T) {
-	damped, even, busiest := fleet(0.8, byWeight), fleet(0.8, evenly), fleet(0.8, byBusy)
+func TestLossOfOneOfSeven(t *testing.T) {
+	damped, even, busiest := simulate(0.8, byWeight), simulate(0.8, uniformly), simulate(0.8, byCPU)
 	t.Logf("80 %%: by weight %+.3f, evenly %+.3f, to the least busy %+.3f", damped, even, busiest)
-	if damped.part > even.part/2 || damped.part > busiest.part/2 || damped.part > 0.05 {
-		t.Errorf("%.4f of the requests are refused; evenly %.4f, to the least busy %.4f", damped.part, even.part, busiest.part)
+	if damped.refused > even.refused/2 || damped.refused > busiest.refused/2 || damped.refused > 0.05 {
+		t.Errorf("%.4f of the requests are refused; evenly %.4f, to the least busy %.4f", damped.refused, even.refused, busiest.refused)
 	}
 	if damped.swing > 0.1 {
 		t.Errorf("a weight changed by %.2f in 5 s", damped.swing)
 	}
-	full := fleet(1.5, byWeight)
+	full := simulate(1.5, byWeight)
 	t.Logf("150 %%: %+.3f", full)
 	if full.peak > 3 {
 		// Two tenths are the limit in flight; the refusals themselves are the rest.
--- a/paview/doc.go
+++ b/paview/doc.go
@@ -1,14 +1,16 @@
-// Package paview agrees on which entry VMs of a region count, without a leader and without votes.
+// Package paview agrees on the set of members, the entry VMs among which a region divides limits and
+// keys, without a leader or voting.
 //
-// Each entry VM follows the platform's VM list, which lags, and announces which members it takes
-// into account. A View uses a set of members only after every one of them has confirmed that it
-// counts this entry VM, this start and this round of it. A set that only grows is used at once,
-// because whoever counts more members claims less.
+// Each entry VM reads the platform's VM list, which may be out of date, and announces the members that
+// it knows. A View uses a set of members only after every one of them has confirmed this entry VM: its
+// announcement lists this entry VM's current incarnation and round. Members that are added later are
+// used at once, because an entry VM that counts more members claims a smaller share.
 //
-// If two entry VMs use their views at the same time, at least one counts the other. A division by
-// the number of members therefore never adds up to more than the whole, and a key that the highest
-// rendezvous score assigns has one keeper.
+// If two entry VMs use their views at the same time, at least one of them counts the other. Shares of
+// one divided by the number of members therefore never add up to more than the whole, and a key that
+// is assigned by the highest rendezvous score has one keeper.
 //
-// What it rests on: the list does not drop a VM that still runs, and a change reaches every reader
-// within Lag. A VM that was paused so long that the list dropped it finds the gap by its own clock.
+// This assumes that the list does not drop a VM that still runs, and that a change of the list reaches
+// every reader within View.ListLag. A VM that was paused until the list dropped it detects the pause by
+// its own clock.
 package paview
--- a/paview/query.go
+++ b/paview/query.go
@@ -6,25 +6,25 @@
 	"papayahead/pabundle"
 )
 
-// NewAnnouncement returns what to tell the others now; each call raises the version.
+// NewAnnouncement returns the announcement to send now, with the next version.
 func (v *View) NewAnnouncement() Announcement {
 	v.version++
 	a := Announcement{Member: v.Self, Version: v.version, Retired: v.retired}
-	for n, o := range v.others {
-		if !o.heard.Retired {
-			m := Member{Name: n, Incarnation: o.heard.Incarnation, Round: o.heard.Round}
-			a.Members = append(a.Members, SeenMember{Member: m, Learned: !o.direct})
+	for n, p := range v.peers {
+		if !p.last.Retired {
+			m := Member{Name: n, Incarnation: p.last.Incarnation, Round: p.last.Round}
+			a.Members = append(a.Members, SeenMember{Member: m, Learned: !p.direct})
 		}
 	}
 	slices.SortFunc(a.Members, func(x, y SeenMember) int { return compare(x.Name, y.Name) })
 	return a
 }
 
-// Members returns the members in use, sorted: the agreed ones and all that have come since. It
-// returns nil while there is no agreed view; whoever needs one refuses then.
+// Members returns the members in use, sorted: the agreed ones and all that were added since. It returns
+// nil while there is no agreed view; callers then refuse what depends on it.
 //
-// Take it anew after each Hear, List and Tick, and before an announcement made after these is sent:
-// the announcement confirms newcomers, who may use their views as soon as they have it.
+// Call it again after each Receive, UpdateList and Tick, before the next announcement is sent: that one
+// confirms new members, which may use their views as soon as they receive it.
 func (v *View) Members() []pabundle.EntryName {
 	if v.agreed == nil {
 		return nil
@@ -33,8 +33,8 @@
 	for n := range v.agreed {
 		names = append(names, n)
 	}
-	for n, o := range v.others {
-		if !v.agreed[n] && !o.heard.Retired {
+	for n, p := range v.peers {
+		if !v.agreed[n] && !p.last.Retired {
 			names = append(names, n)
 		}
 	}
--- a/paview/view_test.go
+++ b/paview/view_test.go
@@ -15,30 +15,30 @@
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
-func view(name pabundle.EntryName, incarnation uint64) *View {
+func newView(name pabundle.EntryName, incarnation uint64) *View {
 	return &View{Self: Member{Name: name, Incarnation: incarnation}, ListLag: lag, Started: epoch}
 }
 
-// says is an announcement of a member that counts others.
-func says(name pabundle.EntryName, incarnation, version uint64, sees ...Member) Announcement {
+// announcement returns the announcement of a member that counts the given members.
+func announcement(name pabundle.EntryName, incarnation, version uint64, members ...Member) Announcement {
 	a := Announcement{Member: Member{Name: name, Incarnation: incarnation}, Version: version}
-	for _, m := range sees {
+	for _, m := range members {
 		a.Members = append(a.Members, SeenMember{Member: m})
 	}
 	return a
 }
 
-func list(v *View, after time.Duration, names ...pabundle.EntryName) {
-	for at := v.last; at.Before(epoch.Add(after)) && !v.last.IsZero(); at = at.Add(time.Second) {
+// updateList ticks every second up to the given time after epoch and then applies a read of the list.
+func updateList(v *View, after time.Duration, names ...pabundle.EntryName) {
+	for at := v.tickedAt; at.Before(epoch.Add(after)) && !v.tickedAt.IsZero(); at = at.Add(time.Second) {
 		v.Tick(at)
 	}
 	v.UpdateList(epoch.Add(after), names)
 }
 
-// Two entry VMs of a region each believe in a set of members. Each case is an order of events after
-// which one of them would take a part of the link, or a key, that another one has: because the list
-// was old, the confirmation was meant for an earlier start or round of it, or came from a start
-// that is over.
+// Guards against two entry VMs that use conflicting sets of members: one would take a share of the link or
+// a key that the other has. This can happen if the list is out of date, or if a confirmation is meant for
+// an earlier incarnation or round or comes from an earlier incarnation of the peer.
 func TestNoViewIsUsedBeforeAllMembersConfirm(t *testing.T) {
 	k, k2 := Member{"k", 1, 0}, Member{"k", 2, 0}
 	cases := map[string]struct {
@@ -46,62 +46,62 @@
 		events      func(v *View)
 		want        []pabundle.EntryName
 	}{
-		"a list as old as the start may lack a member": {1, func(v *View) { list(v, 0, "k") }, nil},
-		"alone on a fresh list":                        {1, func(v *View) { list(v, lag, "k") }, []pabundle.EntryName{"k"}},
-		"not on the list":                              {1, func(v *View) { list(v, lag) }, nil},
-		"a member is silent":                           {1, func(v *View) { list(v, lag, "i", "k") }, nil},
+		"the list is as old as the start": {1, func(v *View) { updateList(v, 0, "k") }, nil},
+		"alone on a recent list":          {1, func(v *View) { updateList(v, lag, "k") }, []pabundle.EntryName{"k"}},
+		"not on the list":                 {1, func(v *View) { updateList(v, lag) }, nil},
+		"a member sent nothing":           {1, func(v *View) { updateList(v, lag, "i", "k") }, nil},
 		"confirmed": {1, func(v *View) {
-			list(v, lag, "i", "k")
-			v.Receive(v.last, says("i", 1, 1, k))
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, announcement("i", 1, 1, k))
 		}, []pabundle.EntryName{"i", "k"}},
-		"confirmed to an earlier start": {2, func(v *View) {
-			list(v, lag, "i", "k")
-			v.Receive(v.last, says("i", 1, 1, k))
+		"an earlier incarnation was confirmed": {2, func(v *View) {
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, announcement("i", 1, 1, k))
 		}, nil},
-		"confirmed to an earlier round": {1, func(v *View) {
-			list(v, lag, "i", "k")
-			v.Receive(v.last, says("i", 1, 1, k))
+		"an earlier round was confirmed": {1, func(v *View) {
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, announcement("i", 1, 1, k))
 			v.Invalidate(epoch)
-			v.Tick(v.last)
+			v.Tick(v.tickedAt)
 		}, nil},
-		"frozen": {1, func(v *View) {
-			list(v, lag, "k")
-			v.Tick(v.last.Add(MaxTickGap + 1))
+		"the process was paused": {1, func(v *View) {
+			updateList(v, lag, "k")
+			v.Tick(v.tickedAt.Add(MaxTickGap + 1))
 		}, nil},
-		"confirmed by a start that is over": {2, func(v *View) {
-			list(v, lag, "a", "i", "k")
-			v.Receive(v.last, says("i", 1, 1, k2))
-			v.Receive(v.last, says("a", 1, 1, k2, Member{"i", 2, 0}))
+		"confirmed by an earlier incarnation of a member": {2, func(v *View) {
+			updateList(v, lag, "a", "i", "k")
+			v.Receive(v.tickedAt, announcement("i", 1, 1, k2))
+			v.Receive(v.tickedAt, announcement("a", 1, 1, k2, Member{"i", 2, 0}))
 		}, nil},
-		"another one counts a member that the list lacks": {1, func(v *View) {
-			list(v, lag, "a", "k")
-			v.Receive(v.last, says("a", 1, 1, k, Member{"m", 1, 0}))
+		"another member counts one that the list lacks": {1, func(v *View) {
+			updateList(v, lag, "a", "k")
+			v.Receive(v.tickedAt, announcement("a", 1, 1, k, Member{"m", 1, 0}))
 		}, nil},
-		"a newcomer is counted at once, and an old list does not drop it": {1, func(v *View) {
-			list(v, lag, "k")
-			v.Receive(v.last, says("m", 1, 1))
-			list(v, lag+time.Second, "k")
-			list(v, lag+2*time.Second, "k")
+		"a new member is used at once, and an old list does not drop it": {1, func(v *View) {
+			updateList(v, lag, "k")
+			v.Receive(v.tickedAt, announcement("m", 1, 1))
+			updateList(v, lag+time.Second, "k")
+			updateList(v, lag+2*time.Second, "k")
 		}, []pabundle.EntryName{"k", "m"}},
-		"a member that is gone from the list for the lag": {1, func(v *View) {
-			list(v, lag, "k")
-			v.Receive(v.last, says("m", 1, 1, k))
-			list(v, lag+time.Second, "k")
-			list(v, 2*lag+time.Second, "k")
+		"a member has been missing from the list for the lag": {1, func(v *View) {
+			updateList(v, lag, "k")
+			v.Receive(v.tickedAt, announcement("m", 1, 1, k))
+			updateList(v, lag+time.Second, "k")
+			updateList(v, 2*lag+time.Second, "k")
 		}, []pabundle.EntryName{"k"}},
-		"an older announcement comes late": {1, func(v *View) {
-			list(v, lag, "i", "k")
-			v.Receive(v.last, says("i", 1, 2))
-			v.Receive(v.last, says("i", 1, 1, k))
+		"an older announcement arrives late": {1, func(v *View) {
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, announcement("i", 1, 2))
+			v.Receive(v.tickedAt, announcement("i", 1, 1, k))
 		}, nil},
 		"a member retired": {1, func(v *View) {
-			list(v, lag, "i", "k")
-			v.Receive(v.last, Announcement{Member: Member{"i", 1, 0}, Version: 1, Retired: true})
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, Announcement{Member: Member{"i", 1, 0}, Version: 1, Retired: true})
 		}, []pabundle.EntryName{"k"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := view("k", c.incarnation)
+			v := newView("k", c.incarnation)
 			c.events(v)
 			if got := v.Members(); !slices.Equal(got, c.want) {
 				t.Errorf("the members are %v, want %v", got, c.want)
@@ -110,10 +110,10 @@
 	}
 }
 
-// An entry VM dies and the list drops it. If the others kept reminding each other of it, its part of
-// the link would stay unused and its keys refused for ever.
-func TestADeadMemberIsForgottenByAll(t *testing.T) {
-	views := []*View{view("a", 1), view("b", 1), view("c", 1)}
+// Guards against members that keep a dead entry VM alive by listing it to each other after the VM list
+// has dropped it: its share of the link would stay unused and its keys would be refused for ever.
+func TestDeadMemberIsForgotten(t *testing.T) {
+	views := []*View{newView("a", 1), newView("b", 1), newView("c", 1)}
 	for second := range 60 {
 		now := epoch.Add(time.Duration(second) * time.Second)
 		names := []pabundle.EntryName{"a", "b", "c", "dead"}
@@ -137,9 +137,9 @@
 	}
 }
 
-// Whatever bytes arrive, reading them gives an error or an announcement that is safe to hear.
+// Decoding arbitrary bytes must give an error or an announcement that Receive handles without a panic.
 func FuzzAnnouncement(f *testing.F) {
-	b, err := proto.Marshal(says("i", 1, 1, Member{"k", 1, 0}).Wire())
+	b, err := proto.Marshal(announcement("i", 1, 1, Member{"k", 1, 0}).Wire())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -150,9 +150,9 @@
 			return
 		}
 		if a, err := AnnouncementFromWire(&m); err == nil {
-			v := view("k", 1)
-			list(v, lag, "i", "k")
-			v.Receive(v.last, a)
+			v := newView("k", 1)
+			updateList(v, lag, "i", "k")
+			v.Receive(v.tickedAt, a)
 			v.NewAnnouncement().Wire()
 		}
 	})
--- a/paview/wire.go
+++ b/paview/wire.go
@@ -7,10 +7,10 @@
 	"papayahead/pawire"
 )
 
-// maxName bounds the names in messages.
+// maxName bounds the length of names in messages, in bytes.
 const maxName = 255
 
-// Wire returns the announcement as a message.
+// Wire converts the announcement to a message.
 func (a Announcement) Wire() *pawire.MemberView {
 	m := &pawire.MemberView{
 		Name: string(a.Name), Incarnation: a.Incarnation, Round: a.Round, Version: a.Version, Retired: a.Retired,
@@ -23,7 +23,7 @@
 	return m
 }
 
-// AnnouncementFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+// AnnouncementFromWire checks and converts a message; it returns trace.BadParameter for an invalid one.
 func AnnouncementFromWire(m *pawire.MemberView) (Announcement, error) {
 	if n := len(m.GetName()); n == 0 || n > maxName {
 		return Announcement{}, trace.BadParameter("member view: the name has %d bytes, want 1 to %d", n, maxName)
