--- a/paroom/doc.go
+++ b/paroom/doc.go
@@ -1,7 +1,8 @@
-// Package paroom says how much more an entry VM can take before it slows down.
+// Package paroom is the admission control of an entry VM.
 //
-// An entry VM is limited by its connections, the requests and bytes in flight, and its processor
-// time. A Room counts the first three exactly and takes the fourth as a measured share. It refuses
-// by class, the least urgent first, before a limit is reached, and gives look-ups a weight from 0
-// to 1 that moves slowly, because callers act on cached answers for as long as these live.
+// The capacity of an entry VM is limited by its connections, the requests and bytes in flight, and CPU
+// time. A Controller counts the first three exactly and is given the fourth as a measured share. It
+// refuses requests by class, the least urgent first, before a limit is reached. It also computes the
+// weight of the entry VM in look-up answers, from 0 to 1, which changes slowly because callers cache
+// these answers.
 package paroom
--- a/paroom/query.go
+++ b/paroom/query.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Weight returns the room for look-ups' weights, 0 to 1; it is damped.
+// Weight returns the smoothed weight of this entry VM in look-up answers, 0 to 1.
 func (r *Controller) Weight() float64 { return r.weight }
 
-// Usage is how much of its limits an entry VM uses.
+// Usage is the load of an entry VM.
 type Usage struct {
 	Connections, Requests int
 	Bytes                 int64
-	// CPU is the smoothed busy share of the processors.
+	// CPU is the smoothed CPU use, 0 to 1.
 	CPU float64
-	// Max is the largest use of a limit, 1 at the limit.
+	// Max is the use of the limit that is closest to being reached, 1 at the limit.
 	Max float64
 }
 
-// Usage returns the present use.
+// Usage returns the current load.
 func (r *Controller) Usage(now time.Time) Usage {
 	return Usage{r.connections, r.requests, r.bytes, r.cpu, r.maxUse(now)}
 }
 
+// maxUse returns the largest use of any limit, 1 at the limit.
 func (r *Controller) maxUse(now time.Time) float64 {
 	return max(r.exactUse(0, 0), r.cpuUse(now), fraction(int64(r.connections), int64(r.Limits.Connections)))
 }
 
-// exactUse is the use of the exact limits with this much more.
+// exactUse returns the larger use of the limits on requests and bytes with this many more in flight.
 func (r *Controller) exactUse(requests int, bytes int64) float64 {
 	return max(fraction(int64(r.requests+requests), int64(r.Limits.Requests)), fraction(r.bytes+bytes, r.Limits.Bytes))
 }
 
+// cpuUse returns the CPU use relative to cpuLimit, 0 without a recent sample.
 func (r *Controller) cpuUse(now time.Time) float64 {
 	if r.cpuAt.IsZero() || now.Sub(r.cpuAt) > maxCPUAge {
 		return 0
@@ -39,7 +41,8 @@
 	return r.cpu / cpuLimit
 }
 
-// retryAfter grows with what is beyond the lowest threshold; half of it is jitter.
+// retryAfter returns the delay for a refused request. It grows with the use above the lowest threshold, and
+// random scales it by 0.5 to 1.5.
 func (r *Controller) retryAfter(use, random float64) time.Duration {
 	over := math.Max(0, use-thresholds[Retry]) / (1 - thresholds[Retry])
 	wait := minRetryAfter.Seconds() * (1 + 4*over) * (0.5 + random)
--- a/paroom/room.go
+++ b/paroom/room.go
@@ -5,55 +5,54 @@
 	"time"
 )
 
-// Class is the kind of a request as far as refusals go.
+// Class is the priority of a request for admission.
 type Class int
 
-// The classes in the order in which they are refused.
+// The classes, from the first to the last to be refused as load rises.
 const (
-	// Retry is a repeat: the caller has had an answer or can wait, and repeats grow with load.
+	// Retry is a repeated request: its caller has had a response or can wait, and retries multiply under load.
 	Retry Class = iota
-	// Long is work that holds its place for long, such as a restore.
+	// Long is a long-running request, such as a restore.
 	Long
 	// Short is an ordinary first attempt.
 	Short
-	// Settled is work that another entry VM has already placed here by a credit.
+	// Settled is a request that another entry VM forwarded here with a credit.
 	Settled
 )
 
-// String returns the class's name.
+// String returns the name of the class.
 func (c Class) String() string {
 	return [...]string{"Retry", "Long", "Short", "Settled"}[c]
 }
 
-// thresholds are the uses of a limit from which on a class is refused.
+// thresholds are the uses of a limit above which a class is refused, so that an overloaded entry VM does
+// not slow down for all requests alike. Retries are refused first, then long requests, then ordinary
+// first attempts; requests with a credit are refused only at the limit itself.
 //
-// The load is an entry VM of seven whose neighbour died at 80 % load, and then full saturation. The
-// harm is that everything slows down together. Retries go first, then long work, then ordinary first
-// attempts; work that was granted goes only at the limit itself. The first threshold leaves the load
-// of a dead neighbour in, which takes 80 % to 93 %: at 80 % for retries, half of them were refused
-// for nothing.
+// The lowest threshold must allow the load after one of seven entry VMs has died, which raises 80 % to
+// 93 % on the others: with 80 % for retries, half of them were refused needlessly.
 var thresholds = [...]float64{Retry: 0.95, Long: 0.97, Short: 0.99, Settled: 1}
 
 const (
-	// cpuLimit is the busy share of the processors at which an entry VM counts as full. Harm: above
-	// it the run queue, and with it every latency, grows without bound. Value: with Poisson arrivals
-	// waiting at 85 % is under six times the service time, which is tens of microseconds here.
+	// cpuLimit is the CPU use at which an entry VM counts as full. Above it the run queue, and with it every
+	// latency, grows without bound. At 85 %, with Poisson arrivals, the wait is under six times the service
+	// time, which is tens of microseconds here.
 	cpuLimit = 0.85
-	// maxCPUAge is the age from which on a measured share says nothing; the counted limits still hold.
+	// maxCPUAge is the age above which the CPU sample is ignored; the exact limits still apply.
 	maxCPUAge = 5 * time.Second
-	// cpuSmoothing is the time over which the busy share is averaged. Harm: one collection of
-	// garbage would refuse callers. Value: a few samples at one a second.
+	// cpuSmoothing is the time constant of the moving average of CPU use: a few samples, at one a second.
+	// Without it, a single garbage collection would cause refusals.
 	cpuSmoothing = 2 * time.Second
-	// defaultCacheTTL is the life of cached answers if none is set.
+	// defaultCacheTTL is used if CacheTTL is not set.
 	defaultCacheTTL = 5 * time.Second
-	// minWeight keeps a full entry VM in a few answers, or no caller would find out that it has room.
+	// minWeight keeps a full entry VM in a few answers, so that callers find out when it has capacity again.
 	minWeight = 0.02
-	// minRetryAfter and maxComeBack bound the time to come back.
+	// minRetryAfter and maxRetryAfter bound the retry delay; jitter may halve the minimum.
 	minRetryAfter = time.Second
 	maxRetryAfter = 20 * time.Second
 )
 
-// Limits are what an entry VM can carry; a limit of 0 is not applied.
+// Limits are the capacity of an entry VM; a limit of 0 is not applied.
 type Limits struct {
 	Connections, Requests int
 	Bytes                 int64
@@ -63,7 +62,7 @@
 // goroutine at a time.
 type Controller struct {
 	Limits Limits
-	// CacheTTL is how long callers use a look-up's answer.
+	// CacheTTL is how long callers cache a look-up answer.
 	CacheTTL time.Duration
 
 	connections, requests int
@@ -77,14 +76,14 @@
 // Decision is the outcome of admission.
 type Decision struct {
 	Refused bool
-	// RetryAfter is when to come back after a refusal, jittered.
+	// RetryAfter is the delay, with jitter, after which a refused request may be retried.
 	RetryAfter time.Duration
 }
 
-// Admit decides on a request that would hold bytes in memory, and counts it if it is let in; random
-// is in [0, 1). Call End with the same bytes when it is over.
+// Admit decides whether to admit a request that would hold bytes in memory, and counts it if so; random
+// is in [0, 1) and sets the jitter. Call Release with the same bytes when an admitted request has ended.
 //
-// A refusal is final and at once: the caller keeps the time to go to the next entry VM of its list.
+// A refusal is immediate and final, which leaves the caller time to try the next entry VM of its list.
 func (r *Controller) Admit(now time.Time, c Class, bytes int64, random float64) Decision {
 	use := max(r.exactUse(1, bytes), r.cpuUse(now))
 	if use > thresholds[c] {
@@ -95,14 +94,15 @@
 	return Decision{}
 }
 
-// Release gives back what a request held.
+// Release ends the accounting of an admitted request.
 func (r *Controller) Release(bytes int64) {
 	r.requests = max(0, r.requests-1)
 	r.bytes = max(0, r.bytes-bytes)
 }
 
-// Grow counts bytes that a running request holds beyond what it was admitted with; negative bytes
-// give back. It returns false, and counts nothing, when the limit forbids it: read no further then.
+// Grow counts bytes that a running request holds beyond what it was admitted with; negative bytes release
+// some. It returns false, and counts nothing, if the limit would be exceeded; the caller must then stop
+// reading.
 func (r *Controller) Grow(bytes int64) bool {
 	if bytes > 0 && r.Limits.Bytes > 0 && r.bytes+bytes > r.Limits.Bytes {
 		return false
@@ -111,7 +111,7 @@
 	return true
 }
 
-// Connect counts a caller's connection, or returns false when there is no room for it.
+// Connect counts a caller's connection, or returns false if the limit is reached.
 func (r *Controller) Connect() bool {
 	if r.Limits.Connections > 0 && r.connections >= r.Limits.Connections {
 		return false
@@ -120,10 +120,10 @@
 	return true
 }
 
-// Disconnect gives a connection back.
+// Disconnect counts the end of a connection.
 func (r *Controller) Disconnect() { r.connections = max(0, r.connections-1) }
 
-// SetCPU takes the busy share of the processors, 0 to 1.
+// SetCPU adds a sample of the CPU use, 0 to 1; NaN is ignored.
 func (r *Controller) SetCPU(now time.Time, share float64) {
 	if math.IsNaN(share) {
 		return
@@ -137,11 +137,11 @@
 	r.cpuAt = now
 }
 
-// UpdateWeight moves the weight for look-ups; call it about once a second.
+// UpdateWeight moves the weight for look-ups towards the free capacity; call it about once a second.
 //
-// The load is callers that act on a cached answer until it has expired. Moved at once, the weight
-// would send all callers to the emptiest entry VM for a whole life of the answers, and then all to
-// the next. It goes down over one life of the answers and up over three.
+// Callers use a cached answer until it expires. If the weight followed the load at once, all callers would
+// go to the least loaded entry VM for one CacheTTL, and then all to the next. Its time constant is one
+// CacheTTL when it falls and three when it rises.
 func (r *Controller) UpdateWeight(now time.Time) {
 	want := math.Max(minWeight, 1-r.maxUse(now))
 	if r.weightAt.IsZero() {
--- a/paroom/room_test.go
+++ b/paroom/room_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain gives CI the same verdict every run; flags on the command line go before it.
+// TestMain fixes the seed of the property tests, so that CI gets the same result in every run; flags on the
+// command line override it.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20264", "rapid.checks": "300", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,8 +24,8 @@
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
 
-// Requests, bytes and connections come and go in any order. If one of them were counted wrong, an
-// entry VM would either run out of memory or refuse callers for ever after.
+// Requests, bytes and connections start and end in any order. Guards against a count that drifts: the entry
+// VM would either run out of memory or refuse callers permanently.
 func TestLimitsAreExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &Controller{Limits: Limits{Connections: 5, Requests: 10, Bytes: 1000}}
@@ -38,7 +39,7 @@
 				v := r.Admit(epoch, c, bytes, 0.5)
 				fits := float64(len(running)+1) <= thresholds[c]*10 && float64(total+bytes) <= thresholds[c]*1000
 				if v.Refused == fits || v.Refused && v.RetryAfter < minRetryAfter/2 {
-					t.Fatalf("%v of %d bytes beside %d requests of %d bytes: %+v", c, bytes, len(running), total, v)
+					t.Fatalf("admitting %v of %d bytes with %d requests of %d bytes in flight: %+v", c, bytes, len(running), total, v)
 				}
 				if !v.Refused {
 					running, total = append(running, bytes), total+bytes
@@ -48,7 +49,7 @@
 				if bytes := rapid.Int64Range(1, 300).Draw(t, "bytes"); len(running) > 0 && r.Grow(bytes) {
 					running[0] += bytes
 					if total += bytes; total > 1000 {
-						t.Fatalf("%d bytes are held, the limit is 1000", total)
+						t.Fatalf("%d bytes in flight, the limit is 1000", total)
 					}
 				}
 			},
@@ -60,7 +61,7 @@
 			},
 			"connect": func(*rapid.T) {
 				if r.Connect() != (connections < 5) {
-					t.Fatalf("connection %d of 5", connections+1)
+					t.Fatalf("Connect for connection %d with a limit of 5: wrong result", connections+1)
 				}
 				connections = min(5, connections+1)
 			},
@@ -72,7 +73,7 @@
 	})
 }
 
-// entry is an entry VM that slows down when its processors are busy: beyond 1 the work piles up.
+// entry is a simulated entry VM; work beyond its capacity accumulates in its backlog.
 type entry struct {
 	room    Controller
 	dead    bool
@@ -83,23 +84,23 @@
 	backlog float64
 }
 
-// outcome is what came of a run of a fleet.
+// outcome is the result of a simulation.
 type outcome struct {
-	// refused is the refused of the requests that were refused by those that stayed, peak the most work
-	// that waited at one of them in tenths of a second.
+	// refused is the share of requests that the surviving entry VMs refused, peak the largest backlog of one
+	// of them in tenths of a second.
 	refused, peak float64
-	// swing is the largest change of a weight in 5 s, long after the death.
+	// swing is the largest change of a weight within 5 s, from a minute after the failure on.
 	swing float64
 }
 
-// simulate runs 7 entry VMs, the last of half the capacity, for three minutes at the given load; a third
-// of the requests is retries. Callers keep their answer for 5 s. The first entry VM dies after a minute.
+// simulate runs 7 entry VMs, the last with half the capacity, for three minutes at the given load. A third
+// of the requests are retries. Callers cache a look-up answer for 5 s. The first entry VM fails after a minute.
 func simulate(load float64, lookUp func(es []entry, u float64) int) outcome {
 	const capacity, callers = 1000, 2100
 	random := rand.New(rand.NewPCG(7, 7))
 	es := make([]entry, 7)
 	for i := range es {
-		// A fifth of a second of work in flight.
+		// The limit on requests in flight is a fifth of a second of work.
 		es[i].slow = 1
 		if i == 6 {
 			es[i].slow = 0.5
@@ -127,7 +128,7 @@
 			e.demand++
 			if e.room.Admit(now, class, 0, 0.5).Refused {
 				e.refused++
-				// A refusal costs an entry VM a twentieth of an answer.
+				// A refusal costs an entry VM a twentieth of the work of a response.
 				e.backlog += 0.05
 				continue
 			}
@@ -167,7 +168,7 @@
 	return o
 }
 
-// byWeight picks an entry VM as look-ups do.
+// byWeight picks an entry VM at random in proportion to the weights, as look-ups do.
 func byWeight(es []entry, u float64) int {
 	total := 0.0
 	for i := range es {
@@ -187,7 +188,7 @@
 	return len(es) - 1
 }
 
-// byCPU picks the entry VM that is least busy now, as look-ups would without damping.
+// byCPU picks the entry VM with the lowest CPU use, as look-ups would without smoothed weights.
 func byCPU(es []entry, _ float64) int {
 	best := -1
 	for i := range es {
@@ -198,7 +199,7 @@
 	return best
 }
 
-// uniformly picks any live entry VM.
+// uniformly picks a live entry VM regardless of load.
 func uniformly(es []entry, u float64) int {
 	for i := int(u * 7); ; i = (i + 3) % 7 {
 		if !es[i].dead {
@@ -207,14 +208,15 @@
 	}
 }
 
-// One of 7 entry VMs dies at 80 % load, and another one has half the capacity of the rest. If
-// look-ups ignored room, the small one would refuse while others idle; if they sent everyone to the
-// emptiest, it would be full and the next one after it. At 150 % they refuse before they slow down.
+// One of 7 entry VMs fails at 80 % load, and another one has half the capacity of the rest. If look-ups
+// ignored free capacity, the small one would refuse requests while others are idle; if they sent all callers
+// to the least loaded one, each in turn would be overloaded. At 150 % load, entry VMs must refuse requests
+// before they slow down.
 func TestLossOfOneOfSeven(t *testing.T) {
 	damped, even, busiest := simulate(0.8, byWeight), simulate(0.8, uniformly), simulate(0.8, byCPU)
-	t.Logf("80 %%: by weight %+.3f, evenly %+.3f, to the least busy %+.3f", damped, even, busiest)
+	t.Logf("80 %%: by weight %+.3f, uniformly %+.3f, by CPU use %+.3f", damped, even, busiest)
 	if damped.refused > even.refused/2 || damped.refused > busiest.refused/2 || damped.refused > 0.05 {
-		t.Errorf("%.4f of the requests are refused; evenly %.4f, to the least busy %.4f", damped.refused, even.refused, busiest.refused)
+		t.Errorf("refused share by weight %.4f, uniformly %.4f, by CPU use %.4f", damped.refused, even.refused, busiest.refused)
 	}
 	if damped.swing > 0.1 {
 		t.Errorf("a weight changed by %.2f in 5 s", damped.swing)
@@ -222,8 +224,8 @@
 	full := simulate(1.5, byWeight)
 	t.Logf("150 %%: %+.3f", full)
 	if full.peak > 3 {
-		// Two tenths are the limit in flight; the refusals themselves are the rest.
-		t.Errorf("%.1f tenths of a second of work were waiting", full.peak)
+		// The limit on requests in flight accounts for two tenths, the cost of refusals for the rest.
+		t.Errorf("at 150 %% load, the largest backlog was %.1f tenths of a second, want at most 3", full.peak)
 	}
 }
 
