--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -99,7 +99,7 @@
 	o := pacontrol.Offered{
 		Request: paowner.Request{
 			ID: id, Service: r.Service, Deadline: r.Deadline, Idempotent: r.Idempotent,
-			Bytes: max(0, r.Size), Patience: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
+			Bytes: max(0, r.Size), MaxWait: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
 		},
 		// Unlike the caller's request ID, which a repeat may carry too, this one names a single copy.
 		Identity:  d.copyID(id),
@@ -206,7 +206,7 @@
 
 // attemptResult converts the result of an attempt for the control state.
 func attemptResult(attempt int, r paproxy.Result) paowner.Result {
-	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, ComeBack: r.ComeBack}
+	return paowner.Result{Attempt: attempt, Outcome: outcomeOf(r), Run: r.Total, RetryAfter: r.ComeBack}
 }
 
 // firstServerError is the lowest HTTP status that counts as a failure of the target.
--- a/paowner/estimate.go
+++ b/paowner/estimate.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// estimate predicts a run time from the ones before.
+// estimate predicts run times by an exponentially weighted moving average of the mean and of the
+// mean deviation, both in nanoseconds.
 type estimate struct {
 	mean, deviation float64
 	samples         int
 }
 
-func (e *estimate) learn(run time.Duration, weight float64) {
+// add includes a measured run time; weight is that of the newest sample, 0 to 1.
+func (e *estimate) add(run time.Duration, weight float64) {
 	v := float64(run)
 	if e.samples == 0 && e.mean == 0 {
 		e.mean = v
@@ -23,8 +25,9 @@
 	e.deviation += weight * (d - e.deviation)
 }
 
-// expect returns the mean, and the run time that is rarely passed.
-func (e *estimate) expect(fallback time.Duration, deviations float64) (mean, high time.Duration) {
+// predict returns the mean run time and a high estimate, which is the given number of mean
+// deviations above it; both are the fallback before the first sample.
+func (e *estimate) predict(fallback time.Duration, deviations float64) (mean, high time.Duration) {
 	if e.samples == 0 && e.mean == 0 {
 		return fallback, fallback
 	}
