--- a/paentry/control_loop.go
+++ b/paentry/control_loop.go
@@ -138,7 +138,7 @@
 			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
 			delete(d.waiting, v.Request)
 		case pacontrol.Conclude:
-			d.deliver(v.Request, knownOutcome(v))
+			d.deliver(v.Request, concludePlacement(v))
 			delete(d.waiting, v.Request)
 		case pacontrol.AskCredit:
 			d.peers.askCredit(ctx, v)
@@ -178,8 +178,8 @@
 	f.placements <- p
 }
 
-// knownOutcome returns the final placement of a repeated request whose earlier copy has a known end.
-func knownOutcome(v pacontrol.Conclude) paproxy.Placement {
+// concludePlacement returns the final placement of a repeated request, with the outcome of its earlier copy.
+func concludePlacement(v pacontrol.Conclude) paproxy.Placement {
 	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, ComeBack: v.ComeBack}
 	switch v.Outcome {
 	case paledger.EndedAnswered:
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -22,7 +22,8 @@
 	placements chan paproxy.Placement
 }
 
-// maxPlacements bounds the placements that wait for a request: at most one and the final one after it.
+// maxPlacements bounds the placements that wait for a request. Two are expected: that of one attempt and the
+// final one after it.
 const maxPlacements = 4
 
 func (d *Daemon) newFront() *paproxy.Front {
