--- a/paroom/query.go
+++ b/paroom/query.go
@@ -5,48 +5,51 @@
 	"time"
 )
 
-// Weight returns the room for look-ups' weights, 0 to 1; it is damped.
-func (r *Room) Weight() float64 { return r.weight }
+// Weight returns the smoothed weight of this entry VM in look-up answers, 0 to 1.
+func (r *Controller) Weight() float64 { return r.weight }
 
-// Usage is how much of its limits an entry VM uses.
+// Usage is the load of an entry VM.
 type Usage struct {
 	Connections, Requests int
 	Bytes                 int64
-	// Busy is the smoothed busy share of the processors.
-	Busy float64
-	// Use is the largest use of a limit, 1 at the limit.
-	Use float64
+	// CPU is the smoothed CPU use, 0 to 1.
+	CPU float64
+	// Max is the use of the limit that is closest to being reached, 1 at the limit.
+	Max float64
 }
 
-// Usage returns the present use.
-func (r *Room) Usage(now time.Time) Usage {
-	return Usage{r.connections, r.requests, r.bytes, r.busy, r.use(now)}
+// Usage returns the current load.
+func (r *Controller) Usage(now time.Time) Usage {
+	return Usage{r.connections, r.requests, r.bytes, r.cpu, r.maxUse(now)}
 }
 
-func (r *Room) use(now time.Time) float64 {
-	return max(r.counted(0, 0), r.processor(now), part(int64(r.connections), int64(r.Limits.Connections)))
+// maxUse returns the largest use of any limit, 1 at the limit.
+func (r *Controller) maxUse(now time.Time) float64 {
+	return max(r.exactUse(0, 0), r.cpuUse(now), fraction(int64(r.connections), int64(r.Limits.Connections)))
 }
 
-// counted is the use of the exact limits with this much more.
-func (r *Room) counted(requests int, bytes int64) float64 {
-	return max(part(int64(r.requests+requests), int64(r.Limits.Requests)), part(r.bytes+bytes, r.Limits.Bytes))
+// exactUse returns the larger use of the limits on requests and bytes with this many more in flight.
+func (r *Controller) exactUse(requests int, bytes int64) float64 {
+	return max(fraction(int64(r.requests+requests), int64(r.Limits.Requests)), fraction(r.bytes+bytes, r.Limits.Bytes))
 }
 
-func (r *Room) processor(now time.Time) float64 {
-	if r.busyAt.IsZero() || now.Sub(r.busyAt) > busyAge {
+// cpuUse returns the CPU use relative to cpuLimit, 0 without a recent sample.
+func (r *Controller) cpuUse(now time.Time) float64 {
+	if r.cpuAt.IsZero() || now.Sub(r.cpuAt) > maxCPUAge {
 		return 0
 	}
-	return r.busy / busyLimit
+	return r.cpu / cpuLimit
 }
 
-// comeBack grows with what is beyond the lowest threshold; half of it is jitter.
-func (r *Room) comeBack(use, random float64) time.Duration {
+// retryAfter returns the delay for a refused request. It grows with the use above the lowest threshold, and
+// random scales it by 0.5 to 1.5.
+func (r *Controller) retryAfter(use, random float64) time.Duration {
 	over := math.Max(0, use-thresholds[Retry]) / (1 - thresholds[Retry])
-	wait := minComeBack.Seconds() * (1 + 4*over) * (0.5 + random)
-	return min(maxComeBack, max(minComeBack/2, time.Duration(wait*float64(time.Second))))
+	wait := minRetryAfter.Seconds() * (1 + 4*over) * (0.5 + random)
+	return min(maxRetryAfter, max(minRetryAfter/2, time.Duration(wait*float64(time.Second))))
 }
 
-func part(n, limit int64) float64 {
+func fraction(n, limit int64) float64 {
 	if limit <= 0 {
 		return 0
 	}
