--- a/paentry/daemon.go
+++ b/paentry/daemon.go
@@ -88,7 +88,7 @@
 	d.heads = &paroll.HeadWatch{
 		Deployment: s.Deployment, Store: c.Store, Clock: c.Clock, Events: c.Recorder,
 		Random: rand.New(rand.NewPCG(c.Random.Uint64(), c.Random.Uint64())),
-		OnHead:  func(h pabundle.Head) { d.post(pacontrol.HeadFound{Head: h}) },
+		OnHead: func(h pabundle.Head) { d.post(pacontrol.HeadFound{Head: h}) },
 	}
 	d.targets = &paproxy.TargetClient{Dial: c.Network.Dial, Clock: c.Clock, Events: c.Recorder, Stamps: &c.Recorder.Stamps}
 	d.front = d.newFront()
