--- a/pamember/beat.go
+++ b/pamember/beat.go
@@ -117,9 +117,9 @@
 		if b.name == own {
 			continue
 		}
-		moved, heard := b.check(now)
-		m.index.dirty = m.index.dirty || heard
-		if !moved {
+		lostChanged, silentChanged := b.check(now)
+		m.index.dirty = m.index.dirty || silentChanged
+		if !lostChanged {
 			continue
 		}
 		m.version++
--- a/pamember/failure_test.go
+++ b/pamember/failure_test.go
@@ -43,14 +43,14 @@
 		}
 	}
 	f.Run(20 * time.Second)
-	thawed := 0
+	pauses := 0
 	for _, c := range n.Changes {
 		if g, ok := c.(pamember.PauseDetected); ok && g.Gap > 9*time.Second {
-			thawed++
+			pauses++
 		}
 	}
-	if thawed != 12 {
-		t.Errorf("%d of 12 pauses reported", thawed)
+	if pauses != 12 {
+		t.Errorf("%d of 12 pauses reported", pauses)
 	}
 	for name := range deaths(f) {
 		if name != n.Identity.Name {
--- a/paspread/replicator.go
+++ b/paspread/replicator.go
@@ -110,7 +110,7 @@
 	case FetchResult:
 		s.storePiece(now, v, &out)
 	case Tick:
-		s.pollNeighbour(now, &out)
+		s.pollPeer(now, &out)
 	}
 	s.advance(now, &out)
 	return out
@@ -143,8 +143,8 @@
 	*out = append(*out, Offer{To: v.Peer, Head: s.head})
 }
 
-// pollNeighbour compares heads with a random peer every pollInterval.
-func (s *Replicator) pollNeighbour(now time.Time, out *[]Command) {
+// pollPeer compares heads with a random peer every pollInterval.
+func (s *Replicator) pollPeer(now time.Time, out *[]Command) {
 	if now.Before(s.noOfferBefore.Add(pollInterval)) || len(s.peers.SameRegion)+len(s.peers.OtherRegions) == 0 {
 		return
 	}
