--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -171,7 +171,7 @@
 	switch v := e.(type) {
 	case Tick:
 		k.tick(now)
-	case Listed:
+	case VMsListed:
 		k.list(now, v.VMs)
 	case HeadFound:
 		k.compareStore(v.Head)
@@ -180,14 +180,14 @@
 		k.spreadStep(now, paspread.Offered{Peer: v.Peer, Head: v.Head})
 	case PieceFetched:
 		k.spreadStep(now, paspread.Fetched{From: v.From, Digest: v.Digest, Data: v.Data})
-	case PeerSaid:
+	case MemberMessage:
 		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Advert.Sequence)
 		k.hear(now, pamember.Received{Message: v.Message})
 	case Offered:
 		k.offer(now, v)
 	case Ended:
 		k.end(now, v)
-	case Landed:
+	case RequestDone:
 		k.land(now, v.Request)
 	case CreditAsked:
 		k.grant(now, v)
@@ -201,13 +201,13 @@
 		k.claimed(now, v)
 	case KeySettled:
 		k.ledger.Settle(now, v.Settlement)
-	case KeysHanded:
+	case KeysHandedOver:
 		k.ledger.AcceptHandover(now, v.Handover)
-	case StandingAsked:
+	case ShareStatesAsked:
 		k.tellStanding(now, v.Sequence)
-	case StandingTold:
-		k.followStanding(now, v.Standing)
-	case Measured:
+	case ShareStatesReceived:
+		k.followStanding(now, v.States)
+	case CPUMeasured:
 		k.room.Measure(now, v.Busy)
 	case Probed:
 		k.decisions = k.owner.Probed(now, v.Target, v.OK, k.decisions)
@@ -280,7 +280,7 @@
 	k.retireKeys(now)
 }
 
-func (k *Control) note(e paevent.Event) { k.effects = append(k.effects, Note{Event: e}) }
+func (k *Control) note(e paevent.Event) { k.effects = append(k.effects, RecordEvent{Event: e}) }
 
 // output collects the effects, and the snapshot if it changed.
 func (k *Control) output(now time.Time) Output {
--- a/pacontrol/effect.go
+++ b/pacontrol/effect.go
@@ -37,15 +37,15 @@
 	Incarnation uint64
 	// Credit is the encoded credit that the request redeems there; empty within a region.
 	Credit string
-	// Patience goes with the request: the wait here, which the other owner has to undercut.
-	Patience time.Duration
+	// MaxWait goes with the request: the wait here, which the other owner has to undercut.
+	MaxWait time.Duration
 }
 
 // Refuse is the final answer to a request that did not run.
 type Refuse struct {
 	Request  paowner.RequestID
 	Reason   string
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // Fail is the final answer to a request that may have run.
@@ -61,7 +61,7 @@
 	Reason  string
 	// Status is the HTTP status of the answer that an earlier copy got.
 	Status   int
-	ComeBack time.Duration
+	RetryAfter time.Duration
 }
 
 // AskCredit asks an entry VM of another region for credits; CreditGranted reports the answer.
@@ -100,8 +100,8 @@
 	Settlement paledger.Settlement
 }
 
-// HandKeys gives a part of this keeper's memory to a successor.
-type HandKeys struct {
+// HandOverKeys gives a part of this keeper's memory to a successor.
+type HandOverKeys struct {
 	Address  netip.AddrPort
 	Handover paledger.Handover
 }
@@ -132,8 +132,8 @@
 	Digest  pabundle.Digest
 }
 
-// Note records an event.
-type Note struct{ Event paevent.Event }
+// RecordEvent records an event.
+type RecordEvent struct{ Event paevent.Event }
 
 func (Start) effect()            {}
 func (Forward) effect()          {}
@@ -147,10 +147,10 @@
 func (ClaimKey) effect()         {}
 func (ReplyClaim) effect()       {}
 func (SettleKey) effect()        {}
-func (HandKeys) effect()         {}
+func (HandOverKeys) effect()         {}
 func (Send) effect()             {}
 func (Probe) effect()            {}
 func (CloseConnections) effect() {}
 func (OfferHead) effect()        {}
 func (FetchPiece) effect()       {}
-func (Note) effect()             {}
+func (RecordEvent) effect()             {}
--- a/pacontrol/event.go
+++ b/pacontrol/event.go
@@ -19,8 +19,8 @@
 // Tick says that time has passed; it is due every TickInterval.
 type Tick struct{}
 
-// Listed is a successful read of the platform's VM list, in whole.
-type Listed struct{ VMs []paplatform.VM }
+// VMsListed is a successful read of the platform's VM list, in whole.
+type VMsListed struct{ VMs []paplatform.VM }
 
 // HeadFound is a head read from the store.
 type HeadFound struct{ Head pabundle.Head }
@@ -38,8 +38,8 @@
 	Data   []byte
 }
 
-// PeerSaid is a membership message from another entry VM.
-type PeerSaid struct{ Message pamember.Message }
+// MemberMessage is a membership message from another entry VM.
+type MemberMessage struct{ Message pamember.Message }
 
 // Offered is a request that wants a place.
 type Offered struct {
@@ -54,8 +54,8 @@
 	Credit string
 	// Key is the caller's key of a request that must not run twice; empty for all others.
 	Key string
-	// Digest tells another request under the same key apart.
-	Digest uint64
+	// BodyDigest tells another request under the same key apart.
+	BodyDigest uint64
 	// FirstSent is when the caller sent its first copy, zero if it did not say; Repeat marks later copies.
 	FirstSent time.Time
 	Repeat    bool
@@ -69,8 +69,8 @@
 	Status int
 }
 
-// Landed says that a request is over at this entry VM, however it ended; every Offered has one.
-type Landed struct{ Request paowner.RequestID }
+// RequestDone says that a request is over at this entry VM, however it ended; every Offered has one.
+type RequestDone struct{ Request paowner.RequestID }
 
 // CreditAsked is another entry VM's request for credits; its effect is a ReplyGrant.
 type CreditAsked struct {
@@ -98,11 +98,11 @@
 // KeySettled is another entry VM's word on how a granted copy ended.
 type KeySettled struct{ Settlement paledger.Settlement }
 
-// KeysHanded is a part of a leaving keeper's memory.
-type KeysHanded struct{ Handover paledger.Handover }
+// KeysHandedOver is a part of a leaving keeper's memory.
+type KeysHandedOver struct{ Handover paledger.Handover }
 
-// Measured is the busy share of this VM's processors, 0 to 1.
-type Measured struct{ Busy float64 }
+// CPUMeasured is the busy share of this VM's processors, 0 to 1.
+type CPUMeasured struct{ Busy float64 }
 
 // Probed is the end of a probe.
 type Probed struct {
@@ -120,26 +120,26 @@
 type Departed struct{}
 
 func (Tick) event()          {}
-func (Listed) event()        {}
+func (VMsListed) event()        {}
 func (HeadFound) event()     {}
 func (HeadOffered) event()   {}
 func (PieceFetched) event()  {}
-func (PeerSaid) event()      {}
+func (MemberMessage) event()      {}
 func (Offered) event()       {}
 func (Ended) event()         {}
 func (Probed) event()        {}
 func (Draining) event()      {}
 func (StopAsked) event()     {}
 func (Departed) event()      {}
-func (Landed) event()        {}
+func (RequestDone) event()        {}
 func (CreditAsked) event()   {}
 func (CreditGranted) event() {}
 func (Announced) event()     {}
 func (ClaimAsked) event()    {}
 func (Claimed) event()       {}
 func (KeySettled) event()    {}
-func (KeysHanded) event()    {}
-func (Measured) event()      {}
+func (KeysHandedOver) event()    {}
+func (CPUMeasured) event()      {}
 
 // TickInterval is how often Tick is due. Load: queues whose waits are tens of milliseconds. Harm of
 // more: refusals that are due stand for as long, and 20 ms put their p99 at 13.6 ms in bursts; of
--- a/pacontrol/key.go
+++ b/pacontrol/key.go
@@ -55,7 +55,7 @@
 	c.asked = true
 	v, id, keeper := c.offered, c.id, c.keeper
 	ask := paledger.Claim{
-		ID: id, Request: v.Identity, BodyDigest: v.Digest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
+		ID: id, Request: v.Identity, BodyDigest: v.BodyDigest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
 		Claimant: paledger.Claimant{Name: k.config.Self.Name, Incarnation: uint64(k.config.Self.Incarnation)},
 		Memory:   k.keyMemory(v.Request.Service),
 	}
@@ -172,7 +172,7 @@
 }
 
 func (k *Control) conclude(id paowner.RequestID, o paledger.Outcome, reason string, r paledger.Reply) {
-	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, ComeBack: r.RetryAfter})
+	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, RetryAfter: r.RetryAfter})
 }
 
 // sending notes that an attempt of a request begins.
@@ -248,7 +248,7 @@
 	for _, n := range slices.Sorted(maps.Keys(handed)) {
 		if a, ok := k.peerAddress(n); ok {
 			for _, p := range handed[n] {
-				k.effects = append(k.effects, HandKeys{Address: a, Handover: p})
+				k.effects = append(k.effects, HandOverKeys{Address: a, Handover: p})
 			}
 		}
 	}
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -39,7 +39,7 @@
 
 func (k *Control) refuse(id paowner.RequestID, reason string, comeBack time.Duration) {
 	k.countRefusal(id, reason)
-	k.effects = append(k.effects, Refuse{Request: id, Reason: reason, ComeBack: comeBack})
+	k.effects = append(k.effects, Refuse{Request: id, Reason: reason, RetryAfter: comeBack})
 }
 
 // longBytes is the size from which on a request counts as long work for the entry VM's room.
@@ -145,7 +145,7 @@
 }
 
 func (k *Control) forward(v paowner.Forward) Forward {
-	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, Patience: v.MaxWait}
+	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, MaxWait: v.MaxWait}
 	if m, ok := k.view.Find(v.Entry); ok {
 		f.Address = m.PeerAddress
 		f.Incarnation = uint64(m.Incarnation)
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -30,8 +30,8 @@
 	// Loads is the load of each service at this entry VM, when the snapshot was made: at most
 	// planInterval ago. It is for metrics; no decision reads it.
 	Loads map[pabundle.ServiceName]ServiceLoad
-	// Use is the largest use of one of the entry VM's own limits, 1 at the limit.
-	Use float64
+	// RoomUse is the largest use of one of the entry VM's own limits, 1 at the limit.
+	RoomUse float64
 }
 
 // ServiceLoad is how loaded one service is at one entry VM.
@@ -60,7 +60,7 @@
 		for i := range k.bundle.Services {
 			s.Services[k.bundle.Services[i].Name] = &k.bundle.Services[i]
 		}
-		s.Loads, s.Use = k.serviceLoads(now), k.room.Usage(now).Use
+		s.Loads, s.RoomUse = k.serviceLoads(now), k.room.Usage(now).Use
 	}
 	return s
 }
@@ -118,5 +118,5 @@
 // Head returns the head in force.
 func (k *Control) Head() pabundle.Head { return k.spread.Head() }
 
-// Held returns how many requests are offered and not over.
-func (k *Control) Held() int { return len(k.admitted) }
+// InFlight returns how many requests are offered and not over.
+func (k *Control) InFlight() int { return len(k.admitted) }
--- a/pacontrol/standing.go
+++ b/pacontrol/standing.go
@@ -11,29 +11,29 @@
 	"papayahead/pawire"
 )
 
-// StandingAsked is a question of a daemon that has just started; its effect is a ReplyStanding.
-type StandingAsked struct{ Sequence pabundle.Sequence }
+// ShareStatesAsked is a question of a daemon that has just started; its effect is a ReplyStanding.
+type ShareStatesAsked struct{ Sequence pabundle.Sequence }
 
-// StandingTold answers an AskStanding.
-type StandingTold struct{ Standing Standing }
+// ShareStatesReceived answers an AskStanding.
+type ShareStatesReceived struct{ States ShareStates }
 
-func (StandingAsked) event() {}
-func (StandingTold) event()  {}
+func (ShareStatesAsked) event() {}
+func (ShareStatesReceived) event()  {}
 
-// AskStanding asks a neighbour where its shares stand; StandingTold reports the answer.
-type AskStanding struct {
+// AskShareStates asks a neighbour where its shares stand; StandingTold reports the answer.
+type AskShareStates struct {
 	Address  netip.AddrPort
 	Sequence pabundle.Sequence
 }
 
-// ReplyStanding answers a StandingAsked.
-type ReplyStanding struct{ Standing Standing }
+// ReplyShareStates answers a StandingAsked.
+type ReplyShareStates struct{ States ShareStates }
 
-func (AskStanding) effect()   {}
-func (ReplyStanding) effect() {}
+func (AskShareStates) effect()   {}
+func (ReplyShareStates) effect() {}
 
-// Standing is where a daemon's shares stand under a roll-out.
-type Standing struct {
+// ShareStates is where a daemon's shares stand under a roll-out.
+type ShareStates struct {
 	Sequence pabundle.Sequence
 	Services map[pabundle.ServiceName]pashift.ShareState
 }
@@ -56,24 +56,24 @@
 		}
 	}
 	if len(near) > 0 {
-		k.effects = append(k.effects, AskStanding{Address: near[k.config.Random.IntN(len(near))], Sequence: k.head.Sequence})
+		k.effects = append(k.effects, AskShareStates{Address: near[k.config.Random.IntN(len(near))], Sequence: k.head.Sequence})
 	}
 }
 
 // tellStanding answers a neighbour; one that has just started itself has nothing to tell.
 func (k *Control) tellStanding(now time.Time, asked pabundle.Sequence) {
-	s := Standing{Sequence: k.head.Sequence}
+	s := ShareStates{Sequence: k.head.Sequence}
 	if k.bundle != nil && asked == k.head.Sequence && !now.Before(k.standingUntil) {
 		s.Services = map[pabundle.ServiceName]pashift.ShareState{}
 		for _, v := range k.bundle.Services {
 			s.Services[v.Name] = k.table.ShareState(v.Name)
 		}
 	}
-	k.effects = append(k.effects, ReplyStanding{Standing: s})
+	k.effects = append(k.effects, ReplyShareStates{States: s})
 }
 
 // followStanding takes a neighbour's standing, once and only right after the first bundle.
-func (k *Control) followStanding(now time.Time, s Standing) {
+func (k *Control) followStanding(now time.Time, s ShareStates) {
 	if k.bundle == nil || s.Sequence != k.head.Sequence || len(s.Services) == 0 || !now.Before(k.standingUntil) {
 		return
 	}
@@ -85,7 +85,7 @@
 }
 
 // Wire returns the standing as a message.
-func (s Standing) Wire() *pawire.StandingTold {
+func (s ShareStates) Wire() *pawire.StandingTold {
 	w := &pawire.StandingTold{Sequence: uint64(s.Sequence)}
 	for n, x := range s.Services {
 		for _, y := range x.Shares {
@@ -101,15 +101,15 @@
 // maxStanding bounds the shares of a message: services times pairs of regions at the size designed for.
 const maxStanding = 1 << 16
 
-// StandingFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
-func StandingFromWire(w *pawire.StandingTold) (Standing, error) {
+// ShareStatesFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
+func ShareStatesFromWire(w *pawire.StandingTold) (ShareStates, error) {
 	if len(w.GetShares()) > maxStanding || len(w.GetDown()) > maxStanding {
-		return Standing{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxStanding)
+		return ShareStates{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxStanding)
 	}
-	s := Standing{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.ShareState{}}
+	s := ShareStates{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.ShareState{}}
 	for _, x := range w.GetShares() {
 		if !(x.GetShare() >= 0 && x.GetShare() <= 1) {
-			return Standing{}, trace.BadParameter("standing with a share of %v: want 0 to 1", x.GetShare())
+			return ShareStates{}, trace.BadParameter("standing with a share of %v: want 0 to 1", x.GetShare())
 		}
 		n := pabundle.ServiceName(x.GetService())
 		v := s.Services[n]
--- a/pacontrol/world_test.go
+++ b/pacontrol/world_test.go
@@ -167,7 +167,7 @@
 	e.control = k
 	life := e.life
 	w.every(TickInterval, e, life, func() { w.step(e, Tick{}) })
-	w.every(time.Second, e, life, func() { w.step(e, Listed{VMs: w.list()}) })
+	w.every(time.Second, e, life, func() { w.step(e, VMsListed{VMs: w.list()}) })
 	w.every(time.Second, e, life, func() { w.step(e, HeadFound{Head: w.head}) })
 }
 
@@ -280,7 +280,7 @@
 	}
 	switch v := x.(type) {
 	case Send:
-		w.send(e, v.Envelope.Address, func(to *entry) { w.step(to, PeerSaid{Message: v.Envelope.Message}) }, ignore)
+		w.send(e, v.Envelope.Address, func(to *entry) { w.step(to, MemberMessage{Message: v.Envelope.Message}) }, ignore)
 	case OfferHead:
 		w.send(e, v.Address, func(to *entry) { w.step(to, HeadOffered{Peer: e.self.Name, Head: v.Head}) }, ignore)
 	case FetchPiece:
@@ -309,12 +309,12 @@
 				}
 			})
 		}, ignore)
-	case AskStanding:
+	case AskShareStates:
 		w.send(e, v.Address, func(to *entry) {
-			w.stepThen(to, StandingAsked{Sequence: v.Sequence}, func(all []Effect) {
+			w.stepThen(to, ShareStatesAsked{Sequence: v.Sequence}, func(all []Effect) {
 				for _, r := range all {
-					if g, ok := r.(ReplyStanding); ok {
-						answer(to, StandingTold(g))
+					if g, ok := r.(ReplyShareStates); ok {
+						answer(to, ShareStatesReceived(g))
 					}
 				}
 			})
@@ -341,8 +341,8 @@
 		w.after(time.Second, lost)
 	case SettleKey:
 		w.send(e, v.Address, func(to *entry) { w.step(to, KeySettled{Settlement: v.Settlement}) }, ignore)
-	case HandKeys:
-		w.send(e, v.Address, func(to *entry) { w.step(to, KeysHanded{Handover: v.Handover}) }, ignore)
+	case HandOverKeys:
+		w.send(e, v.Address, func(to *entry) { w.step(to, KeysHandedOver{Handover: v.Handover}) }, ignore)
 	case Probe:
 		w.after(5*time.Millisecond, func() {
 			if e.life == life {
@@ -422,7 +422,7 @@
 	r.ended, r.outcome = true, o
 	delete(r.entry.requests, r.id)
 	if r.entry.life == r.life {
-		w.step(r.entry, Landed{Request: r.id})
+		w.step(r.entry, RequestDone{Request: r.id})
 	}
 	if p := r.parent; p != nil {
 		w.after(5*time.Millisecond, func() { w.endAttempt(p, r.attempt, o, 10*time.Millisecond) })
@@ -442,7 +442,7 @@
 	r := w.request(e, key, w.now.Add(time.Second))
 	w.step(e, Offered{
 		Request: paowner.Request{ID: r.id, Service: testService, Deadline: r.deadline, Idempotent: key == ""},
-		From:    e.self.Region, Key: key, Identity: fmt.Sprintf("copy-%d", r.id), FirstSent: sent, Digest: 1,
+		From:    e.self.Region, Key: key, Identity: fmt.Sprintf("copy-%d", r.id), FirstSent: sent, BodyDigest: 1,
 	})
 	w.after(time.Second+50*time.Millisecond, func() { w.finish(r, patarget.Abandoned) })
 }
--- a/paentry/limits.go
+++ b/paentry/limits.go
@@ -51,18 +51,18 @@
 	})
 }
 
-func (p *peers) askStanding(ctx context.Context, a pacontrol.AskStanding) {
+func (p *peers) askStanding(ctx context.Context, a pacontrol.AskShareStates) {
 	p.call(ctx, controlTimeout, nothing, func(ctx context.Context) {
 		c := pawire.NewDRPCAgreementClient(p.conn(ctx, a.Address))
 		w, err := c.Standing(ctx, &pawire.StandingAsk{Sequence: uint64(a.Sequence)})
 		if err != nil {
 			return
 		}
-		s, err := pacontrol.StandingFromWire(w)
+		s, err := pacontrol.ShareStatesFromWire(w)
 		if err != nil {
 			return
 		}
-		p.daemon.post(pacontrol.StandingTold{Standing: s})
+		p.daemon.post(pacontrol.ShareStatesReceived{States: s})
 	})
 }
 
@@ -107,7 +107,7 @@
 	})
 }
 
-func (p *peers) handKeys(ctx context.Context, h pacontrol.HandKeys) {
+func (p *peers) handKeys(ctx context.Context, h pacontrol.HandOverKeys) {
 	p.call(ctx, pieceTimeout, nothing, func(ctx context.Context) {
 		// A lost part leaves the handover incomplete, and the successor refuses what it does not know.
 		_, _ = pawire.NewDRPCLedgerClient(p.conn(ctx, h.Address)).Handover(ctx, h.Handover.Wire())
@@ -150,11 +150,11 @@
 
 // Standing implements pawire.DRPCAgreementServer.
 func (s *peerServer) Standing(_ context.Context, w *pawire.StandingAsk) (*pawire.StandingTold, error) {
-	reply := pacontrol.Standing{}
-	s.daemon.ask(pacontrol.StandingAsked{Sequence: pabundle.Sequence(w.GetSequence())}, func(e pacontrol.Effect) bool {
-		r, ok := e.(pacontrol.ReplyStanding)
+	reply := pacontrol.ShareStates{}
+	s.daemon.ask(pacontrol.ShareStatesAsked{Sequence: pabundle.Sequence(w.GetSequence())}, func(e pacontrol.Effect) bool {
+		r, ok := e.(pacontrol.ReplyShareStates)
 		if ok {
-			reply = r.Standing
+			reply = r.States
 		}
 		return ok
 	})
@@ -194,6 +194,6 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s.daemon.stepAndWait(pacontrol.KeysHanded{Handover: h})
+	s.daemon.stepAndWait(pacontrol.KeysHandedOver{Handover: h})
 	return &pawire.LedgerReply{}, nil
 }
--- a/paentry/loop.go
+++ b/paentry/loop.go
@@ -84,7 +84,7 @@
 // tickPause is the time to the next tick. Without requests nothing is due before the timers of
 // membership and shares, five times a second; an idle daemon's wake-ups cost more than their work.
 func (d *Daemon) tickPause() time.Duration {
-	if d.control.Held() > 0 {
+	if d.control.InFlight() > 0 {
 		return pacontrol.TickInterval
 	}
 	return pamember.TickInterval
@@ -127,7 +127,7 @@
 		case pacontrol.Forward:
 			d.placed(v.Request, d.forward(v))
 		case pacontrol.Refuse:
-			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), ComeBack: v.ComeBack})
+			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), ComeBack: v.RetryAfter})
 			delete(d.waiting, v.Request)
 		case pacontrol.Fail:
 			d.placed(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
@@ -139,13 +139,13 @@
 			d.peers.askCredit(ctx, v)
 		case pacontrol.Announce:
 			d.peers.announce(ctx, v)
-		case pacontrol.AskStanding:
+		case pacontrol.AskShareStates:
 			d.peers.askStanding(ctx, v)
 		case pacontrol.ClaimKey:
 			d.peers.claim(ctx, v)
 		case pacontrol.SettleKey:
 			d.peers.settle(ctx, v)
-		case pacontrol.HandKeys:
+		case pacontrol.HandOverKeys:
 			d.peers.handKeys(ctx, v)
 		case pacontrol.Send:
 			d.peers.sendMember(ctx, v.Envelope)
@@ -157,7 +157,7 @@
 			d.probe(ctx, v)
 		case pacontrol.CloseConnections:
 			d.targets.Forget(v.Address)
-		case pacontrol.Note:
+		case pacontrol.RecordEvent:
 			d.record(v.Event)
 		}
 	}
@@ -175,7 +175,7 @@
 
 // concluded is the final answer to a request of which an earlier copy is known.
 func concluded(v pacontrol.Conclude) paproxy.Placement {
-	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, ComeBack: v.ComeBack}
+	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, ComeBack: v.RetryAfter}
 	switch v.Outcome {
 	case paledger.EndedAnswered:
 		c.Outcome = paproxy.Answered
--- a/paentry/measure.go
+++ b/paentry/measure.go
@@ -19,7 +19,7 @@
 		now, next := d.config.Clock.Now(), processorTime()
 		if passed := now.Sub(at); passed > 0 {
 			share := (next - used).Seconds() / passed.Seconds() / float64(runtime.GOMAXPROCS(0))
-			d.post(pacontrol.Measured{Busy: share})
+			d.post(pacontrol.CPUMeasured{Busy: share})
 		}
 		used, at = next, now
 		d.targets.Reap()
--- a/paentry/metrics.go
+++ b/paentry/metrics.go
@@ -70,7 +70,7 @@
 	vm.WriteGaugeUint64(w, "papayahead_agreed_members", uint64(s.Members))
 	vm.WriteGaugeUint64(w, "papayahead_stopping", flag(s.Stopping))
 	vm.WriteGaugeUint64(w, "papayahead_watches_store", flag(s.Watches))
-	vm.WriteGaugeFloat64(w, "papayahead_room_use", s.Use)
+	vm.WriteGaugeFloat64(w, "papayahead_room_use", s.RoomUse)
 	if s.View == nil {
 		return
 	}
--- a/paentry/peers.go
+++ b/paentry/peers.go
@@ -104,7 +104,7 @@
 		return
 	}
 	for _, m := range all {
-		p.daemon.post(pacontrol.PeerSaid{Message: m})
+		p.daemon.post(pacontrol.MemberMessage{Message: m})
 	}
 }
 
@@ -195,7 +195,7 @@
 // answer takes a message and returns what is to be answered to its sender.
 func (d *Daemon) answer(m pamember.Message) []pamember.Message {
 	var reply []pamember.Message
-	d.ask(pacontrol.PeerSaid{Message: m}, func(e pacontrol.Effect) bool {
+	d.ask(pacontrol.MemberMessage{Message: m}, func(e pacontrol.Effect) bool {
 		s, ok := e.(pacontrol.Send)
 		if !ok || s.Envelope.Address != m.From.PeerAddress {
 			return false
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -104,7 +104,7 @@
 		Credit:    r.Credit,
 		FirstSent: r.FirstSent,
 		Repeat:    r.Repeat,
-		Digest:    r.Digest,
+		BodyDigest:    r.Digest,
 	}
 	if r.Origin != "" {
 		return o
@@ -153,7 +153,7 @@
 // its slot is given back as not run.
 func (d *Daemon) land(exchange uint64, f *flight) {
 	d.flights.Delete(exchange)
-	d.send(step{event: pacontrol.Landed{Request: f.id}, then: func([]pacontrol.Effect) {
+	d.send(step{event: pacontrol.RequestDone{Request: f.id}, then: func([]pacontrol.Effect) {
 		delete(d.waiting, f.id)
 		for {
 			select {
@@ -193,7 +193,7 @@
 
 func (d *Daemon) forward(v pacontrol.Forward) paproxy.Placement {
 	return paproxy.Forward{
-		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, Patience: v.Patience,
+		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, Patience: v.MaxWait,
 		Done: func(r paproxy.Result) {
 			d.post(pacontrol.Ended{Request: v.Request, Result: ended(v.Attempt, r), Status: r.Status})
 		},
--- a/paentry/platform.go
+++ b/paentry/platform.go
@@ -30,7 +30,7 @@
 		all, err := d.config.Machines.List(ctx)
 		switch {
 		case err == nil:
-			d.post(pacontrol.Listed{VMs: all})
+			d.post(pacontrol.VMsListed{VMs: all})
 			failed = false
 		case !failed && ctx.Err() == nil:
 			failed = true
--- a/papolicy/daemon.go
+++ b/papolicy/daemon.go
@@ -88,7 +88,7 @@
 			CallerAddress: h.daemon.address, PeerAddress: h.daemon.address,
 		})
 	}
-	d.tell(pacontrol.Listed{VMs: all})
+	d.tell(pacontrol.VMsListed{VMs: all})
 	w.after(listEvery, d.list)
 }
 
@@ -99,7 +99,7 @@
 	}
 	busy := float64(d.taken) / (w.deployment.EntryRate * measureEvery.Seconds())
 	d.taken = 0
-	d.tell(pacontrol.Measured{Busy: min(1, busy)})
+	d.tell(pacontrol.CPUMeasured{Busy: min(1, busy)})
 	w.after(measureEvery, d.measure)
 }
 
@@ -131,11 +131,11 @@
 		d.credits[x.Request] = x.Credit
 		return append(into, paowner.Forward{Request: x.Request, Entry: x.Entry, Region: x.Region, Attempt: x.Attempt})
 	case pacontrol.Refuse:
-		into = append(into, paowner.Refuse{Request: x.Request, RetryAfter: x.ComeBack})
-		return d.apply(pacontrol.Landed{Request: x.Request}, into)
+		into = append(into, paowner.Refuse{Request: x.Request, RetryAfter: x.RetryAfter})
+		return d.apply(pacontrol.RequestDone{Request: x.Request}, into)
 	case pacontrol.Fail:
 		into = append(into, paowner.Fail{Request: x.Request, Outcome: x.Outcome})
-		return d.apply(pacontrol.Landed{Request: x.Request}, into)
+		return d.apply(pacontrol.RequestDone{Request: x.Request}, into)
 	case pacontrol.Probe:
 		return append(into, paowner.Probe{Target: x.Target})
 	case pacontrol.FetchPiece:
@@ -163,7 +163,7 @@
 		if silent {
 			m.Facts = nil
 		}
-		d.to(x.Envelope.Address, func(o *daemon) { o.tell(pacontrol.PeerSaid{Message: m}) })
+		d.to(x.Envelope.Address, func(o *daemon) { o.tell(pacontrol.MemberMessage{Message: m}) })
 	case pacontrol.OfferHead:
 		d.to(x.Address, func(o *daemon) {
 			head := o.control.Head()
@@ -254,14 +254,14 @@
 func (d *daemon) Finish(_ time.Time, id paowner.RequestID, r paowner.Result, into []paowner.Decision) []paowner.Decision {
 	into = d.apply(pacontrol.Ended{Request: id, Result: r}, into)
 	if r.Outcome == patarget.Answered || r.Outcome == patarget.Abandoned {
-		into = d.apply(pacontrol.Landed{Request: id}, into)
+		into = d.apply(pacontrol.RequestDone{Request: id}, into)
 	}
 	return into
 }
 
 // Cancel implements decider.
 func (d *daemon) Cancel(_ time.Time, id paowner.RequestID, into []paowner.Decision) []paowner.Decision {
-	return d.apply(pacontrol.Landed{Request: id}, into)
+	return d.apply(pacontrol.RequestDone{Request: id}, into)
 }
 
 // Tick implements decider.
