--- a/pacontrol/agreement.go
+++ b/pacontrol/agreement.go
@@ -18,8 +18,8 @@
 	// listed is the platform's VM list as it was last read.
 	listed []paplatform.VM
 	// told is what was last announced.
-	told []paview.Seen
-	next time.Time
+	announced []paview.Seen
+	next      time.Time
 }
 
 const (
@@ -30,7 +30,7 @@
 	announceFactor = 5
 )
 
-func (a *agreement) prepare(c Config) {
+func (a *agreement) configure(c Config) {
 	a.view.Self = paview.Member{Name: c.Self.Name, Incarnation: uint64(c.Self.Incarnation)}
 	a.view.Lag = c.ListLag
 	a.view.Started = c.Started
@@ -38,7 +38,7 @@
 
 // listRegion takes the region's entry VMs from the VM list. Before the first bundle the zones'
 // regions are not known, so that the list says nothing.
-func (k *Control) listRegion(now time.Time) {
+func (k *Control) updateRegionList(now time.Time) {
 	if k.bundle == nil || k.agreement.listed == nil {
 		return
 	}
@@ -49,34 +49,34 @@
 		}
 	}
 	k.agreement.view.List(now, names)
-	k.takeMembers(now)
+	k.updateMembers(now)
 }
 
 // takeMembers hands on who counts now. It has to come before any announcement that follows: that
 // confirms newcomers, who may claim their parts as soon as they have it.
-func (k *Control) takeMembers(now time.Time) {
+func (k *Control) updateMembers(now time.Time) {
 	members := k.agreement.view.Members()
 	k.ledger.SetMembers(now, members)
 	if len(members) != k.members {
 		k.members = len(members)
-		k.note(paevent.AgreementChanged{Members: k.members})
+		k.record(paevent.AgreementChanged{Members: k.members})
 		k.changed = true
 	}
 }
 
 // agree keeps the agreement up and lets the ledger know of it.
-func (k *Control) agree(now time.Time) {
+func (k *Control) tickAgreement(now time.Time) {
 	a := &k.agreement
 	a.view.Tick(now)
-	k.takeMembers(now)
-	k.confirmHomes(now)
+	k.updateMembers(now)
+	k.confirmRollOut(now)
 	if now.Before(a.next) {
 		return
 	}
 	a.next = now.Add(announceInterval)
 	sees := a.view.Announcement().Sees
-	if k.members == 0 || !reflect.DeepEqual(sees, a.told) {
-		a.told = sees
+	if k.members == 0 || !reflect.DeepEqual(sees, a.announced) {
+		a.announced = sees
 		k.announceAll()
 		return
 	}
@@ -98,9 +98,9 @@
 	}
 }
 
-func (k *Control) announced(now time.Time, a paview.Announcement) {
+func (k *Control) handleAnnouncement(now time.Time, a paview.Announcement) {
 	k.agreement.view.Hear(now, a)
-	k.takeMembers(now)
+	k.updateMembers(now)
 	k.effects = append(k.effects, ReplyAnnounce{Announcement: k.agreement.view.Announcement()})
 }
 
@@ -108,25 +108,25 @@
 // list was heard to have taken it: also one that gossip calls dead may still grant keys behind a cut.
 // It rests on hearing from each of them, which holds for a fleet whose daemons all talk to each
 // other; where it does not, keys that a roll-out moves stay refused.
-func (k *Control) confirmHomes(now time.Time) {
-	if k.confirmed == k.head.Sequence || k.agreement.listed == nil {
+func (k *Control) confirmRollOut(now time.Time) {
+	if k.confirmedSequence == k.head.Sequence || k.agreement.listed == nil {
 		return
 	}
 	for _, v := range k.agreement.listed {
 		n := pabundle.EntryName(v.Name)
-		if v.Kind != paplatform.Entry || n == k.config.Self.Name || k.saidGoodBye(n) {
+		if v.Kind != paplatform.Entry || n == k.config.Self.Name || k.hasLeft(n) {
 			continue
 		}
 		if k.adverts[n] < k.head.Sequence {
 			return
 		}
 	}
-	k.confirmed = k.head.Sequence
+	k.confirmedSequence = k.head.Sequence
 	k.ledger.ConfirmRollOut(now, k.head.Sequence)
 }
 
 // saidGoodBye reports whether a member left by its own word.
-func (k *Control) saidGoodBye(n pabundle.EntryName) bool {
+func (k *Control) hasLeft(n pabundle.EntryName) bool {
 	m, ok := k.view.Find(n)
 	return ok && m.State == pamember.Left
 }
--- a/pacontrol/bundle.go
+++ b/pacontrol/bundle.go
@@ -11,11 +11,11 @@
 )
 
 // boot begins the spreading once the first VM list has named peers to ask.
-func (k *Control) boot(now time.Time) {
-	if k.booted {
+func (k *Control) startSpread(now time.Time) {
+	if k.spreadStarted {
 		return
 	}
-	k.booted = true
+	k.spreadStarted = true
 	k.setPeers(now)
 	k.spreadStep(now, paspread.Boot{})
 }
@@ -44,7 +44,7 @@
 		case paspread.Adopted:
 			k.adopt(now, v)
 		case paspread.Rejected:
-			k.noteRejected(v)
+			k.recordRejected(v)
 		}
 	}
 }
@@ -55,27 +55,27 @@
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := a.Pieces[d]; return p, ok }
 	b, err := pabundle.Assemble(a.Head.Digest, get)
 	if err != nil {
-		k.note(paevent.BundleUnavailable{Subject: sequence(a.Head), Digest: string(a.Head.Digest), Reason: err.Error()})
+		k.record(paevent.BundleUnavailable{Subject: sequence(a.Head), Digest: string(a.Head.Digest), Reason: err.Error()})
 		return
 	}
 	t := &palookup.Builder{}
 	if err := t.Add(b.ClientBlocks); err != nil {
-		k.note(paevent.BundleUnavailable{Subject: sequence(a.Head), Digest: string(a.Head.Digest), Reason: err.Error()})
+		k.record(paevent.BundleUnavailable{Subject: sequence(a.Head), Digest: string(a.Head.Digest), Reason: err.Error()})
 		return
 	}
-	k.head, k.bundle, k.blocks = a.Head, &b, t.Table()
+	k.head, k.bundle, k.clientBlocks = a.Head, &b, t.Table()
 	k.index = newIndex(&b)
 	if r := k.index.regions[k.config.Self.Zone]; r != k.config.Self.Region {
-		k.note(paevent.ZoneMismatch{Zone: string(k.config.Self.Zone), Region: string(k.config.Self.Region), Bundle: string(r)})
+		k.record(paevent.ZoneMismatch{Zone: string(k.config.Self.Zone), Region: string(k.config.Self.Region), Bundle: string(r)})
 	}
 	k.adoptLimits(now)
 	k.decisions = k.owner.Configure(now, b.Policy, b.Services, k.decisions)
-	k.hear(now, pamember.SetAdvert{Advert: pamember.Advert{Sequence: a.Head.Sequence, Digest: a.Head.Digest}})
-	k.note(paevent.BundleInForce{
+	k.stepMembership(now, pamember.SetAdvert{Advert: pamember.Advert{Sequence: a.Head.Sequence, Digest: a.Head.Digest}})
+	k.record(paevent.BundleInForce{
 		Subject: sequence(a.Head), Digest: string(a.Head.Digest), RollID: a.Head.RollID, Operator: a.Head.Operator,
 		DelayMilliseconds: now.Sub(a.Head.RolledAt).Milliseconds(),
 	})
-	k.assign(now)
+	k.assignTargets(now)
 	k.changed = true
 }
 
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -42,11 +42,11 @@
 	owner  *paowner.Owner
 	spread *paspread.Spread
 	// booted says that the spreading has begun.
-	booted  bool
-	planner palookup.Planner
-	plan    *palookup.Plan
-	planAt  time.Time
-	blocks  *palookup.Table
+	spreadStarted bool
+	planner       palookup.Planner
+	plan          *palookup.Plan
+	nextPlan      time.Time
+	clientBlocks  *palookup.Table
 
 	head    pabundle.Head
 	bundle  *pabundle.Bundle
@@ -63,26 +63,26 @@
 	room     paroom.Room
 	admitted map[paowner.RequestID]int64
 	// serving is the service of each admitted request, refusals those of the last second.
-	serving  map[paowner.RequestID]pabundle.ServiceName
-	refusals map[refusalKind]int
+	requestService map[paowner.RequestID]pabundle.ServiceName
+	refusals       map[refusalKind]int
 	// moving are the services on their way to the bundle's shares, shed the regions taken for down.
-	moving map[pabundle.ServiceName]bool
-	shed   map[shedRegion]bool
+	shifting    map[pabundle.ServiceName]bool
+	downRegions map[downRegion]bool
 	// behind says that the store's head was older than the one in force.
-	behind bool
+	storeBehind bool
 
-	limiter pashift.Limiter
-	counter pashift.Selector
-	table   *pashift.Table
+	limiter  pashift.Limiter
+	selector pashift.Selector
+	table    *pashift.Table
 	// standingUntil is how long a neighbour's standing is taken after the first bundle.
-	standingUntil time.Time
-	rates         map[pabundle.ServiceName]*rate
-	granter       pacredit.Granter
-	holder        pacredit.Holder
+	copySharesUntil time.Time
+	rates           map[pabundle.ServiceName]*rate
+	granter         pacredit.Granter
+	holder          pacredit.Holder
 	// asked is when a granter was last asked for credits, needed when requests waited for them.
-	asked, needed map[creditKey]time.Time
+	askedAt, neededAt map[creditKey]time.Time
 	// granted is when each granter last gave something.
-	granted map[creditKey]time.Time
+	grantedAt map[creditKey]time.Time
 	// loads are the smoothed loads of the own region.
 	loads map[pabundle.ServiceName]float64
 	// remotes are requests that go to another region; redeemed are those that came from one.
@@ -91,10 +91,10 @@
 
 	agreement agreement
 	// members is how many entry VMs of the region are agreed on.
-	members int
-	homes   map[pabundle.ServiceName][]pabundle.RegionName
+	members    int
+	keyRegions map[pabundle.ServiceName][]pabundle.RegionName
 	// confirmed is the last roll-out that every entry VM was heard to have taken.
-	confirmed             pabundle.Sequence
+	confirmedSequence     pabundle.Sequence
 	nextShift, nextSecond time.Time
 	ledger                paledger.Ledger
 	claims                map[paowner.RequestID]*claim
@@ -114,38 +114,38 @@
 
 // New returns a Control that knows neither bundle nor peers yet.
 func New(c Config) (*Control, error) {
-	m, err := pamember.New(pamember.Config{Self: c.Self, Random: fork(c.Random)})
+	m, err := pamember.New(pamember.Config{Self: c.Self, Random: splitRandom(c.Random)})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s, err := paspread.New(paspread.Config{Deployment: c.Deployment, Random: fork(c.Random), Children: pabundle.Children})
+	s, err := paspread.New(paspread.Config{Deployment: c.Deployment, Random: splitRandom(c.Random), Children: pabundle.Children})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	k := &Control{
-		spread:   s,
-		config:   c,
-		member:   m,
-		admitted: map[paowner.RequestID]int64{},
-		serving:  map[paowner.RequestID]pabundle.ServiceName{},
-		refusals: map[refusalKind]int{},
-		moving:   map[pabundle.ServiceName]bool{},
-		shed:     map[shedRegion]bool{},
-		rates:    map[pabundle.ServiceName]*rate{},
-		asked:    map[creditKey]time.Time{},
-		needed:   map[creditKey]time.Time{},
-		granted:  map[creditKey]time.Time{},
-		loads:    map[pabundle.ServiceName]float64{},
-		remotes:  map[paowner.RequestID]*remote{},
-		redeemed: map[paowner.RequestID]pabundle.ServiceName{},
-		claims:   map[paowner.RequestID]*claim{},
-		adverts:  map[pabundle.EntryName]pabundle.Sequence{},
-		leaving:  map[pabundle.TargetName]bool{},
-		owned:    map[pabundle.TargetName]bool{},
-		reports:  map[pabundle.EntryName]report{},
-		changed:  true,
+		spread:         s,
+		config:         c,
+		member:         m,
+		admitted:       map[paowner.RequestID]int64{},
+		requestService: map[paowner.RequestID]pabundle.ServiceName{},
+		refusals:       map[refusalKind]int{},
+		shifting:       map[pabundle.ServiceName]bool{},
+		downRegions:    map[downRegion]bool{},
+		rates:          map[pabundle.ServiceName]*rate{},
+		askedAt:        map[creditKey]time.Time{},
+		neededAt:       map[creditKey]time.Time{},
+		grantedAt:      map[creditKey]time.Time{},
+		loads:          map[pabundle.ServiceName]float64{},
+		remotes:        map[paowner.RequestID]*remote{},
+		redeemed:       map[paowner.RequestID]pabundle.ServiceName{},
+		claims:         map[paowner.RequestID]*claim{},
+		adverts:        map[pabundle.EntryName]pabundle.Sequence{},
+		leaving:        map[pabundle.TargetName]bool{},
+		owned:          map[pabundle.TargetName]bool{},
+		reports:        map[pabundle.EntryName]report{},
+		changed:        true,
 	}
-	k.owner = paowner.New(paowner.Config{Others: k, Rand: fork(c.Random)})
+	k.owner = paowner.New(paowner.Config{Others: k, Rand: splitRandom(c.Random)})
 	k.prepareLimits()
 	// Guards against a peer that knew this entry VM's predecessor and speaks before the first VM list
 	// was read: every step finds a view, if one of this entry VM alone.
@@ -154,7 +154,7 @@
 }
 
 // fork returns a source of its own, so that how often one part draws does not change another.
-func fork(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
+func splitRandom(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
 
 // Output is what a Step decided.
 type Output struct {
@@ -172,7 +172,7 @@
 	case Tick:
 		k.tick(now)
 	case VMsListed:
-		k.list(now, v.VMs)
+		k.updateVMs(now, v.VMs)
 	case HeadFound:
 		k.compareStore(v.Head)
 		k.spreadStep(now, paspread.Found{Head: v.Head})
@@ -182,41 +182,41 @@
 		k.spreadStep(now, paspread.Fetched{From: v.From, Digest: v.Digest, Data: v.Data})
 	case MemberMessage:
 		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Advert.Sequence)
-		k.hear(now, pamember.Received{Message: v.Message})
+		k.stepMembership(now, pamember.Received{Message: v.Message})
 	case Offered:
 		k.offer(now, v)
 	case Ended:
-		k.end(now, v)
+		k.endAttempt(now, v)
 	case RequestDone:
-		k.land(now, v.Request)
+		k.endRequest(now, v.Request)
 	case CreditAsked:
-		k.grant(now, v)
+		k.replyGrant(now, v)
 	case CreditGranted:
-		k.takeGrant(now, v.Grant)
+		k.acceptGrant(now, v.Grant)
 	case Announced:
-		k.announced(now, v.Announcement)
+		k.handleAnnouncement(now, v.Announcement)
 	case ClaimAsked:
 		k.effects = append(k.effects, ReplyClaim{Reply: k.ledger.Claim(now, v.Claim)})
 	case Claimed:
-		k.claimed(now, v)
+		k.handleClaimReply(now, v)
 	case KeySettled:
 		k.ledger.Settle(now, v.Settlement)
 	case KeysHandedOver:
 		k.ledger.AcceptHandover(now, v.Handover)
 	case ShareStatesAsked:
-		k.tellStanding(now, v.Sequence)
+		k.replyShareStates(now, v.Sequence)
 	case ShareStatesReceived:
-		k.followStanding(now, v.States)
+		k.copyShareStates(now, v.States)
 	case CPUMeasured:
 		k.room.Measure(now, v.Busy)
 	case Probed:
 		k.decisions = k.owner.Probed(now, v.Target, v.OK, k.decisions)
 	case Draining:
-		k.leave(now, v.Target, "the target's own word")
+		k.markLeaving(now, v.Target, "the target's own word")
 	case StopAsked:
 		k.stop(now)
 	case Departed:
-		k.hear(now, pamember.Depart{})
+		k.stepMembership(now, pamember.Depart{})
 	}
 	k.carryOut()
 	return k.output(now)
@@ -227,16 +227,16 @@
 const planInterval = time.Second
 
 func (k *Control) tick(now time.Time) {
-	k.hear(now, pamember.Tick{})
+	k.stepMembership(now, pamember.Tick{})
 	k.spreadStep(now, paspread.Tick{})
 	k.decisions = k.owner.Tick(now, k.decisions)
 	k.tickLimits(now)
 	if !now.Before(k.nextFacts) {
-		k.tellFacts(now)
+		k.publishFacts(now)
 	}
 }
 
-func (k *Control) list(now time.Time, all []paplatform.VM) {
+func (k *Control) updateVMs(now time.Time, all []paplatform.VM) {
 	var seeds []pamember.Seed
 	k.agreement.listed = all
 	for _, v := range all {
@@ -248,24 +248,24 @@
 			continue
 		}
 		if v.State == paplatform.Leaving {
-			k.leave(now, pabundle.TargetName(v.Name), "the platform's VM list")
+			k.markLeaving(now, pabundle.TargetName(v.Name), "the platform's VM list")
 		}
 	}
-	k.hear(now, pamember.Seeds{List: seeds})
-	k.listRegion(now)
-	k.boot(now)
+	k.stepMembership(now, pamember.Seeds{List: seeds})
+	k.updateRegionList(now)
+	k.startSpread(now)
 }
 
 // leave takes a target out of service at its first sign, whichever source it comes from: each can
 // be late, lost or wrong, and a target that stays in service by mistake costs its callers more than
 // one that leaves by mistake.
-func (k *Control) leave(now time.Time, t pabundle.TargetName, source string) {
+func (k *Control) markLeaving(now time.Time, t pabundle.TargetName, source string) {
 	if k.leaving[t] {
 		return
 	}
 	k.leaving[t] = true
 	if k.owned[t] {
-		k.note(paevent.TargetLeaving{Target: string(t), Source: source})
+		k.record(paevent.TargetLeaving{Target: string(t), Source: source})
 		k.decisions = k.owner.MarkLeaving(now, t, k.decisions)
 	}
 }
@@ -276,11 +276,11 @@
 	}
 	k.stopping = true
 	k.changed = true
-	k.hear(now, pamember.Leave{})
-	k.retireKeys(now)
+	k.stepMembership(now, pamember.Leave{})
+	k.handOverKeys(now)
 }
 
-func (k *Control) note(e paevent.Event) { k.effects = append(k.effects, RecordEvent{Event: e}) }
+func (k *Control) record(e paevent.Event) { k.effects = append(k.effects, RecordEvent{Event: e}) }
 
 // output collects the effects, and the snapshot if it changed.
 func (k *Control) output(now time.Time) Output {
@@ -289,8 +289,8 @@
 		k.view = v
 		k.changed = true
 	}
-	if k.changed || !now.Before(k.planAt) {
-		k.planAt = now.Add(planInterval)
+	if k.changed || !now.Before(k.nextPlan) {
+		k.nextPlan = now.Add(planInterval)
 		k.plan = k.planner.Update(now, k.view)
 		k.changed = false
 		out.Snapshot = k.snapshot(now)
--- a/pacontrol/credit.go
+++ b/pacontrol/credit.go
@@ -18,15 +18,15 @@
 
 const (
 	// creditAgain is the pause between asks of one granter for one service.
-	creditAgain = 100 * time.Millisecond
+	aheadAskInterval = 100 * time.Millisecond
 	// neededAgain is that pause while requests wait: a round trip between regions with some room. Harm of
 	// more: a request asks only once or twice before its wait ends, while its turn may keep a slot free.
-	neededAgain = 50 * time.Millisecond
+	urgentAskInterval = 50 * time.Millisecond
 	// creditAhead is the time of demand that credits are asked for; under the term of a credit, so
 	// that what is granted is used.
-	creditAhead = time.Second
+	creditHorizon = time.Second
 	// mostCredits bounds one ask. Harm of more: one source holds slots that others could use.
-	mostCredits = 32
+	maxCreditsPerAsk = 32
 )
 
 // creditKey names one granter's credits for one service.
@@ -69,12 +69,12 @@
 	v.Request.Origin = paowner.Remote
 	r, ok := decodeCredit(v.Credit)
 	if !ok || r.Service != v.Request.Service || r.Source.Name != v.Origin {
-		k.refuse(v.Request.ID, "CreditMissing", k.jitter(remoteComeBack))
+		k.refuse(v.Request.ID, "CreditMissing", k.jitter(remoteRetryAfter))
 		return
 	}
 	k.setLoad(now, r.Service)
 	if got := k.granter.Redeem(now, r); got != pacredit.Start {
-		k.refuse(v.Request.ID, "Credit"+got.String(), k.jitter(remoteComeBack))
+		k.refuse(v.Request.ID, "Credit"+got.String(), k.jitter(remoteRetryAfter))
 		return
 	}
 	k.redeemed[v.Request.ID] = r.Service
@@ -82,7 +82,7 @@
 }
 
 // grant answers another entry VM's ask for credits.
-func (k *Control) grant(now time.Time, v CreditAsked) {
+func (k *Control) replyGrant(now time.Time, v CreditAsked) {
 	if k.bundle != nil && !k.stopping {
 		for _, x := range v.Ask.Items {
 			k.setLoad(now, x.Service)
@@ -114,14 +114,14 @@
 }
 
 // takeGrant takes the answer to an ask and offers what came to the requests that wait.
-func (k *Control) takeGrant(now time.Time, g pacredit.Grant) {
+func (k *Control) acceptGrant(now time.Time, g pacredit.Grant) {
 	switch {
 	case k.holder.Accept(now, g):
 		for _, x := range g.Items {
-			k.granted[creditKey{g.Granter.Name, x.Service}] = now
+			k.grantedAt[creditKey{g.Granter.Name, x.Service}] = now
 		}
 	case len(g.Items) > 0:
-		k.note(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they came after their term, twice or unasked"})
+		k.record(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they came after their term, twice or unasked"})
 	}
 	k.placeWaiting(now)
 }
@@ -136,7 +136,7 @@
 		}
 		for _, x := range k.table.ShareState(s.Name).Shares {
 			if x.From == here && x.To != here && x.Share > 0 {
-				k.askRegion(now, s.Name, x.To, r.perSecond*x.Share*creditAhead.Seconds())
+				k.askRegion(now, s.Name, x.To, r.perSecond*x.Share*creditHorizon.Seconds())
 			}
 		}
 	}
@@ -146,34 +146,34 @@
 // over a few sources and small owners, where each source expects one or two requests in a credit's
 // term. Harm prevented: a burst of three waits for credits until it is refused. Two deviations of a
 // Poisson process and one more; unused ones are free again after their term.
-func ahead(need float64) int { return int(math.Ceil(need+2*math.Sqrt(need))) + 1 }
+func creditsFor(need float64) int { return int(math.Ceil(need+2*math.Sqrt(need))) + 1 }
 
 // askRegion asks the entry VMs of a region for credits ahead of requests, up to what is needed beyond
 // those held.
 func (k *Control) askRegion(now time.Time, s pabundle.ServiceName, region pabundle.RegionName, need float64) {
 	alive := k.live(region)
 	for _, m := range k.view.Members {
-		if m.Region != region || !m.Live() || now.Sub(k.asked[creditKey{m.Name, s}]) < creditAgain {
+		if m.Region != region || !m.Live() || now.Sub(k.askedAt[creditKey{m.Name, s}]) < aheadAskInterval {
 			continue
 		}
-		if want := min(mostCredits, ahead(need/float64(alive))) - k.holder.Held(now, m.Name, s); want > 0 {
+		if want := min(maxCreditsPerAsk, creditsFor(need/float64(alive))) - k.holder.Held(now, m.Name, s); want > 0 {
 			k.askCredit(now, m, s, want, true)
 		}
 	}
 }
 
 // askNow asks the entry VMs of a region for credits for the requests that wait for one.
-func (k *Control) askNow(now time.Time, s pabundle.ServiceName, region pabundle.RegionName) {
+func (k *Control) askUrgent(now time.Time, s pabundle.ServiceName, region pabundle.RegionName) {
 	alive, waiting := k.live(region), 0
 	for _, m := range k.view.Members {
-		if m.Region != region || !m.Live() || now.Sub(k.needed[creditKey{m.Name, s}]) < neededAgain {
+		if m.Region != region || !m.Live() || now.Sub(k.neededAt[creditKey{m.Name, s}]) < urgentAskInterval {
 			continue
 		}
 		if waiting == 0 {
 			waiting = k.waiting(s, region)
 		}
-		k.needed[creditKey{m.Name, s}] = now
-		k.askCredit(now, m, s, min(mostCredits, ahead(float64(waiting)/float64(alive))), false)
+		k.neededAt[creditKey{m.Name, s}] = now
+		k.askCredit(now, m, s, min(maxCreditsPerAsk, creditsFor(float64(waiting)/float64(alive))), false)
 	}
 }
 
@@ -181,7 +181,7 @@
 func (k *Control) waiting(s pabundle.ServiceName, region pabundle.RegionName) int {
 	n := 0
 	for _, f := range k.remotes {
-		if !f.running && f.region == region && f.offered.Request.Service == s {
+		if !f.running && f.region == region && f.offer.Request.Service == s {
 			n++
 		}
 	}
@@ -189,7 +189,7 @@
 }
 
 func (k *Control) askCredit(now time.Time, m pamember.MemberView, s pabundle.ServiceName, want int, ahead bool) {
-	k.asked[creditKey{m.Name, s}] = now
+	k.askedAt[creditKey{m.Name, s}] = now
 	k.effects = append(k.effects, AskCredit{
 		Address: m.PeerAddress,
 		Ask:     k.holder.Ask(now, m.Name, []pacredit.Item{{Service: s, Count: want}}),
--- a/pacontrol/effect.go
+++ b/pacontrol/effect.go
@@ -43,8 +43,8 @@
 
 // Refuse is the final answer to a request that did not run.
 type Refuse struct {
-	Request  paowner.RequestID
-	Reason   string
+	Request    paowner.RequestID
+	Reason     string
 	RetryAfter time.Duration
 }
 
@@ -60,7 +60,7 @@
 	Outcome paledger.Outcome
 	Reason  string
 	// Status is the HTTP status of the answer that an earlier copy got.
-	Status   int
+	Status     int
 	RetryAfter time.Duration
 }
 
@@ -147,10 +147,10 @@
 func (ClaimKey) effect()         {}
 func (ReplyClaim) effect()       {}
 func (SettleKey) effect()        {}
-func (HandOverKeys) effect()         {}
+func (HandOverKeys) effect()     {}
 func (Send) effect()             {}
 func (Probe) effect()            {}
 func (CloseConnections) effect() {}
 func (OfferHead) effect()        {}
 func (FetchPiece) effect()       {}
-func (RecordEvent) effect()             {}
+func (RecordEvent) effect()      {}
--- a/pacontrol/event.go
+++ b/pacontrol/event.go
@@ -119,27 +119,27 @@
 // Departed ends the membership, after the last request has ended.
 type Departed struct{}
 
-func (Tick) event()          {}
-func (VMsListed) event()        {}
-func (HeadFound) event()     {}
-func (HeadOffered) event()   {}
-func (PieceFetched) event()  {}
-func (MemberMessage) event()      {}
-func (Offered) event()       {}
-func (Ended) event()         {}
-func (Probed) event()        {}
-func (Draining) event()      {}
-func (StopAsked) event()     {}
-func (Departed) event()      {}
-func (RequestDone) event()        {}
-func (CreditAsked) event()   {}
-func (CreditGranted) event() {}
-func (Announced) event()     {}
-func (ClaimAsked) event()    {}
-func (Claimed) event()       {}
-func (KeySettled) event()    {}
-func (KeysHandedOver) event()    {}
-func (CPUMeasured) event()      {}
+func (Tick) event()           {}
+func (VMsListed) event()      {}
+func (HeadFound) event()      {}
+func (HeadOffered) event()    {}
+func (PieceFetched) event()   {}
+func (MemberMessage) event()  {}
+func (Offered) event()        {}
+func (Ended) event()          {}
+func (Probed) event()         {}
+func (Draining) event()       {}
+func (StopAsked) event()      {}
+func (Departed) event()       {}
+func (RequestDone) event()    {}
+func (CreditAsked) event()    {}
+func (CreditGranted) event()  {}
+func (Announced) event()      {}
+func (ClaimAsked) event()     {}
+func (Claimed) event()        {}
+func (KeySettled) event()     {}
+func (KeysHandedOver) event() {}
+func (CPUMeasured) event()    {}
 
 // TickInterval is how often Tick is due. Load: queues whose waits are tens of milliseconds. Harm of
 // more: refusals that are due stand for as long, and 20 ms put their p99 at 13.6 ms in bursts; of
--- a/pacontrol/fuzz_test.go
+++ b/pacontrol/fuzz_test.go
@@ -27,9 +27,9 @@
 
 // faults is how long the world is made to fail, rest how long it then has for all to end.
 const (
-	settle = 14 * time.Second
-	faults = 10 * time.Second
-	rest   = 4 * time.Second
+	settleTime   = 14 * time.Second
+	faultTime    = 10 * time.Second
+	recoveryTime = 4 * time.Second
 )
 
 // Whatever happens to four entry VMs (crashes, freezes, cuts, late, lost and repeated messages, a
@@ -37,19 +37,19 @@
 // falls, no request is left without an end, and once all is quiet the region serves again.
 func TestWholeControlUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossy"))
-		w.run(settle)
-		plan(t, w)
-		w.run(faults)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossy"))
+		w.run(settleTime)
+		scheduleFaults(t, w)
+		w.run(faultTime)
 		clear(w.cuts)
-		w.run(rest)
-		for key, n := range w.ran {
+		w.run(recoveryTime)
+		for key, n := range w.keyRuns {
 			if n > 1 {
 				t.Fatalf("key %s ran %d times", key, n)
 			}
 		}
 		for _, r := range w.requests {
-			if !r.ended && r.entry.life == r.life {
+			if !r.ended && r.entry.generation == r.generation {
 				t.Fatalf("request %d of %s has no end", r.id, r.entry.self.Name)
 			}
 		}
@@ -58,14 +58,14 @@
 				t.Fatalf("target %s still runs %d", name, n)
 			}
 		}
-		served(t, w)
+		checkServing(t, w)
 	})
 }
 
 // plan spreads offers and faults over the time of the faults.
-func plan(t *rapid.T, w *world) {
+func scheduleFaults(t *rapid.T, w *simulation) {
 	for i := range 60 {
-		at := time.Duration(rapid.IntRange(0, int(faults/time.Millisecond)).Draw(t, "at")) * time.Millisecond
+		at := time.Duration(rapid.IntRange(0, int(faultTime/time.Millisecond)).Draw(t, "at")) * time.Millisecond
 		n := rapid.IntRange(0, 3).Draw(t, "entry")
 		keyed := rapid.Bool().Draw(t, "keyed")
 		second := rapid.IntRange(0, 3).Draw(t, "second")
@@ -81,16 +81,16 @@
 		})
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "faults") {
-		at := time.Duration(rapid.IntRange(0, int(faults/time.Millisecond)).Draw(t, "fault at")) * time.Millisecond
+		at := time.Duration(rapid.IntRange(0, int(faultTime/time.Millisecond)).Draw(t, "fault at")) * time.Millisecond
 		n := rapid.IntRange(0, 3).Draw(t, "victim")
 		other := rapid.IntRange(0, 3).Draw(t, "other")
 		span := time.Duration(rapid.IntRange(100, 6000).Draw(t, "span")) * time.Millisecond
 		kind := rapid.SampledFrom([]string{"crash", "freeze", "cut", "cut one way"}).Draw(t, "kind")
-		w.after(at, func() { w.fail(kind, n, other, span) })
+		w.after(at, func() { w.injectFault(kind, n, other, span) })
 	}
 }
 
-func (w *world) fail(kind string, n, other int, span time.Duration) {
+func (w *simulation) injectFault(kind string, n, other int, span time.Duration) {
 	switch kind {
 	case "crash":
 		w.crash(n)
@@ -109,8 +109,8 @@
 }
 
 // served checks that each entry VM answers again when nothing fails any more.
-func served(t *rapid.T, w *world) {
-	w.lossy = 0
+func checkServing(t *rapid.T, w *simulation) {
+	w.lossRate = 0
 	w.run(15 * time.Second)
 	for n := range w.entries {
 		before := len(w.requests)
@@ -125,8 +125,8 @@
 // At full load, with no fault but late messages, no target ever runs more than its slots.
 func TestSlotsHoldUnderLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 0)
-		w.run(settle)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 0)
+		w.run(settleTime)
 		for range 400 {
 			n := rapid.IntRange(0, 3).Draw(t, "entry")
 			w.after(time.Duration(rapid.IntRange(0, 2000).Draw(t, "at"))*time.Millisecond, func() { w.offer(n, "", time.Time{}) })
@@ -144,8 +144,8 @@
 // west's neighbour restarts. It knows only the schedule, which sends all of east's callers to the east;
 // a failover of the east itself is what its neighbours know. It must stand where they stand.
 func TestARestartedDaemonStandsWhereItsNeighbourStands(t *testing.T) {
-	w := newWorld(1, 0)
-	w.run(settle)
+	w := newSimulation(1, 0)
+	w.run(settleTime)
 	// No target of the east takes work any more: its shares leave it under the cap.
 	for _, e := range w.entries[:2] {
 		for _, g := range w.bundle().Services[0].Targets[:2] {
--- a/pacontrol/index.go
+++ b/pacontrol/index.go
@@ -10,18 +10,18 @@
 	services map[pabundle.ServiceName]int
 	targets  map[pabundle.TargetName]pabundle.Target
 	// homes are the regions that have targets of a service.
-	homes map[pabundle.ServiceName]map[pabundle.RegionName]bool
+	serviceRegions map[pabundle.ServiceName]map[pabundle.RegionName]bool
 	// slots are the targets' slots within their regions' limits.
 	slots map[pabundle.TargetName]int
 }
 
 func newIndex(b *pabundle.Bundle) index {
 	x := index{
-		regions:  map[pabundle.ZoneName]pabundle.RegionName{},
-		services: map[pabundle.ServiceName]int{},
-		targets:  map[pabundle.TargetName]pabundle.Target{},
-		slots:    map[pabundle.TargetName]int{},
-		homes:    map[pabundle.ServiceName]map[pabundle.RegionName]bool{},
+		regions:        map[pabundle.ZoneName]pabundle.RegionName{},
+		services:       map[pabundle.ServiceName]int{},
+		targets:        map[pabundle.TargetName]pabundle.Target{},
+		slots:          map[pabundle.TargetName]int{},
+		serviceRegions: map[pabundle.ServiceName]map[pabundle.RegionName]bool{},
 	}
 	for _, r := range b.Regions {
 		for _, z := range r.Zones {
@@ -30,10 +30,10 @@
 	}
 	for i, s := range b.Services {
 		x.services[s.Name] = i
-		x.homes[s.Name] = map[pabundle.RegionName]bool{}
+		x.serviceRegions[s.Name] = map[pabundle.RegionName]bool{}
 		for _, t := range s.Targets {
 			x.targets[t.Name] = t
-			x.homes[s.Name][x.regions[t.Zone]] = true
+			x.serviceRegions[s.Name][x.regions[t.Zone]] = true
 		}
 	}
 	for _, r := range b.Regions {
@@ -73,8 +73,8 @@
 }
 
 // runs says whether a service has targets in a region.
-func (x *index) runs(s pabundle.ServiceName, r pabundle.RegionName) bool {
-	return x.homes[s][r]
+func (x *index) hasTargets(s pabundle.ServiceName, r pabundle.RegionName) bool {
+	return x.serviceRegions[s][r]
 }
 
 // regionOf returns a zone's region, empty while it is not known.
--- a/pacontrol/key.go
+++ b/pacontrol/key.go
@@ -23,27 +23,27 @@
 	address netip.AddrPort
 	granted bool
 	// asked says that the keeper's answer is awaited.
-	asked bool
+	awaiting bool
 	// again is when to ask the keeper anew, while another copy runs.
-	again time.Time
+	askAgainAt time.Time
 	// ended is the outcome so far, once an attempt was made.
 	attempted bool
 	// sent says that an attempt is under way.
-	sent    bool
-	outcome paledger.Outcome
-	status  int
+	inFlight bool
+	outcome  paledger.Outcome
+	status   int
 }
 
 // ledgerCapacity bounds the keys that are remembered, at about 300 bytes each: 60 MB.
 const ledgerCapacity = 200_000
 
 // keyComeBack is what a caller is told while a key's keeper is away or not agreed on yet.
-const keyComeBack = 2 * time.Second
+const keyRetryAfter = 2 * time.Second
 
 // claimKey asks the key's keeper whether this copy may run, before any byte can go anywhere.
 func (k *Control) claimKey(now time.Time, v Offered) {
 	id := paledger.ID{Service: v.Request.Service, Key: v.Key}
-	home := paledger.HomeRegion(id, k.homes[v.Request.Service])
+	home := paledger.HomeRegion(id, k.keyRegions[v.Request.Service])
 	keeper := paledger.Keeper(id, k.keepers(home))
 	c := &claim{offered: v, id: id, keeper: keeper}
 	k.claims[v.Request.ID] = c
@@ -52,7 +52,7 @@
 
 // askKeeper sends the claim to the keeper, which may be this entry VM.
 func (k *Control) askKeeper(now time.Time, c *claim) {
-	c.asked = true
+	c.awaiting = true
 	v, id, keeper := c.offered, c.id, c.keeper
 	ask := paledger.Claim{
 		ID: id, Request: v.Identity, BodyDigest: v.BodyDigest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
@@ -60,12 +60,12 @@
 		Memory:   k.keyMemory(v.Request.Service),
 	}
 	if keeper == k.config.Self.Name {
-		k.claimed(now, Claimed{Request: v.Request.ID, Reply: k.ledger.Claim(now, ask)})
+		k.handleClaimReply(now, Claimed{Request: v.Request.ID, Reply: k.ledger.Claim(now, ask)})
 		return
 	}
 	a, ok := k.peerAddress(keeper)
 	if !ok {
-		k.claimed(now, Claimed{Request: v.Request.ID, Lost: true})
+		k.handleClaimReply(now, Claimed{Request: v.Request.ID, Lost: true})
 		return
 	}
 	c.address = a
@@ -113,18 +113,18 @@
 }
 
 // claimed acts on the keeper's answer. Only a grant lets the request go on.
-func (k *Control) claimed(now time.Time, v Claimed) {
+func (k *Control) handleClaimReply(now time.Time, v Claimed) {
 	c := k.claims[v.Request]
 	// Failure: an answer comes twice, or after it was given up as lost. It would show as a request that
 	// is placed twice. Only the answer that is awaited counts.
-	if c == nil || !c.asked {
+	if c == nil || !c.awaiting {
 		return
 	}
-	c.asked = false
+	c.awaiting = false
 	if v.Lost {
 		// The keeper may have granted the key. This copy does not run, and says so when it lands.
 		c.granted = c.address.IsValid()
-		k.refuse(v.Request, "KeeperLost", k.jitter(keyComeBack))
+		k.refuse(v.Request, "KeeperLost", k.jitter(keyRetryAfter))
 		return
 	}
 	r := v.Reply
@@ -133,9 +133,9 @@
 		c.granted = true
 		k.route(now, c.offered)
 	case paledger.NotRun:
-		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.RetryAfter, keyComeBack)))
+		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.RetryAfter, keyRetryAfter)))
 	case paledger.Join:
-		k.join(now, c, r)
+		k.waitForCopy(now, c, r)
 	case paledger.Repeated:
 		k.conclude(v.Request, r.Outcome, "Repeated", r)
 	case paledger.Conflict:
@@ -148,24 +148,24 @@
 // joinPause is how often a request that another copy stands for asks how that one ended. Load: a
 // caller that asked twice at once. Harm of more: it waits longer than it has to; of less: calls
 // that bring nothing. Runs take 20 ms and more.
-const joinPause = 50 * time.Millisecond
+const copyPollInterval = 50 * time.Millisecond
 
 // join lets a request wait for the end of the copy that runs, for as long as its own deadline
 // allows; the copy's end is its answer.
-func (k *Control) join(now time.Time, c *claim, r paledger.Reply) {
-	if now.Add(2 * joinPause).After(c.offered.Request.Deadline) {
+func (k *Control) waitForCopy(now time.Time, c *claim, r paledger.Reply) {
+	if now.Add(2 * copyPollInterval).After(c.offered.Request.Deadline) {
 		k.conclude(c.offered.Request.ID, paledger.EndedUnknown, "CopyRuns", r)
 		return
 	}
-	c.again = now.Add(joinPause)
+	c.askAgainAt = now.Add(copyPollInterval)
 }
 
 // askAgain asks the keepers of requests that joined another copy.
-func (k *Control) askAgain(now time.Time) {
+func (k *Control) pollCopies(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(k.claims)) {
 		c := k.claims[id]
-		if !c.again.IsZero() && !now.Before(c.again) {
-			c.again = time.Time{}
+		if !c.askAgainAt.IsZero() && !now.Before(c.askAgainAt) {
+			c.askAgainAt = time.Time{}
 			k.askKeeper(now, c)
 		}
 	}
@@ -176,20 +176,20 @@
 }
 
 // sending notes that an attempt of a request begins.
-func (k *Control) sending(id paowner.RequestID) {
+func (k *Control) markInFlight(id paowner.RequestID) {
 	if c := k.claims[id]; c != nil {
-		c.sent = true
+		c.inFlight = true
 	}
 }
 
 // learn notes how an attempt of a keyed request ended. What may have run stays so, whatever a later
 // attempt says.
-func (k *Control) learn(v Ended) {
+func (k *Control) recordAttempt(v Ended) {
 	c := k.claims[v.Request]
 	if c == nil {
 		return
 	}
-	c.sent = false
+	c.inFlight = false
 	switch o := v.Result.Outcome; {
 	case o == patarget.Answered, o == patarget.Failed:
 		c.outcome, c.status = paledger.EndedAnswered, v.Status
@@ -213,7 +213,7 @@
 	}
 	s := paledger.Settlement{ID: c.id, Request: c.offered.Identity, Outcome: paledger.EndedNotRun}
 	switch {
-	case c.sent && c.outcome != paledger.EndedAnswered:
+	case c.inFlight && c.outcome != paledger.EndedAnswered:
 		// Failure: the request is over while an attempt still is not. Settled as not run, the next copy
 		// would be granted, and the key run twice. What is under way may run.
 		s.Outcome = paledger.EndedUnknown
@@ -228,13 +228,13 @@
 }
 
 // setHomes takes the home regions of the bundle in force.
-func (k *Control) setHomes(now time.Time) {
-	k.homes = paledger.CandidateRegions(k.bundle)
-	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.homes)
+func (k *Control) setKeyRegions(now time.Time) {
+	k.keyRegions = paledger.CandidateRegions(k.bundle)
+	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.keyRegions)
 }
 
 // retireKeys hands the memory of keys over, at the start of a graceful shutdown.
-func (k *Control) retireKeys(now time.Time) {
+func (k *Control) handOverKeys(now time.Time) {
 	members := k.agreement.view.Members()
 	var successors []pabundle.EntryName
 	for _, n := range members {
@@ -244,7 +244,7 @@
 	}
 	keys := k.ledger.Len()
 	handed := k.ledger.Retire(now, successors)
-	k.note(paevent.LedgerHandedOver{Keys: keys, Successors: len(handed)})
+	k.record(paevent.LedgerHandedOver{Keys: keys, Successors: len(handed)})
 	for _, n := range slices.Sorted(maps.Keys(handed)) {
 		if a, ok := k.peerAddress(n); ok {
 			for _, p := range handed[n] {
@@ -253,6 +253,6 @@
 		}
 	}
 	k.agreement.view.Retire()
-	k.takeMembers(now)
+	k.updateMembers(now)
 	k.announceAll()
 }
--- a/pacontrol/limits.go
+++ b/pacontrol/limits.go
@@ -27,18 +27,18 @@
 	k.limiter.Config = pashift.Config{ForwardOnly: true}
 	k.ledger.Self, k.ledger.Incarnation = self.Name, self.Incarnation
 	k.ledger.Region, k.ledger.Capacity = k.config.Self.Region, ledgerCapacity
-	k.agreement.prepare(k.config)
+	k.agreement.configure(k.config)
 }
 
 func (k *Control) adoptLimits(now time.Time) {
 	if k.table == nil {
-		k.askStanding(now)
+		k.askShareStates(now)
 	}
 	k.limiter.SetRollOut(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt}, now)
 	k.table = k.limiter.Step(now)
-	k.noteShifts(now)
-	k.setHomes(now)
-	k.listRegion(now)
+	k.recordShifts(now)
+	k.setKeyRegions(now)
+	k.updateRegionList(now)
 }
 
 // tickLimits moves shares, credits and agreements on.
@@ -48,14 +48,14 @@
 	}
 	k.holder.Tick(now)
 	k.tickWaiting(now)
-	k.askAgain(now)
+	k.pollCopies(now)
 	if now.Before(k.nextShift) {
 		return
 	}
 	k.nextShift = now.Add(shiftInterval)
 	k.granter.Tick(now)
 	k.ledger.Tick(now)
-	k.agree(now)
+	k.tickAgreement(now)
 	k.observeRegions(now)
 	k.table = k.limiter.Step(now)
 	k.askCredits(now)
@@ -63,7 +63,7 @@
 		k.nextSecond = now.Add(time.Second)
 		k.room.Weigh(now)
 		k.countRates()
-		k.noteSecond(now)
+		k.recordSecond(now)
 	}
 }
 
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -17,14 +17,14 @@
 const factsInterval = time.Second
 
 // hear lets the membership take an event, and acts on what changed.
-func (k *Control) hear(now time.Time, e pamember.Event) {
+func (k *Control) stepMembership(now time.Time, e pamember.Event) {
 	out := k.member.Step(now, e)
 	for _, m := range out.Send {
 		k.effects = append(k.effects, Send{Envelope: m})
 	}
 	moved := false
 	for _, c := range out.Changes {
-		moved = k.change(now, c) || moved
+		moved = k.applyChange(now, c) || moved
 	}
 	if v := k.member.View(now); v != k.view {
 		k.view = v
@@ -33,28 +33,28 @@
 	}
 	if moved {
 		k.setPeers(now)
-		k.assign(now)
+		k.assignTargets(now)
 	}
 }
 
 // change acts on one change of the membership and says whether targets may have moved.
-func (k *Control) change(now time.Time, c pamember.Change) bool {
+func (k *Control) applyChange(now time.Time, c pamember.Change) bool {
 	switch v := c.(type) {
 	case pamember.StateChanged:
-		k.noteMember(v)
+		k.recordMember(v)
 		return true
 	case pamember.ZoneLost:
-		k.note(paevent.ZoneLost{Zone: string(v.Zone)})
+		k.record(paevent.ZoneLost{Zone: string(v.Zone)})
 		return true
 	case pamember.ZoneFound:
-		k.note(paevent.ZoneFound{Zone: string(v.Zone)})
+		k.record(paevent.ZoneFound{Zone: string(v.Zone)})
 		return true
 	case pamember.Thawed:
-		k.note(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
+		k.record(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
 		k.holder.VoidAll()
-		k.note(paevent.CreditsVoided{Reason: "this process stood still"})
+		k.record(paevent.CreditsVoided{Reason: "this process stood still"})
 	case pamember.Refuted:
-		k.note(paevent.SuspicionRefuted{Said: v.Said.String()})
+		k.record(paevent.SuspicionRefuted{Said: v.Said.String()})
 	case pamember.AdvertSeen:
 		k.spreadStep(now, paspread.Seen{Peer: v.From.Name, Sequence: v.Advert.Sequence})
 	}
@@ -64,7 +64,7 @@
 // assign divides the region's targets over its live entry VMs: each has one owner, who alone sends
 // to it. Two daemons may disagree for as long as a change takes to spread; the new owner supposes
 // until then that the former owner's work still runs.
-func (k *Control) assign(now time.Time) {
+func (k *Control) assignTargets(now time.Time) {
 	if k.bundle == nil {
 		return
 	}
@@ -84,9 +84,9 @@
 			}
 			owned[t.Name] = true
 			if !k.owned[t.Name] {
-				k.note(paevent.TargetTaken{Subject: paevent.Subject{Service: string(s.Name)}, Target: string(t.Name), Join: "Orphaned"})
+				k.record(paevent.TargetTaken{Subject: paevent.Subject{Service: string(s.Name)}, Target: string(t.Name), Join: "Orphaned"})
 			}
-			mine = append(mine, k.take(s, t))
+			mine = append(mine, k.ownedTarget(s, t))
 		}
 	}
 	k.owned = owned
@@ -95,7 +95,7 @@
 
 // take describes a target for its owner. One that is new here is taken as orphaned: what its
 // former owner, or this VM's former process, sent to it may still run.
-func (k *Control) take(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
+func (k *Control) ownedTarget(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
 	t.Slots = k.index.slots[t.Name]
 	return paowner.OwnedTarget{
 		Target: t, Service: s.Name, Connections: k.connections(t),
@@ -108,22 +108,22 @@
 func (k *Control) connections(t pabundle.Target) int { return max(1, t.MaxConnections/2) }
 
 // tellFacts spreads this entry VM's free slots and room in its region.
-func (k *Control) tellFacts(now time.Time) {
+func (k *Control) publishFacts(now time.Time) {
 	k.nextFacts = now.Add(factsInterval)
 	if k.bundle == nil {
 		return
 	}
 	f := pamember.Facts{Sequence: k.head.Sequence, Room: uint8(k.room.Weight() * 255)}
 	for _, s := range k.bundle.Services {
-		f.Free = append(f.Free, saturated(k.owner.FreeSlots(now, s.Name)))
-		f.Slots = append(f.Slots, saturated(k.owner.Slots(now, s.Name)))
-		f.Waiting = append(f.Waiting, saturated(k.owner.Waiting(s.Name)))
+		f.Free = append(f.Free, saturateUint8(k.owner.FreeSlots(now, s.Name)))
+		f.Slots = append(f.Slots, saturateUint8(k.owner.Slots(now, s.Name)))
+		f.Waiting = append(f.Waiting, saturateUint8(k.owner.Waiting(s.Name)))
 	}
-	k.hear(now, pamember.SetFacts{Facts: f})
+	k.stepMembership(now, pamember.SetFacts{Facts: f})
 }
 
 // saturated is a count as facts carry it: 255 means that or more.
-func saturated(n int) uint8 { return uint8(min(255, max(0, n))) }
+func saturateUint8(n int) uint8 { return uint8(min(255, max(0, n))) }
 
 // observeFacts notes when each member's facts changed, because their age decides what they count.
 func (k *Control) observeFacts(now time.Time) {
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -11,14 +11,14 @@
 )
 
 // neighbourDelay is the round trip to another entry VM of the region, by the users' figures.
-const neighbourDelay = time.Millisecond
+const peerDelay = time.Millisecond
 
 // offer decides on a request, in the order of what a refusal costs: this entry VM's own room, the
 // key, the region, and the targets.
 func (k *Control) offer(now time.Time, v Offered) {
 	id := v.Request.ID
 	if k.bundle == nil {
-		k.refuse(id, "NoBundle", noBundleComeBack)
+		k.refuse(id, "NoBundle", noBundleRetryAfter)
 		return
 	}
 	if r := k.room.Admit(now, roomClass(v), v.Request.Bytes, k.config.Random.Float64()); r.Refused {
@@ -26,7 +26,7 @@
 		return
 	}
 	k.admitted[id] = v.Request.Bytes
-	k.serving[id] = v.Request.Service
+	k.requestService[id] = v.Request.Service
 	switch {
 	case v.Origin != "":
 		k.offerForwarded(now, v)
@@ -59,8 +59,8 @@
 }
 
 // end takes the end of an attempt, wherever it was made.
-func (k *Control) end(now time.Time, v Ended) {
-	k.learn(v)
+func (k *Control) endAttempt(now time.Time, v Ended) {
+	k.recordAttempt(v)
 	if _, ok := k.remotes[v.Request]; ok {
 		k.endRemote(now, v)
 		return
@@ -69,7 +69,7 @@
 }
 
 // land forgets a request that is over.
-func (k *Control) land(now time.Time, id paowner.RequestID) {
+func (k *Control) endRequest(now time.Time, id paowner.RequestID) {
 	k.decisions = k.owner.Cancel(now, id, k.decisions)
 	delete(k.remotes, id)
 	if s, ok := k.redeemed[id]; ok {
@@ -79,14 +79,14 @@
 	if b, ok := k.admitted[id]; ok {
 		k.room.End(b)
 		delete(k.admitted, id)
-		delete(k.serving, id)
+		delete(k.requestService, id)
 	}
 	k.settle(now, id)
 }
 
 // noBundleComeBack is what a caller is told while the daemon has no bundle. A boot takes a second
 // when neighbours or the store answer.
-const noBundleComeBack = 2 * time.Second
+const noBundleRetryAfter = 2 * time.Second
 
 // Candidates implements paowner.CandidateSource with the other owners of the region.
 func (k *Control) Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate {
@@ -104,15 +104,15 @@
 		into = append(into, paplacement.Candidate{
 			Distance: paplacement.SameRegion, Entry: m.Name, Region: m.Region,
 			Slots: int(m.Facts.Slots[n]), Free: int(m.Facts.Free[n]),
-			Wait: k.waitOf(s, int(m.Facts.Waiting[n]), int(m.Facts.Slots[n])),
-			Age:  now.Sub(k.reports[m.Name].at), Delay: neighbourDelay,
+			Wait: k.predictWait(s, int(m.Facts.Waiting[n]), int(m.Facts.Slots[n])),
+			Age:  now.Sub(k.reports[m.Name].at), Delay: peerDelay,
 		})
 	}
 	return into
 }
 
 // waitOf predicts the wait at another owner from the length of its queue and its slots.
-func (k *Control) waitOf(s pabundle.ServiceName, waiting, slots int) time.Duration {
+func (k *Control) predictWait(s pabundle.ServiceName, waiting, slots int) time.Duration {
 	return k.owner.PredictedRun(s) * time.Duration(waiting) / time.Duration(max(1, slots))
 }
 
@@ -121,14 +121,14 @@
 	for _, d := range k.decisions {
 		switch v := d.(type) {
 		case paowner.Start:
-			k.sending(v.Request)
+			k.markInFlight(v.Request)
 			t := k.index.targets[v.Target]
 			k.effects = append(k.effects, Start{
 				Request: v.Request, Attempt: v.Attempt, Target: v.Target,
 				Address: t.Address, Connections: k.connections(t),
 			})
 		case paowner.Forward:
-			k.sending(v.Request)
+			k.markInFlight(v.Request)
 			k.effects = append(k.effects, k.forward(v))
 		case paowner.Refuse:
 			k.refuse(v.Request, v.Reason.String(), v.RetryAfter)
@@ -139,7 +139,7 @@
 		case paowner.CloseConnections:
 			k.effects = append(k.effects, CloseConnections{Address: k.index.targets[v.Target].Address})
 		case paowner.PhaseChanged:
-			k.note(paevent.TargetChanged{Subject: k.serviceOf(v.Target), Target: string(v.Target), Phase: v.Phase.String()})
+			k.record(paevent.TargetChanged{Subject: k.serviceOf(v.Target), Target: string(v.Target), Phase: v.Phase.String()})
 		}
 	}
 }
--- a/pacontrol/note.go
+++ b/pacontrol/record.go
@@ -21,7 +21,7 @@
 }
 
 // shedRegion is a region that is taken for down for a service.
-type shedRegion struct {
+type downRegion struct {
 	service pabundle.ServiceName
 	region  pabundle.RegionName
 }
@@ -39,66 +39,66 @@
 }
 
 // noteMember records a member's change; Old stays empty for one that was unknown.
-func (k *Control) noteMember(v pamember.StateChanged) {
+func (k *Control) recordMember(v pamember.StateChanged) {
 	e := paevent.MemberChanged{
 		Member: string(v.Member.Name), Zone: string(v.Member.Zone), Incarnation: uint64(v.Member.Incarnation), New: v.New.String(),
 	}
 	if v.Old != v.New {
 		e.Old = v.Old.String()
 	}
-	k.note(e)
+	k.record(e)
 }
 
 func (k *Control) countRefusal(id paowner.RequestID, reason string) {
-	k.refusals[refusalKind{k.serving[id], reason}]++
+	k.refusals[refusalKind{k.requestService[id], reason}]++
 }
 
 // noteSecond records what is counted over a second: at saturation an event for each refusal would
 // drown the log.
-func (k *Control) noteSecond(now time.Time) {
+func (k *Control) recordSecond(now time.Time) {
 	kinds := slices.SortedFunc(maps.Keys(k.refusals), func(a, b refusalKind) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.reason, b.reason))
 	})
 	for _, x := range kinds {
-		k.note(paevent.QueueRefuses{Subject: paevent.Subject{Service: string(x.service)}, Reason: x.reason, Refused: k.refusals[x]})
+		k.record(paevent.QueueRefuses{Subject: paevent.Subject{Service: string(x.service)}, Reason: x.reason, Refused: k.refusals[x]})
 	}
 	clear(k.refusals)
-	k.noteShifts(now)
-	k.noteShed()
+	k.recordShifts(now)
+	k.recordDownRegions()
 }
 
 // noteShifts records which services begin and end to move under the bundle in force.
-func (k *Control) noteShifts(now time.Time) {
+func (k *Control) recordShifts(now time.Time) {
 	end := pashift.EndsAt(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt})
 	for _, s := range k.bundle.Services {
 		_, starts := k.head.Start[s.Name]
 		moves := starts && now.Before(end)
 		switch {
-		case moves && !k.moving[s.Name]:
-			k.note(paevent.ShiftStarted{Subject: k.subject(s.Name), EndsInMilliseconds: end.Sub(now).Milliseconds()})
-		case !moves && k.moving[s.Name]:
-			k.note(paevent.ShiftEnded{Subject: k.subject(s.Name)})
+		case moves && !k.shifting[s.Name]:
+			k.record(paevent.ShiftStarted{Subject: k.subject(s.Name), EndsInMilliseconds: end.Sub(now).Milliseconds()})
+		case !moves && k.shifting[s.Name]:
+			k.record(paevent.ShiftEnded{Subject: k.subject(s.Name)})
 		}
-		k.moving[s.Name] = moves
+		k.shifting[s.Name] = moves
 	}
 }
 
 // noteShed records regions that were taken for down since the last time, as far as it concerns the
 // own region's callers: their own region, or one whose share of them is refused.
-func (k *Control) noteShed() {
+func (k *Control) recordDownRegions() {
 	here := k.config.Self.Region
 	for _, s := range k.bundle.Services {
 		down := k.table.ShareState(s.Name).Down
 		refused := k.table.Refused(s.Name, here)
 		for _, r := range k.bundle.Regions {
-			x := shedRegion{s.Name, r.Name}
+			x := downRegion{s.Name, r.Name}
 			is := slices.Contains(down, r.Name) && (r.Name == here || refused > 0)
-			if is && !k.shed[x] {
-				k.note(paevent.RegionShed{
+			if is && !k.downRegions[x] {
+				k.record(paevent.RegionShed{
 					Subject: k.subject(s.Name), From: string(here), Region: string(r.Name), Refused: refused,
 				})
 			}
-			k.shed[x] = is
+			k.downRegions[x] = is
 		}
 	}
 }
@@ -110,24 +110,24 @@
 // compareStore records a store whose head is older than the one in force: it has lost writes.
 func (k *Control) compareStore(h pabundle.Head) {
 	behind := h.Sequence < k.head.Sequence
-	if behind && !k.behind {
-		k.note(paevent.StoreBehind{Subject: sequence(k.head), Store: uint64(h.Sequence)})
+	if behind && !k.storeBehind {
+		k.record(paevent.StoreBehind{Subject: sequence(k.head), Store: uint64(h.Sequence)})
 	}
-	k.behind = behind
+	k.storeBehind = behind
 }
 
 // noteRejected records a head or piece that is false, by what it means for operators.
-func (k *Control) noteRejected(v paspread.Rejected) {
+func (k *Control) recordRejected(v paspread.Rejected) {
 	source := string(v.From.Peer)
 	if v.From.Store {
 		source = "store"
 	}
 	switch v.Fault {
 	case paspread.ForeignHead:
-		k.note(paevent.HeadRefused{Source: source, Reason: v.Fault.String()})
+		k.record(paevent.HeadRefused{Source: source, Reason: v.Fault.String()})
 	case paspread.ConflictingHead:
-		k.note(paevent.SequenceFork{Subject: sequence(k.head), Current: string(k.head.Digest), Source: source})
+		k.record(paevent.SequenceFork{Subject: sequence(k.head), Current: string(k.head.Digest), Source: source})
 	default:
-		k.note(paevent.PieceRefused{Subject: sequence(k.head), Source: source, Reason: v.Fault.String()})
+		k.record(paevent.PieceRefused{Subject: sequence(k.head), Source: source, Reason: v.Fault.String()})
 	}
 }
--- a/pacontrol/region.go
+++ b/pacontrol/region.go
@@ -23,8 +23,8 @@
 				k.limiter.Observe(now, s.Name, r.Name, k.ownReading(now, i, s.Name))
 				continue
 			}
-			reading := pashift.Reading{At: now, Down: alive[r.Name] == 0 || !k.index.runs(s.Name, r.Name), Load: 0.5}
-			if k.starved(now, s.Name, r.Name) {
+			reading := pashift.Reading{At: now, Down: alive[r.Name] == 0 || !k.index.hasTargets(s.Name, r.Name), Load: 0.5}
+			if k.grantsNothing(now, s.Name, r.Name) {
 				reading.Load = 1
 			}
 			k.limiter.Observe(now, s.Name, r.Name, reading)
@@ -41,7 +41,7 @@
 	// unknownLoad stands for a load that nobody has told yet: it neither sheds nor takes.
 	unknownLoad = 0.8
 	// askedLately is how long an ask without a grant says that a region has nothing to give.
-	askedLately = 3 * time.Second
+	grantWindow = 3 * time.Second
 )
 
 // ownReading adds up the region's owners, this one by its own word. An owner that has not told its
@@ -97,15 +97,15 @@
 }
 
 // starved says that a region granted nothing lately although requests waited for it.
-func (k *Control) starved(now time.Time, s pabundle.ServiceName, r pabundle.RegionName) bool {
+func (k *Control) grantsNothing(now time.Time, s pabundle.ServiceName, r pabundle.RegionName) bool {
 	asked := false
 	for _, m := range k.view.Members {
 		key := creditKey{m.Name, s}
-		at, ok := k.needed[key]
-		if m.Region != r || !m.Live() || !ok || now.Sub(at) > askedLately {
+		at, ok := k.neededAt[key]
+		if m.Region != r || !m.Live() || !ok || now.Sub(at) > grantWindow {
 			continue
 		}
-		if now.Sub(k.granted[key]) < askedLately {
+		if now.Sub(k.grantedAt[key]) < grantWindow {
 			return false
 		}
 		asked = true
--- a/pacontrol/remote.go
+++ b/pacontrol/remote.go
@@ -19,12 +19,12 @@
 	// remoteAttempts bounds the entry VMs of another region that one request is offered to.
 	remoteAttempts = 3
 	// remoteComeBack is what a caller is told when no credit came: a credit's term and half again.
-	remoteComeBack = 3 * time.Second
+	remoteRetryAfter = 3 * time.Second
 )
 
 // remote is a request that goes to another region.
 type remote struct {
-	offered  Offered
+	offer    Offered
 	region   pabundle.RegionName
 	since    time.Time
 	attempts int
@@ -39,9 +39,9 @@
 	var r pashift.Route
 	if v.From == here {
 		k.countArrival(v.Request.Service)
-		r = k.counter.Route(k.table, pashift.Forward, v.Request.Service, here, k.config.Random.Float64())
+		r = k.selector.Route(k.table, pashift.Forward, v.Request.Service, here, k.config.Random.Float64())
 	} else {
-		r = k.counter.AdmitArrival(k.table, now, v.Request.Service, v.From, here, k.config.Random.Float64())
+		r = k.selector.AdmitArrival(k.table, now, v.Request.Service, v.From, here, k.config.Random.Float64())
 	}
 	if r.Refused && v.From != here && k.live(v.From) > 0 {
 		// The caller's own region is in service: its share there is not a shift.
@@ -53,7 +53,7 @@
 	case r.Region == here:
 		k.decisions = k.owner.Offer(now, v.Request, k.decisions)
 	default:
-		k.remotes[v.Request.ID] = &remote{offered: v, region: r.Region, since: now}
+		k.remotes[v.Request.ID] = &remote{offer: v, region: r.Region, since: now}
 		k.tryRemote(now, v.Request.ID)
 	}
 }
@@ -73,7 +73,7 @@
 // since the first request is what asks for credits.
 func (k *Control) tryRemote(now time.Time, id paowner.RequestID) {
 	f := k.remotes[id]
-	s := f.offered.Request.Service
+	s := f.offer.Request.Service
 	best, most := pabundle.EntryName(""), 0
 	for _, m := range k.view.Members {
 		if m.Region != f.region || !m.Live() {
@@ -84,7 +84,7 @@
 		}
 	}
 	if most == 0 {
-		k.askNow(now, s, f.region)
+		k.askUrgent(now, s, f.region)
 		return
 	}
 	ref, ok := k.holder.Spend(now, best, s)
@@ -93,7 +93,7 @@
 	}
 	f.attempts++
 	f.running, f.entry = true, best
-	k.sending(id)
+	k.markInFlight(id)
 	m, _ := k.view.Find(best)
 	k.effects = append(k.effects, Forward{
 		Request: id, Attempt: f.attempts, Entry: best, Region: f.region, Address: m.PeerAddress,
@@ -115,15 +115,15 @@
 	asked := map[destination]bool{}
 	for _, id := range slices.Sorted(maps.Keys(k.remotes)) {
 		f := k.remotes[id]
-		to := destination{f.offered.Request.Service, f.region}
+		to := destination{f.offer.Request.Service, f.region}
 		switch {
 		case f.running:
 		case now.Sub(f.since) > creditWait:
 			delete(k.remotes, id)
-			k.withoutCredit(now, f)
+			k.endCreditWait(now, f)
 		case !asked[to]:
 			asked[to] = true
-			k.askNow(now, to.service, to.region)
+			k.askUrgent(now, to.service, to.region)
 		}
 	}
 }
@@ -138,17 +138,17 @@
 // the service's requests to this region, only a full or failing region made the share move: then the
 // request goes to its own region after all, which takes or refuses it by its own room. Where the
 // bundle moves the share, it is refused: all of them coming back at once would be a shift of its own.
-func (k *Control) withoutCredit(now time.Time, f *remote) {
-	if f.offered.From == k.config.Self.Region && k.staysHome(f.offered.Request.Service) {
-		k.decisions = k.owner.Offer(now, f.offered.Request, k.decisions)
+func (k *Control) endCreditWait(now time.Time, f *remote) {
+	if f.offer.From == k.config.Self.Region && k.servedLocally(f.offer.Request.Service) {
+		k.decisions = k.owner.Offer(now, f.offer.Request, k.decisions)
 		return
 	}
-	k.refuse(f.offered.Request.ID, "NoCredit", k.jitter(remoteComeBack))
+	k.refuse(f.offer.Request.ID, "NoCredit", k.jitter(remoteRetryAfter))
 }
 
 // staysHome says whether the bundle sends all requests of the region's callers to the region itself,
 // and no earlier shift of them is under way.
-func (k *Control) staysHome(s pabundle.ServiceName) bool {
+func (k *Control) servedLocally(s pabundle.ServiceName) bool {
 	n, ok := k.index.services[s]
 	if _, moving := k.head.Start[s]; !ok || moving {
 		return false
@@ -172,17 +172,17 @@
 	if notRun && v.Result.RetryAfter == 0 {
 		// The peer is gone, restarted or takes the credit for void: so are its other ones.
 		k.holder.Void(f.entry)
-		k.note(paevent.CreditsVoided{Granter: string(f.entry), Reason: "its call was lost or its credit void"})
+		k.record(paevent.CreditsVoided{Granter: string(f.entry), Reason: "its call was lost or its credit void"})
 	}
 	switch {
 	case v.Result.Outcome == patarget.Answered, v.Result.Outcome == patarget.Abandoned:
 		delete(k.remotes, v.Request)
-	case notRun && f.attempts < remoteAttempts && now.Before(f.offered.Request.Deadline):
+	case notRun && f.attempts < remoteAttempts && now.Before(f.offer.Request.Deadline):
 		f.since = now
 		k.tryRemote(now, v.Request)
 	case notRun:
 		delete(k.remotes, v.Request)
-		k.refuse(v.Request, paowner.Attempts.String(), max(v.Result.RetryAfter, k.jitter(remoteComeBack)))
+		k.refuse(v.Request, paowner.Attempts.String(), max(v.Result.RetryAfter, k.jitter(remoteRetryAfter)))
 	default:
 		delete(k.remotes, v.Request)
 		k.effects = append(k.effects, Fail{Request: v.Request, Outcome: v.Result.Outcome})
--- a/pacontrol/sharestate.go
+++ b/pacontrol/sharestate.go
@@ -17,8 +17,8 @@
 // ShareStatesReceived answers an AskStanding.
 type ShareStatesReceived struct{ States ShareStates }
 
-func (ShareStatesAsked) event() {}
-func (ShareStatesReceived) event()  {}
+func (ShareStatesAsked) event()    {}
+func (ShareStatesReceived) event() {}
 
 // AskShareStates asks a neighbour where its shares stand; StandingTold reports the answer.
 type AskShareStates struct {
@@ -40,15 +40,15 @@
 
 // standingWait is how long after its first bundle a daemon takes a neighbour's standing. Harm of
 // more: shares that have moved by then jump back; of less: a neighbour between regions is not heard.
-const standingWait = 2 * time.Second
+const shareStatesWait = 2 * time.Second
 
 // askStanding asks one live neighbour of the region where its shares stand.
 //
 // Guards against a daemon that restarts during a failover: it knows the schedule, but not how far the
 // failover has gone, and would send all of its callers' requests to the region that is down or full,
 // a jump of the whole share. The guard holds because a neighbour's limiter kept the cap all along.
-func (k *Control) askStanding(now time.Time) {
-	k.standingUntil = now.Add(standingWait)
+func (k *Control) askShareStates(now time.Time) {
+	k.copySharesUntil = now.Add(shareStatesWait)
 	var near []netip.AddrPort
 	for _, m := range k.view.Members {
 		if m.Name != k.config.Self.Name && m.Region == k.config.Self.Region && m.Live() {
@@ -61,9 +61,9 @@
 }
 
 // tellStanding answers a neighbour; one that has just started itself has nothing to tell.
-func (k *Control) tellStanding(now time.Time, asked pabundle.Sequence) {
+func (k *Control) replyShareStates(now time.Time, asked pabundle.Sequence) {
 	s := ShareStates{Sequence: k.head.Sequence}
-	if k.bundle != nil && asked == k.head.Sequence && !now.Before(k.standingUntil) {
+	if k.bundle != nil && asked == k.head.Sequence && !now.Before(k.copySharesUntil) {
 		s.Services = map[pabundle.ServiceName]pashift.ShareState{}
 		for _, v := range k.bundle.Services {
 			s.Services[v.Name] = k.table.ShareState(v.Name)
@@ -73,11 +73,11 @@
 }
 
 // followStanding takes a neighbour's standing, once and only right after the first bundle.
-func (k *Control) followStanding(now time.Time, s ShareStates) {
-	if k.bundle == nil || s.Sequence != k.head.Sequence || len(s.Services) == 0 || !now.Before(k.standingUntil) {
+func (k *Control) copyShareStates(now time.Time, s ShareStates) {
+	if k.bundle == nil || s.Sequence != k.head.Sequence || len(s.Services) == 0 || !now.Before(k.copySharesUntil) {
 		return
 	}
-	k.standingUntil = now
+	k.copySharesUntil = now
 	for n, x := range s.Services {
 		k.limiter.CopyShares(n, x)
 	}
@@ -99,12 +99,12 @@
 }
 
 // maxStanding bounds the shares of a message: services times pairs of regions at the size designed for.
-const maxStanding = 1 << 16
+const maxShareStates = 1 << 16
 
 // ShareStatesFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
 func ShareStatesFromWire(w *pawire.StandingTold) (ShareStates, error) {
-	if len(w.GetShares()) > maxStanding || len(w.GetDown()) > maxStanding {
-		return ShareStates{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxStanding)
+	if len(w.GetShares()) > maxShareStates || len(w.GetDown()) > maxShareStates {
+		return ShareStates{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxShareStates)
 	}
 	s := ShareStates{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.ShareState{}}
 	for _, x := range w.GetShares() {
--- a/pacontrol/simulation_test.go
+++ b/pacontrol/simulation_test.go
@@ -18,37 +18,37 @@
 
 // world carries out what four control states decide, on a clock of its own: two regions with two
 // zones of one entry VM each, and a target of two slots a zone. Messages are late, lost and repeated.
-type world struct {
+type simulation struct {
 	now     time.Time
 	rand    *rand.Rand
-	agenda  agenda
+	events  eventQueue
 	order   int
 	entries []*entry
 	pieces  map[pabundle.Digest][]byte
 	head    pabundle.Head
 	// lossy is the part of messages that is lost, and of those that come twice.
-	lossy float64
-	cuts  map[[2]int]bool
+	lossRate float64
+	cuts     map[[2]int]bool
 	// running and ran are the oracle: requests at each target, runs of each key.
 	running, peak map[pabundle.TargetName]int
-	ran           map[string]int
+	keyRuns       map[string]int
 	requests      []*request
 }
 
 // request is one copy of a caller's request, or its forwarded part.
 type request struct {
-	id       paowner.RequestID
-	entry    *entry
-	life     int
-	key      string
-	parent   *request
-	attempt  int
-	began    time.Time
-	deadline time.Time
-	sent     bool
-	ended    bool
-	outcome  patarget.Outcome
-	reason   string
+	id         paowner.RequestID
+	entry      *entry
+	generation int
+	key        string
+	parent     *request
+	attempt    int
+	began      time.Time
+	deadline   time.Time
+	sent       bool
+	ended      bool
+	outcome    patarget.Outcome
+	reason     string
 }
 
 type entry struct {
@@ -56,10 +56,10 @@
 	self    pamember.Identity
 	control *Control
 	// life counts the starts; frozen holds back all events until a time.
-	life     int
-	frozen   time.Time
-	requests map[paowner.RequestID]*request
-	highest  pabundle.Sequence
+	generation int
+	frozen     time.Time
+	requests   map[paowner.RequestID]*request
+	highest    pabundle.Sequence
 }
 
 type event struct {
@@ -68,15 +68,15 @@
 	do    func()
 }
 
-type agenda []event
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at.Before(a[j].at) || a[i].at.Equal(a[j].at) && a[i].order < a[j].order
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(event)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(event)) }
+func (a *eventQueue) Pop() any {
 	x := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return x
@@ -119,12 +119,12 @@
 	return b
 }
 
-func (w *world) bundle() *pabundle.Bundle { return w.entries[0].control.bundle }
+func (w *simulation) bundle() *pabundle.Bundle { return w.entries[0].control.bundle }
 
-func newWorld(seed uint64, lossy float64) *world {
-	w := &world{
-		now: time.Date(2026, 5, 1, 8, 0, 0, 0, time.UTC), rand: rand.New(rand.NewPCG(seed, 1)), lossy: lossy,
-		cuts: map[[2]int]bool{}, running: map[pabundle.TargetName]int{}, peak: map[pabundle.TargetName]int{}, ran: map[string]int{},
+func newSimulation(seed uint64, lossy float64) *simulation {
+	w := &simulation{
+		now: time.Date(2026, 5, 1, 8, 0, 0, 0, time.UTC), rand: rand.New(rand.NewPCG(seed, 1)), lossRate: lossy,
+		cuts: map[[2]int]bool{}, running: map[pabundle.TargetName]int{}, peak: map[pabundle.TargetName]int{}, keyRuns: map[string]int{},
 	}
 	b := testBundle()
 	if f := b.Validate(); len(f) > 0 {
@@ -153,8 +153,8 @@
 }
 
 // boot starts an entry VM's process, anew after a crash.
-func (w *world) boot(e *entry) {
-	e.life++
+func (w *simulation) boot(e *entry) {
+	e.generation++
 	e.highest = 0
 	e.self.Incarnation = pamember.Incarnation(w.now.UnixMilli())
 	k, err := New(Config{
@@ -165,13 +165,13 @@
 		panic(err)
 	}
 	e.control = k
-	life := e.life
+	life := e.generation
 	w.every(TickInterval, e, life, func() { w.step(e, Tick{}) })
 	w.every(time.Second, e, life, func() { w.step(e, VMsListed{VMs: w.list()}) })
 	w.every(time.Second, e, life, func() { w.step(e, HeadFound{Head: w.head}) })
 }
 
-func (w *world) list() []paplatform.VM {
+func (w *simulation) list() []paplatform.VM {
 	var all []paplatform.VM
 	for _, e := range w.entries {
 		all = append(all, paplatform.VM{
@@ -181,25 +181,25 @@
 	return all
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.order++
-	heap.Push(&w.agenda, event{w.now.Add(d), w.order, do})
+	heap.Push(&w.events, event{w.now.Add(d), w.order, do})
 }
 
 // every repeats do for as long as the entry VM's process lives.
-func (w *world) every(d time.Duration, e *entry, life int, do func()) {
+func (w *simulation) every(d time.Duration, e *entry, life int, do func()) {
 	w.after(d, func() {
-		if e.life == life {
+		if e.generation == life {
 			do()
 			w.every(d, e, life, do)
 		}
 	})
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	end := w.now.Add(d)
-	for len(w.agenda) > 0 && !w.agenda[0].at.After(end) {
-		x := heap.Pop(&w.agenda).(event)
+	for len(w.events) > 0 && !w.events[0].at.After(end) {
+		x := heap.Pop(&w.events).(event)
 		w.now = x.at
 		x.do()
 	}
@@ -207,16 +207,16 @@
 }
 
 // step gives an event to a control state, once it is not frozen, and carries out the effects.
-func (w *world) step(e *entry, v Event) {
+func (w *simulation) step(e *entry, v Event) {
 	w.stepThen(e, v, func([]Effect) {})
 }
 
-func (w *world) stepThen(e *entry, v Event, then func([]Effect)) {
+func (w *simulation) stepThen(e *entry, v Event, then func([]Effect)) {
 	if w.now.Before(e.frozen) {
-		life := e.life
+		life := e.generation
 		if _, tick := v.(Tick); !tick {
 			w.after(e.frozen.Sub(w.now), func() {
-				if e.life == life {
+				if e.generation == life {
 					w.stepThen(e, v, then)
 				}
 			})
@@ -238,16 +238,16 @@
 
 // send delivers to an entry VM by its address, late, lost or twice; lost is called instead when it
 // never arrives.
-func (w *world) send(from *entry, a netip.AddrPort, deliver func(to *entry), lost func()) {
+func (w *simulation) send(from *entry, a netip.AddrPort, deliver func(to *entry), lost func()) {
 	for _, to := range w.entries {
 		if to.self.PeerAddress != a {
 			continue
 		}
 		times := 1
 		switch x := w.rand.Float64(); {
-		case x < w.lossy:
+		case x < w.lossRate:
 			times = 0
-		case x < 2*w.lossy:
+		case x < 2*w.lossRate:
 			times = 2
 		}
 		if times == 0 || w.cuts[[2]int{from.number, to.number}] {
@@ -255,9 +255,9 @@
 			return
 		}
 		for range times {
-			life := to.life
+			life := to.generation
 			w.after(time.Duration(w.rand.IntN(30))*time.Millisecond, func() {
-				if to.life == life {
+				if to.generation == life {
 					deliver(to)
 				}
 			})
@@ -268,12 +268,12 @@
 
 func ignore() {}
 
-func (w *world) carryOut(e *entry, x Effect) {
-	life := e.life
+func (w *simulation) carryOut(e *entry, x Effect) {
+	life := e.generation
 	// answer brings a reply home, if it is not lost on its way and the asker still lives.
 	answer := func(from *entry, v Event) {
 		w.send(from, e.self.PeerAddress, func(to *entry) {
-			if to.life == life {
+			if to.generation == life {
 				w.step(to, v)
 			}
 		}, ignore)
@@ -285,7 +285,7 @@
 		w.send(e, v.Address, func(to *entry) { w.step(to, HeadOffered{Peer: e.self.Name, Head: v.Head}) }, ignore)
 	case FetchPiece:
 		w.after(5*time.Millisecond, func() {
-			if e.life == life {
+			if e.generation == life {
 				w.step(e, PieceFetched{From: paspread.Source{Store: true}, Digest: v.Digest, Data: w.pieces[v.Digest]})
 			}
 		})
@@ -321,7 +321,7 @@
 		}, ignore)
 	case ClaimKey:
 		lost := func() {
-			if e.life == life {
+			if e.generation == life {
 				w.step(e, Claimed{Request: v.Request, Lost: true})
 			}
 		}
@@ -330,7 +330,7 @@
 				for _, r := range all {
 					if g, ok := r.(ReplyClaim); ok {
 						w.send(to, e.self.PeerAddress, func(back *entry) {
-							if back.life == life {
+							if back.generation == life {
 								w.step(back, Claimed{Request: v.Request, Reply: g.Reply})
 							}
 						}, lost)
@@ -345,7 +345,7 @@
 		w.send(e, v.Address, func(to *entry) { w.step(to, KeysHandedOver{Handover: v.Handover}) }, ignore)
 	case Probe:
 		w.after(5*time.Millisecond, func() {
-			if e.life == life {
+			if e.generation == life {
 				w.step(e, Probed{Target: v.Target, OK: true})
 			}
 		})
@@ -366,19 +366,19 @@
 }
 
 // start runs a request at a target: it may be slow, and its answer may be lost.
-func (w *world) start(e *entry, v Start) {
+func (w *simulation) start(e *entry, v Start) {
 	r := e.requests[v.Request]
 	r.sent = true
 	w.running[v.Target]++
 	w.peak[v.Target] = max(w.peak[v.Target], w.running[v.Target])
 	if r.key != "" {
-		w.ran[r.key]++
+		w.keyRuns[r.key]++
 	}
 	run := time.Duration(5+w.rand.IntN(100)) * time.Millisecond
 	w.after(run, func() {
 		w.running[v.Target]--
 		o := patarget.Answered
-		if w.rand.Float64() < w.lossy {
+		if w.rand.Float64() < w.lossRate {
 			o = patarget.Unknown
 		}
 		w.endAttempt(r, v.Attempt, o, run)
@@ -386,7 +386,7 @@
 }
 
 // forward offers a request at another entry VM; its end there is the attempt's.
-func (w *world) forward(e *entry, v Forward) {
+func (w *simulation) forward(e *entry, v Forward) {
 	r := e.requests[v.Request]
 	offered := false
 	w.send(e, v.Address, func(to *entry) {
@@ -403,8 +403,8 @@
 	}, func() { w.endAttempt(r, v.Attempt, patarget.NotRun, 0) })
 }
 
-func (w *world) endAttempt(r *request, attempt int, o patarget.Outcome, run time.Duration) {
-	if r.entry.life != r.life {
+func (w *simulation) endAttempt(r *request, attempt int, o patarget.Outcome, run time.Duration) {
+	if r.entry.generation != r.generation {
 		return
 	}
 	// An attempt's end is reported even when its request is over: its slot is taken until then.
@@ -415,13 +415,13 @@
 }
 
 // finish ends a request and tells whoever forwarded it.
-func (w *world) finish(r *request, o patarget.Outcome) {
+func (w *simulation) finish(r *request, o patarget.Outcome) {
 	if r == nil || r.ended {
 		return
 	}
 	r.ended, r.outcome = true, o
 	delete(r.entry.requests, r.id)
-	if r.entry.life == r.life {
+	if r.entry.generation == r.generation {
 		w.step(r.entry, RequestDone{Request: r.id})
 	}
 	if p := r.parent; p != nil {
@@ -429,15 +429,15 @@
 	}
 }
 
-func (w *world) request(e *entry, key string, deadline time.Time) *request {
-	r := &request{id: paowner.RequestID(len(w.requests) + 1), entry: e, life: e.life, key: key, began: w.now, deadline: deadline}
+func (w *simulation) request(e *entry, key string, deadline time.Time) *request {
+	r := &request{id: paowner.RequestID(len(w.requests) + 1), entry: e, generation: e.generation, key: key, began: w.now, deadline: deadline}
 	w.requests = append(w.requests, r)
 	e.requests[r.id] = r
 	return r
 }
 
 // offer sends a caller's request to an entry VM; a key makes it one that must not run twice.
-func (w *world) offer(n int, key string, sent time.Time) {
+func (w *simulation) offer(n int, key string, sent time.Time) {
 	e := w.entries[n]
 	r := w.request(e, key, w.now.Add(time.Second))
 	w.step(e, Offered{
@@ -448,7 +448,7 @@
 }
 
 // crash ends an entry VM's process and starts a new one; what it carried is lost to its callers.
-func (w *world) crash(n int) {
+func (w *simulation) crash(n int) {
 	e := w.entries[n]
 	lost := e.requests
 	e.requests = map[paowner.RequestID]*request{}
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -53,7 +53,7 @@
 func (k *Control) snapshot(now time.Time) *Snapshot {
 	s := &Snapshot{
 		Head: k.head, Bundle: k.bundle, View: k.view, Stopping: k.stopping, Members: k.members, Owned: len(k.owned),
-		Plan: k.plan, Blocks: k.blocks, Watches: paspread.Watches(k.view),
+		Plan: k.plan, Blocks: k.clientBlocks, Watches: paspread.Watches(k.view),
 		Services: map[pabundle.ServiceName]*pabundle.Service{},
 	}
 	if k.bundle != nil {
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -99,12 +99,12 @@
 			Bytes: max(0, r.Size), MaxWait: r.Patience, Class: classOf(r), Block: blockOf(r.Caller),
 		},
 		// The caller's own identity may come twice; this one names this copy alone.
-		Identity:  d.copyID(id),
-		Origin:    r.Origin,
-		Credit:    r.Credit,
-		FirstSent: r.FirstSent,
-		Repeat:    r.Repeat,
-		BodyDigest:    r.Digest,
+		Identity:   d.copyID(id),
+		Origin:     r.Origin,
+		Credit:     r.Credit,
+		FirstSent:  r.FirstSent,
+		Repeat:     r.Repeat,
+		BodyDigest: r.Digest,
 	}
 	if r.Origin != "" {
 		return o
