--- a/pacontrol/agreement.go
+++ b/pacontrol/agreement.go
@@ -11,13 +11,13 @@
 	"papayahead/paview"
 )
 
-// agreement is this entry VM's part in the region's agreement on who counts, on which the division
-// of links and the keepers of keys rest.
+// agreement is this entry VM's part in the region's agreement on its member set, which decides how
+// link capacity is divided and which entry VMs keep the idempotency keys.
 type agreement struct {
 	view paview.View
-	// listed is the platform's VM list as it was last read.
+	// listed is the platform's VM list as last read.
 	listed []paplatform.VM
-	// told is what was last announced.
+	// announced is what was last announced to all members.
 	announced []paview.Seen
 	next      time.Time
 }
@@ -25,8 +25,8 @@
 const (
 	// announceInterval is how often a view that is not agreed yet, or has changed, is announced.
 	announceInterval = time.Second
-	// announceFactor is how many times less often an unchanged view is announced, to one other entry
-	// VM: what the network lost is made good by it.
+	// announceFactor is how many times less often an unchanged view is announced, to one random entry
+	// VM, to repair lost announcements.
 	announceFactor = 5
 )
 
@@ -36,8 +36,8 @@
 	a.view.Started = c.Started
 }
 
-// listRegion takes the region's entry VMs from the VM list. Before the first bundle the zones'
-// regions are not known, so that the list says nothing.
+// updateRegionList passes the region's entry VMs in the VM list to the agreement. It does nothing before
+// the first bundle, because the regions of zones are not known until then.
 func (k *Control) updateRegionList(now time.Time) {
 	if k.bundle == nil || k.agreement.listed == nil {
 		return
@@ -52,8 +52,8 @@
 	k.updateMembers(now)
 }
 
-// takeMembers hands on who counts now. It has to come before any announcement that follows: that
-// confirms newcomers, who may claim their parts as soon as they have it.
+// updateMembers passes the agreed member set to the ledger. It must run before any later announcement:
+// an announcement confirms new members, which may then claim their parts at once.
 func (k *Control) updateMembers(now time.Time) {
 	members := k.agreement.view.Members()
 	k.ledger.SetMembers(now, members)
@@ -64,7 +64,7 @@
 	}
 }
 
-// agree keeps the agreement up and lets the ledger know of it.
+// tickAgreement advances the agreement, updates the ledger and sends announcements that are due.
 func (k *Control) tickAgreement(now time.Time) {
 	a := &k.agreement
 	a.view.Tick(now)
@@ -104,10 +104,10 @@
 	k.effects = append(k.effects, ReplyAnnounce{Announcement: k.agreement.view.Announcement()})
 }
 
-// confirmHomes says that a roll-out moved the home regions everywhere, once every entry VM of the VM
-// list was heard to have taken it: also one that gossip calls dead may still grant keys behind a cut.
-// It rests on hearing from each of them, which holds for a fleet whose daemons all talk to each
-// other; where it does not, keys that a roll-out moves stay refused.
+// confirmRollOut tells the ledger that a roll-out is in force everywhere, once every entry VM of the VM
+// list has advertised it. This includes those that gossip reports dead, because one behind a network
+// partition may still grant keys. It requires a message from each of them; in a fleet where not all
+// daemons talk to each other, the keys whose home region a roll-out moves stay refused.
 func (k *Control) confirmRollOut(now time.Time) {
 	if k.confirmedSequence == k.head.Sequence || k.agreement.listed == nil {
 		return
@@ -125,7 +125,7 @@
 	k.ledger.ConfirmRollOut(now, k.head.Sequence)
 }
 
-// saidGoodBye reports whether a member left by its own word.
+// hasLeft reports whether a member announced that it left.
 func (k *Control) hasLeft(n pabundle.EntryName) bool {
 	m, ok := k.view.Find(n)
 	return ok && m.State == pamember.Left
--- a/pacontrol/bundle.go
+++ b/pacontrol/bundle.go
@@ -10,7 +10,7 @@
 	"papayahead/paspread"
 )
 
-// boot begins the spreading once the first VM list has named peers to ask.
+// startSpread starts the distribution of bundles once the first VM list has named peers.
 func (k *Control) startSpread(now time.Time) {
 	if k.spreadStarted {
 		return
@@ -20,14 +20,14 @@
 	k.spreadStep(now, paspread.Boot{})
 }
 
-// setPeers tells the spreading its neighbours: the region's live members, and, on a relay, one of
-// each other region, so that a change crosses regions without the store.
+// setPeers sets the peers that bundles are exchanged with: the region's live members and, on a relay, one
+// of each other region, so that a roll-out reaches other regions without the store.
 func (k *Control) setPeers(now time.Time) {
 	near, far := k.member.Peers()
 	k.spreadStep(now, paspread.Peers{Near: near, Far: far})
 }
 
-// spreadStep lets the spreading of configuration take an event, and acts on its commands.
+// spreadStep passes an event to the distribution of bundles and carries out its commands.
 func (k *Control) spreadStep(now time.Time, e paspread.Event) {
 	for _, c := range k.spread.Step(now, e) {
 		switch v := c.(type) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// adopt takes a whole bundle into force. One that does not hold together is left aside and the old
-// one stays: it was written by a program with other rules, and steering by half of it would be worse.
+// adopt puts a complete bundle in force. An inconsistent one is ignored and the old one stays in force:
+// it was written by a program with other rules, and applying a part of it would be worse.
 func (k *Control) adopt(now time.Time, a paspread.Adopted) {
 	get := func(d pabundle.Digest) ([]byte, bool) { p, ok := a.Pieces[d]; return p, ok }
 	b, err := pabundle.Assemble(a.Head.Digest, get)
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -19,29 +19,29 @@
 	"papayahead/paspread"
 )
 
-// Config is what a Control is made from.
+// Config configures a Control.
 type Config struct {
 	Self       pamember.Identity
 	Deployment string
-	// Random belongs to the Control.
+	// Random must not be used elsewhere afterwards.
 	Random *rand.Rand
 	// Started is when the process started.
 	Started time.Time
-	// Room is how much this entry VM itself can hold.
+	// Room limits the requests and bytes that this entry VM holds at once.
 	Room paroom.Limits
-	// TimeToLive is how long callers use a look-up's answer.
+	// TimeToLive is how long callers cache a look-up's answer.
 	TimeToLive time.Duration
-	// ListLag is the longest time that a change of the VM list takes to be seen by every reader.
+	// ListLag is the longest time until every reader of the VM list sees a change.
 	ListLag time.Duration
 }
 
-// Control is the control state of one daemon. It is made by New and used by one goroutine.
+// Control is the control state of one daemon. It is created by New and not safe for concurrent use.
 type Control struct {
 	config Config
 	member *pamember.Member
 	owner  *paowner.Owner
 	spread *paspread.Spread
-	// booted says that the spreading has begun.
+	// spreadStarted is set once the distribution of bundles has started.
 	spreadStarted bool
 	planner       palookup.Planner
 	plan          *palookup.Plan
@@ -53,47 +53,48 @@
 	index   index
 	view    *pamember.View
 	leaving map[pabundle.TargetName]bool
-	// owned are the targets of this entry VM.
+	// owned are the targets that this entry VM owns.
 	owned map[pabundle.TargetName]bool
-	// reports is when the facts of each member of the region last changed.
+	// reports holds the stamp of each member's newest facts and when they arrived.
 	reports  map[pabundle.EntryName]report
 	stopping bool
 
-	// room is the entry VM's own account, admitted what each request holds of it.
+	// room accounts for this entry VM's own capacity, admitted holds each request's bytes in it.
 	room     paroom.Room
 	admitted map[paowner.RequestID]int64
-	// serving is the service of each admitted request, refusals those of the last second.
+	// requestService is the service of each admitted request, refusals counts those of the last second.
 	requestService map[paowner.RequestID]pabundle.ServiceName
 	refusals       map[refusalKind]int
-	// moving are the services on their way to the bundle's shares, shed the regions taken for down.
+	// shifting are the services whose shares still move to those of the bundle, downRegions the regions
+	// recorded as down.
 	shifting    map[pabundle.ServiceName]bool
 	downRegions map[downRegion]bool
-	// behind says that the store's head was older than the one in force.
+	// storeBehind is set while the store's head is older than the one in force.
 	storeBehind bool
 
 	limiter  pashift.Limiter
 	selector pashift.Selector
 	table    *pashift.Table
-	// standingUntil is how long a neighbour's standing is taken after the first bundle.
+	// copySharesUntil is until when a peer's share states are accepted after the first bundle.
 	copySharesUntil time.Time
 	rates           map[pabundle.ServiceName]*rate
 	granter         pacredit.Granter
 	holder          pacredit.Holder
-	// asked is when a granter was last asked for credits, needed when requests waited for them.
+	// askedAt is when a granter was last asked for credits, neededAt when it was for waiting requests.
 	askedAt, neededAt map[creditKey]time.Time
-	// granted is when each granter last gave something.
+	// grantedAt is when each granter last granted a credit.
 	grantedAt map[creditKey]time.Time
-	// loads are the smoothed loads of the own region.
+	// loads are the smoothed loads of each service in this region.
 	loads map[pabundle.ServiceName]float64
-	// remotes are requests that go to another region; redeemed are those that came from one.
+	// remotes are requests that go to another region; redeemed are those from one that redeemed a credit.
 	remotes  map[paowner.RequestID]*remote
 	redeemed map[paowner.RequestID]pabundle.ServiceName
 
 	agreement agreement
-	// members is how many entry VMs of the region are agreed on.
+	// members is the number of entry VMs of the region that the agreement counts.
 	members    int
 	keyRegions map[pabundle.ServiceName][]pabundle.RegionName
-	// confirmed is the last roll-out that every entry VM was heard to have taken.
+	// confirmedSequence is the last roll-out that every entry VM has advertised.
 	confirmedSequence     pabundle.Sequence
 	nextShift, nextSecond time.Time
 	ledger                paledger.Ledger
@@ -106,13 +107,13 @@
 	nextFacts time.Time
 }
 
-// report is the newest facts of a member and when they came.
+// report is the stamp of a member's newest facts and when they arrived.
 type report struct {
 	stamp uint64
 	at    time.Time
 }
 
-// New returns a Control that knows neither bundle nor peers yet.
+// New returns a Control without a bundle or peers.
 func New(c Config) (*Control, error) {
 	m, err := pamember.New(pamember.Config{Self: c.Self, Random: splitRandom(c.Random)})
 	if err != nil {
@@ -147,24 +148,24 @@
 	}
 	k.owner = paowner.New(paowner.Config{Others: k, Rand: splitRandom(c.Random)})
 	k.prepareLimits()
-	// Guards against a peer that knew this entry VM's predecessor and speaks before the first VM list
-	// was read: every step finds a view, if one of this entry VM alone.
+	// After a restart, peers that know the address may send messages before the first VM list was read.
+	// A view of this entry VM alone keeps those steps from using a nil view.
 	k.view = m.View(c.Started)
 	return k, nil
 }
 
-// fork returns a source of its own, so that how often one part draws does not change another.
+// splitRandom returns an independent source, so that the draws of one component don't change another's.
 func splitRandom(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
 
-// Output is what a Step decided.
+// Output is the result of a Step.
 type Output struct {
-	// Effects are to be carried out in their order.
+	// Effects must be carried out in order.
 	Effects []Effect
-	// Snapshot is what traffic reads from now on; nil if it is as before.
+	// Snapshot replaces the one that the request path reads; nil if nothing changed.
 	Snapshot *Snapshot
 }
 
-// Step takes one event. The effects are valid until the next Step.
+// Step handles one event. The effects are valid until the next Step.
 func (k *Control) Step(now time.Time, e Event) Output {
 	k.effects = k.effects[:0]
 	k.decisions = k.decisions[:0]
@@ -222,8 +223,9 @@
 	return k.output(now)
 }
 
-// planInterval is how often look-ups get new weights. Load: rooms that change with each second's
-// traffic; the weights follow them over tens of seconds, so that a second's delay is lost in it.
+// planInterval is how often the weights of look-up answers are updated. The entry VMs' free capacity
+// changes with each second's traffic, and the weights follow it over tens of seconds, so that a delay of
+// one second does not matter.
 const planInterval = time.Second
 
 func (k *Control) tick(now time.Time) {
@@ -256,9 +258,8 @@
 	k.startSpread(now)
 }
 
-// leave takes a target out of service at its first sign, whichever source it comes from: each can
-// be late, lost or wrong, and a target that stays in service by mistake costs its callers more than
-// one that leaves by mistake.
+// markLeaving takes a target out of service at the first sign from any source: each source can be late,
+// lost or wrong, and a target kept in service by mistake costs callers more than one removed by mistake.
 func (k *Control) markLeaving(now time.Time, t pabundle.TargetName, source string) {
 	if k.leaving[t] {
 		return
@@ -282,7 +283,7 @@
 
 func (k *Control) record(e paevent.Event) { k.effects = append(k.effects, RecordEvent{Event: e}) }
 
-// output collects the effects, and the snapshot if it changed.
+// output returns the effects, and a new snapshot if the state changed or planInterval has passed.
 func (k *Control) output(now time.Time) Output {
 	out := Output{Effects: k.effects}
 	if v := k.member.View(now); v != k.view {
--- a/pacontrol/credit.go
+++ b/pacontrol/credit.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// creditAgain is the pause between asks of one granter for one service.
+	// aheadAskInterval is the least time between asks to one granter for one service.
 	aheadAskInterval = 100 * time.Millisecond
-	// neededAgain is that pause while requests wait: a round trip between regions with some room. Harm of
-	// more: a request asks only once or twice before its wait ends, while its turn may keep a slot free.
+	// urgentAskInterval is that time while requests wait: a round trip between regions with some margin.
+	// With more, only one or two asks are made before a request's wait ends, and a slot may stay free.
 	urgentAskInterval = 50 * time.Millisecond
-	// creditAhead is the time of demand that credits are asked for; under the term of a credit, so
-	// that what is granted is used.
+	// creditHorizon is how much future demand credits are asked for; it is shorter than a credit's term,
+	// so that granted credits are used.
 	creditHorizon = time.Second
-	// mostCredits bounds one ask. Harm of more: one source holds slots that others could use.
+	// maxCreditsPerAsk bounds one ask. With more, one source holds slots that others could use.
 	maxCreditsPerAsk = 32
 )
 
-// creditKey names one granter's credits for one service.
+// creditKey identifies one granter's credits for one service.
 type creditKey struct {
 	granter pabundle.EntryName
 	service pabundle.ServiceName
 }
 
-// encodeCredit writes a credit as the token that travels with a forwarded request.
+// encodeCredit encodes a credit as the token sent with a forwarded request.
 func encodeCredit(r pacredit.CreditRef) string {
 	b, err := proto.Marshal(r.Wire())
 	if err != nil {
-		panic("pacontrol: a credit cannot be written: " + err.Error())
+		panic("pacontrol: cannot encode a credit: " + err.Error())
 	}
 	return base64.RawStdEncoding.EncodeToString(b)
 }
@@ -57,8 +57,8 @@
 	return r, err == nil
 }
 
-// offerForwarded takes a request that another entry VM forwarded here. One of another region has to
-// redeem a credit: without it, sources that do not know of each other would overload this region.
+// offerForwarded handles a request that another entry VM forwarded here. One from another region must
+// redeem a credit, since sources that do not coordinate could otherwise overload this region.
 func (k *Control) offerForwarded(now time.Time, v Offered) {
 	m, known := k.view.Find(v.Origin)
 	if known && m.Region == k.config.Self.Region {
@@ -81,7 +81,7 @@
 	k.decisions = k.owner.Offer(now, v.Request, k.decisions)
 }
 
-// grant answers another entry VM's ask for credits.
+// replyGrant answers another entry VM's ask for credits.
 func (k *Control) replyGrant(now time.Time, v CreditAsked) {
 	if k.bundle != nil && !k.stopping {
 		for _, x := range v.Ask.Items {
@@ -95,9 +95,9 @@
 	k.effects = append(k.effects, ReplyGrant{Grant: ask(now, v.Ask)})
 }
 
-// setLoad tells the granter what it has to give: the usable slots without the policy's reserve.
-// Load: every other region spills into this one at once. Harm prevented: a region that has given
-// its last slot away cannot take its own callers' next burst.
+// setLoad updates the granter's capacity: the usable slots without the policy's reserve. When all other
+// regions shift traffic here at once, a region that has granted its last slot could not serve its own
+// callers' next burst.
 func (k *Control) setLoad(now time.Time, s pabundle.ServiceName) {
 	reserve := k.bundle.Policy.Reserve
 	if k.bundle.Policy.First == pabundle.HeadroomFirst {
@@ -113,7 +113,7 @@
 	})
 }
 
-// takeGrant takes the answer to an ask and offers what came to the requests that wait.
+// acceptGrant stores the credits of an answer and forwards waiting requests with them.
 func (k *Control) acceptGrant(now time.Time, g pacredit.Grant) {
 	switch {
 	case k.holder.Accept(now, g):
@@ -121,12 +121,12 @@
 			k.grantedAt[creditKey{g.Granter.Name, x.Service}] = now
 		}
 	case len(g.Items) > 0:
-		k.record(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they came after their term, twice or unasked"})
+		k.record(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they arrived after their term, twice or without an ask"})
 	}
 	k.placeWaiting(now)
 }
 
-// askCredits keeps credits at hand for the shares that go to other regions.
+// askCredits asks ahead for the credits that the shares to other regions need.
 func (k *Control) askCredits(now time.Time) {
 	here := k.config.Self.Region
 	for _, s := range k.bundle.Services {
@@ -142,14 +142,13 @@
 	}
 }
 
-// ahead is how many credits cover a demand with its bursts. Load: a shift at sixty requests a second
-// over a few sources and small owners, where each source expects one or two requests in a credit's
-// term. Harm prevented: a burst of three waits for credits until it is refused. Two deviations of a
-// Poisson process and one more; unused ones are free again after their term.
+// creditsFor returns how many credits cover an expected number of requests including bursts: two standard
+// deviations of a Poisson process above the mean, and one more. In a shift of sixty requests a second over
+// a few sources and small owners, each source expects one or two requests in a credit's term; without the
+// margin a burst of three waits for credits until it is refused. Unused credits expire after their term.
 func creditsFor(need float64) int { return int(math.Ceil(need+2*math.Sqrt(need))) + 1 }
 
-// askRegion asks the entry VMs of a region for credits ahead of requests, up to what is needed beyond
-// those held.
+// askRegion asks the entry VMs of a region for credits ahead of requests: those needed beyond those held.
 func (k *Control) askRegion(now time.Time, s pabundle.ServiceName, region pabundle.RegionName, need float64) {
 	alive := k.live(region)
 	for _, m := range k.view.Members {
@@ -162,7 +161,7 @@
 	}
 }
 
-// askNow asks the entry VMs of a region for credits for the requests that wait for one.
+// askUrgent asks the entry VMs of a region for credits for the requests that wait for one.
 func (k *Control) askUrgent(now time.Time, s pabundle.ServiceName, region pabundle.RegionName) {
 	alive, waiting := k.live(region), 0
 	for _, m := range k.view.Members {
@@ -177,7 +176,7 @@
 	}
 }
 
-// waiting counts the requests that wait for a credit of a region.
+// waiting returns the number of requests that wait for a credit of a region.
 func (k *Control) waiting(s pabundle.ServiceName, region pabundle.RegionName) int {
 	n := 0
 	for _, f := range k.remotes {
--- a/pacontrol/effect.go
+++ b/pacontrol/effect.go
@@ -15,10 +15,10 @@
 	"papayahead/paview"
 )
 
-// Effect is something that the daemon has to carry out.
+// Effect is an action that the daemon carries out.
 type Effect interface{ effect() }
 
-// Start sends a request to an own target; Ended reports the attempt's end.
+// Start sends a request to a target that this entry VM owns; Ended reports the attempt's end.
 type Start struct {
 	Request     paowner.RequestID
 	Attempt     int
@@ -68,14 +68,15 @@
 type AskCredit struct {
 	Address netip.AddrPort
 	Ask     pacredit.Ask
-	// Ahead says that no request waits for them yet.
+	// Ahead is set if no request waits for the credits yet.
 	Ahead bool
 }
 
 // ReplyGrant answers a CreditAsked.
 type ReplyGrant struct{ Grant pacredit.Grant }
 
-// Announce tells an entry VM of the region who counts; its answer comes back as Announced.
+// Announce sends this entry VM's view of the member set to another of the region; Announced reports the
+// answer.
 type Announce struct {
 	Address      netip.AddrPort
 	Announcement paview.Announcement
@@ -84,7 +85,7 @@
 // ReplyAnnounce answers an Announced.
 type ReplyAnnounce struct{ Announcement paview.Announcement }
 
-// ClaimKey asks a keeper whether a request may run; Claimed reports the answer.
+// ClaimKey asks the keeper of an idempotency key whether a request may run; Claimed reports the answer.
 type ClaimKey struct {
 	Request paowner.RequestID
 	Address netip.AddrPort
@@ -94,13 +95,13 @@
 // ReplyClaim answers a ClaimAsked.
 type ReplyClaim struct{ Reply paledger.Reply }
 
-// SettleKey tells a keeper how a granted copy ended.
+// SettleKey tells a keeper how a request that it granted ended.
 type SettleKey struct {
 	Address    netip.AddrPort
 	Settlement paledger.Settlement
 }
 
-// HandOverKeys gives a part of this keeper's memory to a successor.
+// HandOverKeys sends a part of this keeper's ledger to a successor.
 type HandOverKeys struct {
 	Address  netip.AddrPort
 	Handover paledger.Handover
@@ -109,7 +110,7 @@
 // Send hands a membership message to the network.
 type Send struct{ Envelope pamember.Envelope }
 
-// Probe asks a target for a sign of life over a new connection; Probed reports its end.
+// Probe checks a target's health over a new connection; Probed reports the result.
 type Probe struct {
 	Target  pabundle.TargetName
 	Address netip.AddrPort
@@ -118,7 +119,7 @@
 // CloseConnections closes the connections to a target that carry no request.
 type CloseConnections struct{ Address netip.AddrPort }
 
-// OfferHead tells a peer the own head; HeadOffered reports the peer's.
+// OfferHead sends this daemon's head to a peer; HeadOffered reports the peer's.
 type OfferHead struct {
 	To      pabundle.EntryName
 	Address netip.AddrPort
--- a/pacontrol/event.go
+++ b/pacontrol/event.go
@@ -13,19 +13,19 @@
 	"papayahead/paview"
 )
 
-// Event is something that the control state is told.
+// Event is an input of the control state.
 type Event interface{ event() }
 
-// Tick says that time has passed; it is due every TickInterval.
+// Tick advances timers; it is due every TickInterval.
 type Tick struct{}
 
-// VMsListed is a successful read of the platform's VM list, in whole.
+// VMsListed is a successful and complete read of the platform's VM list.
 type VMsListed struct{ VMs []paplatform.VM }
 
 // HeadFound is a head read from the store.
 type HeadFound struct{ Head pabundle.Head }
 
-// HeadOffered is the head that a peer has in force; a zero Head says that it has none.
+// HeadOffered is the head that a peer has in force; zero if it has none.
 type HeadOffered struct {
 	Peer pabundle.EntryName
 	Head pabundle.Head
@@ -41,10 +41,10 @@
 // MemberMessage is a membership message from another entry VM.
 type MemberMessage struct{ Message pamember.Message }
 
-// Offered is a request that wants a place.
+// Offered is a request to be admitted and placed.
 type Offered struct {
 	Request paowner.Request
-	// Identity names the request over all hops.
+	// Identity identifies the request across all hops.
 	Identity string
 	// From is the region that the caller belongs to; empty for a request that a peer forwarded.
 	From pabundle.RegionName
@@ -52,11 +52,11 @@
 	Origin pabundle.EntryName
 	// Credit is the encoded credit that a request from another region redeems.
 	Credit string
-	// Key is the caller's key of a request that must not run twice; empty for all others.
+	// Key is the caller's idempotency key of a request that must not run twice; empty for all others.
 	Key string
-	// BodyDigest tells another request under the same key apart.
+	// BodyDigest distinguishes different requests under the same key.
 	BodyDigest uint64
-	// FirstSent is when the caller sent its first copy, zero if it did not say; Repeat marks later copies.
+	// FirstSent is when the caller sent its first copy, zero if unknown; Repeat marks later copies.
 	FirstSent time.Time
 	Repeat    bool
 }
@@ -69,48 +69,48 @@
 	Status int
 }
 
-// RequestDone says that a request is over at this entry VM, however it ended; every Offered has one.
+// RequestDone reports that a request is over at this entry VM, however it ended; every Offered is followed by one.
 type RequestDone struct{ Request paowner.RequestID }
 
-// CreditAsked is another entry VM's request for credits; its effect is a ReplyGrant.
+// CreditAsked is another entry VM's ask for credits; its effect is a ReplyGrant.
 type CreditAsked struct {
 	Ask pacredit.Ask
-	// Ahead says that no request waits for them yet.
+	// Ahead is set if no request waits for the credits yet.
 	Ahead bool
 }
 
 // CreditGranted answers an AskCredit.
 type CreditGranted struct{ Grant pacredit.Grant }
 
-// Announced is another entry VM's view of who counts; its effect is a ReplyAnnounce.
+// Announced is another entry VM's view of the member set; its effect is a ReplyAnnounce.
 type Announced struct{ Announcement paview.Announcement }
 
 // ClaimAsked is another entry VM's claim of a key; its effect is a ReplyClaim.
 type ClaimAsked struct{ Claim paledger.Claim }
 
-// Claimed answers a ClaimKey; Lost says that no answer came.
+// Claimed answers a ClaimKey; Lost is set if no answer came.
 type Claimed struct {
 	Request paowner.RequestID
 	Reply   paledger.Reply
 	Lost    bool
 }
 
-// KeySettled is another entry VM's word on how a granted copy ended.
+// KeySettled is another entry VM's report on how a granted request ended.
 type KeySettled struct{ Settlement paledger.Settlement }
 
-// KeysHandedOver is a part of a leaving keeper's memory.
+// KeysHandedOver is a part of the ledger of a keeper that shuts down.
 type KeysHandedOver struct{ Handover paledger.Handover }
 
-// CPUMeasured is the busy share of this VM's processors, 0 to 1.
+// CPUMeasured is this VM's CPU utilization, 0 to 1.
 type CPUMeasured struct{ Busy float64 }
 
-// Probed is the end of a probe.
+// Probed is the result of a Probe.
 type Probed struct {
 	Target pabundle.TargetName
 	OK     bool
 }
 
-// Draining is the target's own word, on an answer, that it is about to stop.
+// Draining reports that a target announced its shutdown in an answer.
 type Draining struct{ Target pabundle.TargetName }
 
 // StopAsked begins the graceful shutdown.
@@ -141,7 +141,7 @@
 func (KeysHandedOver) event() {}
 func (CPUMeasured) event()    {}
 
-// TickInterval is how often Tick is due. Load: queues whose waits are tens of milliseconds. Harm of
-// more: refusals that are due stand for as long, and 20 ms put their p99 at 13.6 ms in bursts; of
-// less: an idle daemon wakes for nothing.
+// TickInterval is how often Tick is due; waits in queues are tens of milliseconds. A longer interval
+// delays refusals that are due: with 20 ms their p99 was 13.6 ms in bursts. A shorter one wakes an idle
+// daemon for nothing.
 const TickInterval = 8 * time.Millisecond
--- a/pacontrol/index.go
+++ b/pacontrol/index.go
@@ -4,14 +4,14 @@
 	"papayahead/pabundle"
 )
 
-// index finds the parts of a bundle by name.
+// index looks up the parts of a bundle by name.
 type index struct {
 	regions  map[pabundle.ZoneName]pabundle.RegionName
 	services map[pabundle.ServiceName]int
 	targets  map[pabundle.TargetName]pabundle.Target
-	// homes are the regions that have targets of a service.
+	// serviceRegions are the regions that have targets of a service.
 	serviceRegions map[pabundle.ServiceName]map[pabundle.RegionName]bool
-	// slots are the targets' slots within their regions' limits.
+	// slots are the targets' slots, reduced to their region's MaxInFlight.
 	slots map[pabundle.TargetName]int
 }
 
@@ -42,12 +42,12 @@
 	return x
 }
 
-// limitRegion spreads a region's MaxInFlight over the slots of its targets.
+// limitRegion divides a region's MaxInFlight over its targets in proportion to their slots.
 //
-// Load: a region whose targets together have more slots than the region may carry, because it
-// shares power or a database. Harm prevented: owners that each keep within their targets' slots
-// still overload the region. Each target has one owner and its part is a function of the bundle
-// alone, so the parts add up to the limit without any agreement between owners.
+// The targets of a region may have more slots together than the region can carry, for example because
+// they share power or a database; owners that each respect their targets' slots would then overload it.
+// Each target has one owner and its part depends on the bundle alone, so the parts add up to the limit
+// without coordination between owners.
 func (x *index) limitRegion(b *pabundle.Bundle, r pabundle.Region) {
 	var names []pabundle.TargetName
 	total := 0
@@ -72,12 +72,12 @@
 	}
 }
 
-// runs says whether a service has targets in a region.
+// hasTargets reports whether a service has targets in a region.
 func (x *index) hasTargets(s pabundle.ServiceName, r pabundle.RegionName) bool {
 	return x.serviceRegions[s][r]
 }
 
-// regionOf returns a zone's region, empty while it is not known.
+// regionOf returns a zone's region, empty if unknown.
 func (k *Control) regionOf(z pabundle.ZoneName) pabundle.RegionName {
 	if z == k.config.Self.Zone {
 		return k.config.Self.Region
--- a/pacontrol/key.go
+++ b/pacontrol/key.go
@@ -15,32 +15,32 @@
 	"papayahead/patarget"
 )
 
-// claim is a keyed request between its offer and its end.
+// claim is the state of a request with an idempotency key until the request ends.
 type claim struct {
 	offered Offered
 	id      paledger.ID
 	keeper  pabundle.EntryName
 	address netip.AddrPort
 	granted bool
-	// asked says that the keeper's answer is awaited.
+	// awaiting is set while the keeper's answer is outstanding.
 	awaiting bool
-	// again is when to ask the keeper anew, while another copy runs.
+	// askAgainAt is when to ask the keeper again while another copy runs; zero if none is due.
 	askAgainAt time.Time
-	// ended is the outcome so far, once an attempt was made.
+	// attempted is set once an attempt has ended; outcome and status are the result so far.
 	attempted bool
-	// sent says that an attempt is under way.
+	// inFlight is set while an attempt is under way.
 	inFlight bool
 	outcome  paledger.Outcome
 	status   int
 }
 
-// ledgerCapacity bounds the keys that are remembered, at about 300 bytes each: 60 MB.
+// ledgerCapacity bounds the keys in the ledger, at about 300 bytes each: 60 MB.
 const ledgerCapacity = 200_000
 
-// keyComeBack is what a caller is told while a key's keeper is away or not agreed on yet.
+// keyRetryAfter is the retry delay given to callers while a key's keeper is unreachable or not agreed on.
 const keyRetryAfter = 2 * time.Second
 
-// claimKey asks the key's keeper whether this copy may run, before any byte can go anywhere.
+// claimKey asks the key's keeper whether this copy may run, before any byte of it is sent.
 func (k *Control) claimKey(now time.Time, v Offered) {
 	id := paledger.ID{Service: v.Request.Service, Key: v.Key}
 	home := paledger.HomeRegion(id, k.keyRegions[v.Request.Service])
@@ -79,8 +79,9 @@
 	return 0
 }
 
-// keepers are the entry VMs that keep a region's keys: in the own region those agreed on, elsewhere
-// those of the VM list that did not say good-bye. A wrong guess is refused by whoever is asked.
+// keepers returns the entry VMs that keep a region's keys: in this region those agreed on, elsewhere
+// those of the VM list that have not announced their leaving. An entry VM that is not the keeper refuses
+// the claim.
 func (k *Control) keepers(home pabundle.RegionName) []pabundle.EntryName {
 	if home == k.config.Self.Region {
 		return k.agreement.view.Members()
@@ -99,7 +100,7 @@
 	return names
 }
 
-// peerAddress finds an entry VM by the membership, or by the VM list.
+// peerAddress returns an entry VM's address from the membership, or else from the VM list.
 func (k *Control) peerAddress(n pabundle.EntryName) (netip.AddrPort, bool) {
 	if m, ok := k.view.Find(n); ok {
 		return m.PeerAddress, true
@@ -112,17 +113,17 @@
 	return netip.AddrPort{}, false
 }
 
-// claimed acts on the keeper's answer. Only a grant lets the request go on.
+// handleClaimReply handles the keeper's answer. Only a grant lets the request proceed.
 func (k *Control) handleClaimReply(now time.Time, v Claimed) {
 	c := k.claims[v.Request]
-	// Failure: an answer comes twice, or after it was given up as lost. It would show as a request that
-	// is placed twice. Only the answer that is awaited counts.
+	// An answer that arrives twice, or after it was reported lost, would place the request twice: only an
+	// outstanding answer counts.
 	if c == nil || !c.awaiting {
 		return
 	}
 	c.awaiting = false
 	if v.Lost {
-		// The keeper may have granted the key. This copy does not run, and says so when it lands.
+		// The keeper may have granted the key. This copy does not run; settle reports that when it ends.
 		c.granted = c.address.IsValid()
 		k.refuse(v.Request, "KeeperLost", k.jitter(keyRetryAfter))
 		return
@@ -145,13 +146,13 @@
 	}
 }
 
-// joinPause is how often a request that another copy stands for asks how that one ended. Load: a
-// caller that asked twice at once. Harm of more: it waits longer than it has to; of less: calls
-// that bring nothing. Runs take 20 ms and more.
+// copyPollInterval is how often a request that waits for a running copy asks the keeper for its outcome,
+// as when a caller sends two copies at once. A longer interval adds to the wait; a shorter one makes
+// useless calls, since runs take 20 ms and more.
 const copyPollInterval = 50 * time.Millisecond
 
-// join lets a request wait for the end of the copy that runs, for as long as its own deadline
-// allows; the copy's end is its answer.
+// waitForCopy lets a request wait for the copy that runs, as long as its own deadline allows; the copy's
+// outcome becomes its answer.
 func (k *Control) waitForCopy(now time.Time, c *claim, r paledger.Reply) {
 	if now.Add(2 * copyPollInterval).After(c.offered.Request.Deadline) {
 		k.conclude(c.offered.Request.ID, paledger.EndedUnknown, "CopyRuns", r)
@@ -160,7 +161,7 @@
 	c.askAgainAt = now.Add(copyPollInterval)
 }
 
-// askAgain asks the keepers of requests that joined another copy.
+// pollCopies asks the keepers of requests that wait for a running copy.
 func (k *Control) pollCopies(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(k.claims)) {
 		c := k.claims[id]
@@ -175,15 +176,15 @@
 	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, RetryAfter: r.RetryAfter})
 }
 
-// sending notes that an attempt of a request begins.
+// markInFlight records that an attempt of a request starts.
 func (k *Control) markInFlight(id paowner.RequestID) {
 	if c := k.claims[id]; c != nil {
 		c.inFlight = true
 	}
 }
 
-// learn notes how an attempt of a keyed request ended. What may have run stays so, whatever a later
-// attempt says.
+// recordAttempt records how an attempt of a keyed request ended. Once an attempt may have run, a later
+// attempt that did not run does not change that.
 func (k *Control) recordAttempt(v Ended) {
 	c := k.claims[v.Request]
 	if c == nil {
@@ -214,8 +215,8 @@
 	s := paledger.Settlement{ID: c.id, Request: c.offered.Identity, Outcome: paledger.EndedNotRun}
 	switch {
 	case c.inFlight && c.outcome != paledger.EndedAnswered:
-		// Failure: the request is over while an attempt still is not. Settled as not run, the next copy
-		// would be granted, and the key run twice. What is under way may run.
+		// The request is over while an attempt is still under way and may run. Settled as not run, the next
+		// copy would be granted and the key would run twice.
 		s.Outcome = paledger.EndedUnknown
 	case c.attempted:
 		s.Outcome, s.Status = c.outcome, c.status
@@ -227,13 +228,13 @@
 	k.effects = append(k.effects, SettleKey{Address: c.address, Settlement: s})
 }
 
-// setHomes takes the home regions of the bundle in force.
+// setKeyRegions sets the candidate home regions of keys from the bundle in force.
 func (k *Control) setKeyRegions(now time.Time) {
 	k.keyRegions = paledger.CandidateRegions(k.bundle)
 	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.keyRegions)
 }
 
-// retireKeys hands the memory of keys over, at the start of a graceful shutdown.
+// handOverKeys hands the ledger over to the other members at the start of a graceful shutdown.
 func (k *Control) handOverKeys(now time.Time) {
 	members := k.agreement.view.Members()
 	var successors []pabundle.EntryName
--- a/pacontrol/limits.go
+++ b/pacontrol/limits.go
@@ -9,11 +9,11 @@
 	"papayahead/pashift"
 )
 
-// shiftInterval is how often shares move. Load: shifts of a tenth of the traffic in half a minute,
-// which are smooth at this pace. Harm of less: nothing gained; of more: steps that show.
+// shiftInterval is how often shares are updated. A shift of a tenth of the traffic in half a minute is
+// smooth at this interval; a shorter one gains nothing, a longer one makes visible steps.
 const shiftInterval = 200 * time.Millisecond
 
-// rate is the smoothed number of requests a second for a service, of the own region's callers.
+// rate is the smoothed number of requests a second for a service from this region's callers.
 type rate struct {
 	perSecond float64
 	count     int
@@ -41,7 +41,7 @@
 	k.updateRegionList(now)
 }
 
-// tickLimits moves shares, credits and agreements on.
+// tickLimits advances shares, credits, the ledger and the agreement.
 func (k *Control) tickLimits(now time.Time) {
 	if k.bundle == nil {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// rateSmoothing is the weight of the last second in a rate.
+// rateSmoothing is the weight of the last second in the moving average of a rate.
 const rateSmoothing = 0.3
 
 func (k *Control) countRates() {
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -11,12 +11,12 @@
 	"papayahead/patarget"
 )
 
-// factsInterval is how often the own facts are told. Load: free slots that turn over ten times a
-// second. Harm of less: gossip that carries news nobody acts on; of more: other owners place work
-// by reports that are too old to count.
+// factsInterval is how often this entry VM publishes its facts. Free slots turn over ten times a second.
+// A shorter interval adds gossip that nobody acts on; with a longer one, other owners place requests by
+// facts too old to count.
 const factsInterval = time.Second
 
-// hear lets the membership take an event, and acts on what changed.
+// stepMembership passes an event to the membership and handles the changes.
 func (k *Control) stepMembership(now time.Time, e pamember.Event) {
 	out := k.member.Step(now, e)
 	for _, m := range out.Send {
@@ -37,7 +37,7 @@
 	}
 }
 
-// change acts on one change of the membership and says whether targets may have moved.
+// applyChange handles one change of the membership and reports whether targets may have new owners.
 func (k *Control) applyChange(now time.Time, c pamember.Change) bool {
 	switch v := c.(type) {
 	case pamember.StateChanged:
@@ -52,7 +52,7 @@
 	case pamember.Thawed:
 		k.record(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
 		k.holder.VoidAll()
-		k.record(paevent.CreditsVoided{Reason: "this process stood still"})
+		k.record(paevent.CreditsVoided{Reason: "this process was suspended"})
 	case pamember.Refuted:
 		k.record(paevent.SuspicionRefuted{Said: v.Said.String()})
 	case pamember.AdvertSeen:
@@ -61,9 +61,9 @@
 	return false
 }
 
-// assign divides the region's targets over its live entry VMs: each has one owner, who alone sends
-// to it. Two daemons may disagree for as long as a change takes to spread; the new owner supposes
-// until then that the former owner's work still runs.
+// assignTargets divides the region's targets over its live entry VMs: each has one owner, which alone
+// sends to it. Two daemons may disagree while a change spreads; until then the new owner assumes that
+// the former owner's requests still run.
 func (k *Control) assignTargets(now time.Time) {
 	if k.bundle == nil {
 		return
@@ -93,8 +93,8 @@
 	k.decisions = k.owner.SetTargets(now, mine, k.decisions)
 }
 
-// take describes a target for its owner. One that is new here is taken as orphaned: what its
-// former owner, or this VM's former process, sent to it may still run.
+// ownedTarget describes a target for its owner. A target that is new here counts as orphaned: requests
+// from its former owner, or from this VM's former process, may still run there.
 func (k *Control) ownedTarget(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
 	t.Slots = k.index.slots[t.Name]
 	return paowner.OwnedTarget{
@@ -103,11 +103,11 @@
 	}
 }
 
-// connections is this entry VM's part of a target's connections. Only the owner connects; half are
-// left for a former owner's connections that are not closed yet.
+// connections is the number of connections that this entry VM may open to a target. Only the owner
+// connects; half of the target's limit is left for a former owner's connections that are still open.
 func (k *Control) connections(t pabundle.Target) int { return max(1, t.MaxConnections/2) }
 
-// tellFacts spreads this entry VM's free slots and room in its region.
+// publishFacts gossips this entry VM's slots, queue lengths and spare capacity in its region.
 func (k *Control) publishFacts(now time.Time) {
 	k.nextFacts = now.Add(factsInterval)
 	if k.bundle == nil {
@@ -122,10 +122,10 @@
 	k.stepMembership(now, pamember.SetFacts{Facts: f})
 }
 
-// saturated is a count as facts carry it: 255 means that or more.
+// saturateUint8 encodes a count for the facts: 255 means 255 or more.
 func saturateUint8(n int) uint8 { return uint8(min(255, max(0, n))) }
 
-// observeFacts notes when each member's facts changed, because their age decides what they count.
+// observeFacts records when each member's facts changed, because placement weighs them by age.
 func (k *Control) observeFacts(now time.Time) {
 	for _, m := range k.view.Members {
 		if r, ok := k.reports[m.Name]; !ok || r.stamp != m.Facts.Stamp {
