--- a/pacontrol/boot_test.go
+++ b/pacontrol/boot_test.go
@@ -10,9 +10,9 @@
 	"papayahead/pamember"
 )
 
-// An entry VM crashes and is started again at once. Its peers still know its address, and one offers
-// the head in force before the new process has read the VM list. The process ended with a nil view,
-// again and again under a supervisor, so that one crash cost the zone its entry VM for longer.
+// An entry VM restarts after a crash, and a peer that still knows its address offers the head before the
+// new process has read the VM list. The process crashed on a nil view, repeatedly under a supervisor, so
+// that one crash kept the zone without its entry VM for longer.
 func TestAHeadOfferedBeforeTheFirstListIsFetched(t *testing.T) {
 	now := time.Date(2026, 5, 1, 8, 0, 0, 0, time.UTC)
 	k, err := New(Config{
--- a/pacontrol/fuzz_test.go
+++ b/pacontrol/fuzz_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same verdict on every run; longer runs by hand give their own seed and number of checks.
+	// A fixed seed makes runs repeatable; flags override it and the number of checks.
 	for name, value := range map[string]string{"rapid.seed": "2026", "rapid.checks": "40"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			if err := f.Value.Set(value); err != nil {
@@ -25,16 +25,17 @@
 	m.Run()
 }
 
-// faults is how long the world is made to fail, rest how long it then has for all to end.
+// settleTime is the time to start up, faultTime how long faults are injected, recoveryTime how long
+// requests then have to end.
 const (
 	settleTime   = 14 * time.Second
 	faultTime    = 10 * time.Second
 	recoveryTime = 4 * time.Second
 )
 
-// Whatever happens to four entry VMs (crashes, freezes, cuts, late, lost and repeated messages, a
-// caller that sends each key by two entry VMs at once), a key runs at most once, a sequence never
-// falls, no request is left without an end, and once all is quiet the region serves again.
+// Under crashes, freezes, network partitions, late, lost and duplicated messages, and copies of each key
+// sent through two of four entry VMs, a key runs at most once, a sequence never decreases, every
+// request ends, and each entry VM serves again after the faults.
 func TestWholeControlUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossy"))
@@ -62,7 +63,7 @@
 	})
 }
 
-// plan spreads offers and faults over the time of the faults.
+// scheduleFaults schedules requests and faults at random times within faultTime.
 func scheduleFaults(t *rapid.T, w *simulation) {
 	for i := range 60 {
 		at := time.Duration(rapid.IntRange(0, int(faultTime/time.Millisecond)).Draw(t, "at")) * time.Millisecond
@@ -108,7 +109,7 @@
 	}
 }
 
-// served checks that each entry VM answers again when nothing fails any more.
+// checkServing checks that each entry VM answers again after the faults.
 func checkServing(t *rapid.T, w *simulation) {
 	w.lossRate = 0
 	w.run(15 * time.Second)
@@ -122,7 +123,7 @@
 	}
 }
 
-// At full load, with no fault but late messages, no target ever runs more than its slots.
+// At full load, with late messages as the only fault, no target runs more requests than it has slots.
 func TestSlotsHoldUnderLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 0)
@@ -140,10 +141,10 @@
 	})
 }
 
-// The west is down and its callers have moved east step by step under the cap, when an entry VM of the
-// west's neighbour restarts. It knows only the schedule, which sends all of east's callers to the east;
-// a failover of the east itself is what its neighbours know. It must stand where they stand.
-func TestARestartedDaemonStandsWhereItsNeighbourStands(t *testing.T) {
+// All targets of the east drain and its shares move west under the cap, when one of its entry VMs
+// restarts. It knows only the schedule, which sends all of the east's callers to the east, and must take
+// over the shares of its peer, which has followed the failover.
+func TestRestartedDaemonAdoptsThePeersShares(t *testing.T) {
 	w := newSimulation(1, 0)
 	w.run(settleTime)
 	// No target of the east takes work any more: its shares leave it under the cap.
@@ -160,7 +161,7 @@
 	w.crash(1)
 	w.run(5 * time.Second)
 	if got := shareOf(w.entries[1], "east", "west"); got < stands {
-		t.Errorf("the restarted daemon sends %v of east's callers west, its neighbour %v", got, stands)
+		t.Errorf("the restarted daemon sends %v of east's callers west, its peer %v", got, stands)
 	}
 }
 
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -10,11 +10,11 @@
 	"papayahead/paroom"
 )
 
-// neighbourDelay is the round trip to another entry VM of the region, by the users' figures.
+// peerDelay is the round trip to another entry VM of the region, as measured by users.
 const peerDelay = time.Millisecond
 
-// offer decides on a request, in the order of what a refusal costs: this entry VM's own room, the
-// key, the region, and the targets.
+// offer admits and places a request. The checks run from the cheapest refusal to the costliest: this
+// entry VM's capacity, the key, the region, the targets.
 func (k *Control) offer(now time.Time, v Offered) {
 	id := v.Request.ID
 	if k.bundle == nil {
@@ -42,7 +42,7 @@
 	k.effects = append(k.effects, Refuse{Request: id, Reason: reason, RetryAfter: comeBack})
 }
 
-// longBytes is the size from which on a request counts as long work for the entry VM's room.
+// longBytes is the size from which a request counts as long in the entry VM's admission control.
 const longBytes = 1 << 20
 
 func roomClass(v Offered) paroom.Class {
@@ -58,7 +58,7 @@
 	}
 }
 
-// end takes the end of an attempt, wherever it was made.
+// endAttempt handles the end of an attempt in this or another region.
 func (k *Control) endAttempt(now time.Time, v Ended) {
 	k.recordAttempt(v)
 	if _, ok := k.remotes[v.Request]; ok {
@@ -68,7 +68,7 @@
 	k.decisions = k.owner.Finish(now, v.Request, v.Result, k.decisions)
 }
 
-// land forgets a request that is over.
+// endRequest releases the state of a request that is over.
 func (k *Control) endRequest(now time.Time, id paowner.RequestID) {
 	k.decisions = k.owner.Cancel(now, id, k.decisions)
 	delete(k.remotes, id)
@@ -84,8 +84,8 @@
 	k.settle(now, id)
 }
 
-// noBundleComeBack is what a caller is told while the daemon has no bundle. A boot takes a second
-// when neighbours or the store answer.
+// noBundleRetryAfter is the retry delay given to callers while the daemon has no bundle. Loading one at
+// start takes a second when peers or the store answer.
 const noBundleRetryAfter = 2 * time.Second
 
 // Candidates implements paowner.CandidateSource with the other owners of the region.
@@ -111,7 +111,7 @@
 	return into
 }
 
-// waitOf predicts the wait at another owner from the length of its queue and its slots.
+// predictWait predicts the wait at another owner from its queue length and slots.
 func (k *Control) predictWait(s pabundle.ServiceName, waiting, slots int) time.Duration {
 	return k.owner.PredictedRun(s) * time.Duration(waiting) / time.Duration(max(1, slots))
 }
--- a/pacontrol/record.go
+++ b/pacontrol/record.go
@@ -14,19 +14,19 @@
 	"papayahead/paspread"
 )
 
-// refusalKind is what refusals are counted by.
+// refusalKind is the key that refusals are counted by.
 type refusalKind struct {
 	service pabundle.ServiceName
 	reason  string
 }
 
-// shedRegion is a region that is taken for down for a service.
+// shedRegion is a region that counts as down for a service.
 type downRegion struct {
 	service pabundle.ServiceName
 	region  pabundle.RegionName
 }
 
-// serviceOf is the subject of events about a target.
+// serviceOf returns the subject of events about a target.
 func (k *Control) serviceOf(t pabundle.TargetName) paevent.Subject {
 	for _, s := range k.bundle.Services {
 		for _, x := range s.Targets {
@@ -38,7 +38,7 @@
 	return paevent.Subject{}
 }
 
-// noteMember records a member's change; Old stays empty for one that was unknown.
+// recordMember records a member's change; Old stays empty for a new member.
 func (k *Control) recordMember(v pamember.StateChanged) {
 	e := paevent.MemberChanged{
 		Member: string(v.Member.Name), Zone: string(v.Member.Zone), Incarnation: uint64(v.Member.Incarnation), New: v.New.String(),
@@ -53,8 +53,8 @@
 	k.refusals[refusalKind{k.requestService[id], reason}]++
 }
 
-// noteSecond records what is counted over a second: at saturation an event for each refusal would
-// drown the log.
+// recordSecond records the refusals of the last second by kind: at saturation, an event for each refusal
+// would flood the log.
 func (k *Control) recordSecond(now time.Time) {
 	kinds := slices.SortedFunc(maps.Keys(k.refusals), func(a, b refusalKind) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.reason, b.reason))
@@ -67,7 +67,7 @@
 	k.recordDownRegions()
 }
 
-// noteShifts records which services begin and end to move under the bundle in force.
+// recordShifts records the starts and ends of services' shifts under the bundle in force.
 func (k *Control) recordShifts(now time.Time) {
 	end := pashift.EndsAt(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt})
 	for _, s := range k.bundle.Services {
@@ -83,8 +83,8 @@
 	}
 }
 
-// noteShed records regions that were taken for down since the last time, as far as it concerns the
-// own region's callers: their own region, or one whose share of them is refused.
+// recordDownRegions records regions that newly count as down, if that affects this region's callers: this
+// region itself, or any region while some of its callers' requests are refused.
 func (k *Control) recordDownRegions() {
 	here := k.config.Self.Region
 	for _, s := range k.bundle.Services {
@@ -107,7 +107,7 @@
 	return paevent.Subject{Service: string(s), Sequence: uint64(k.head.Sequence)}
 }
 
-// compareStore records a store whose head is older than the one in force: it has lost writes.
+// compareStore records that the store's head is older than the one in force: the store has lost writes.
 func (k *Control) compareStore(h pabundle.Head) {
 	behind := h.Sequence < k.head.Sequence
 	if behind && !k.storeBehind {
@@ -116,7 +116,7 @@
 	k.storeBehind = behind
 }
 
-// noteRejected records a head or piece that is false, by what it means for operators.
+// recordRejected records an invalid head or piece as the event that tells operators its cause.
 func (k *Control) recordRejected(v paspread.Rejected) {
 	source := string(v.From.Peer)
 	if v.From.Store {
--- a/pacontrol/region.go
+++ b/pacontrol/region.go
@@ -7,9 +7,9 @@
 	"papayahead/pashift"
 )
 
-// observeRegions tells the shifts what is known of each service in each region. The own region's
-// load comes from its owners' facts; of another region only its entry VMs' life is known here, and
-// what it can take shows in the credits that it grants.
+// observeRegions passes the load of each service in each region to the shift limiter. This region's load
+// comes from its owners' facts. Of another region only the liveness of its entry VMs is known; its free
+// capacity is inferred from the credits that it grants.
 func (k *Control) observeRegions(now time.Time) {
 	alive := map[pabundle.RegionName]int{}
 	for _, m := range k.view.Members {
@@ -34,19 +34,19 @@
 }
 
 const (
-	// loadSmoothing is the weight of one reading in the own region's load, of which five come a second:
-	// about five seconds. Load: small owners, whose few slots are all taken for a moment at half load.
-	// Harm of more: shares move on noise; of less: a region that is full sheds late.
+	// loadSmoothing is the weight of one reading in this region's load; with five readings a second it
+	// averages over about five seconds. The few slots of a small owner are at times all taken at half load:
+	// with a larger weight shares move on noise, with a smaller one a full region sheds late.
 	loadSmoothing = 0.04
-	// unknownLoad stands for a load that nobody has told yet: it neither sheds nor takes.
+	// unknownLoad is assumed while no load is known: the region neither sheds nor takes traffic.
 	unknownLoad = 0.8
-	// askedLately is how long an ask without a grant says that a region has nothing to give.
+	// grantWindow is how long after an ask without a grant a region counts as having no free capacity.
 	grantWindow = 3 * time.Second
 )
 
-// ownReading adds up the region's owners, this one by its own word. An owner that has not told its
-// facts yet makes the region's load unknown, and not its targets gone: else an entry VM that owns no
-// target of a service would refuse all of its callers for the first seconds after its start.
+// ownReading adds up the load of the region's owners, this one from its own state. If no slots are known
+// and an owner's facts are missing, the load is unknown instead of the region being down: otherwise an
+// entry VM that owns no target of a service would refuse all of its callers for seconds after its start.
 func (k *Control) ownReading(now time.Time, n int, s pabundle.ServiceName) pashift.Reading {
 	slots, busy := k.owner.Slots(now, s), k.owner.InFlight(s)+k.owner.Waiting(s)
 	unheard := false
@@ -77,9 +77,9 @@
 	return pashift.Reading{At: now, Load: load}
 }
 
-// foreignDemand is this entry VM's part of what another region's callers can ask for at most, by the
-// slots there. Load: a region dies and its callers arrive here. Harm prevented: the cap on its
-// share would bound nothing without a number of requests that the share is of.
+// foreignDemand is this entry VM's part of the most requests a second that another region's callers can
+// send, by the slots there. When that region fails and its callers arrive here, the cap on its share
+// bounds nothing without a demand that the share refers to.
 func (k *Control) foreignDemand(s pabundle.Service, r pabundle.RegionName, alive map[pabundle.RegionName]int) float64 {
 	others := 0
 	for name, n := range alive {
@@ -96,7 +96,7 @@
 	return float64(slots) / s.TypicalRun.Seconds() / float64(max(1, others))
 }
 
-// starved says that a region granted nothing lately although requests waited for it.
+// grantsNothing reports whether a region granted no credits within grantWindow although requests waited.
 func (k *Control) grantsNothing(now time.Time, s pabundle.ServiceName, r pabundle.RegionName) bool {
 	asked := false
 	for _, m := range k.view.Members {
--- a/pacontrol/remote.go
+++ b/pacontrol/remote.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// creditWait is how long a request may wait for the first credits: a round trip between regions
-	// of 35 ms with room for a queue. Harm of more: a refusal that was due stands for as long.
+	// creditWait is how long a request may wait for a credit: a round trip of 35 ms between regions with
+	// margin for a queue. With more, refusals that are due come later.
 	creditWait = 150 * time.Millisecond
 	// remoteAttempts bounds the entry VMs of another region that one request is offered to.
 	remoteAttempts = 3
-	// remoteComeBack is what a caller is told when no credit came: a credit's term and half again.
+	// remoteRetryAfter is the retry delay given to callers when no credit came: 1.5 times a credit's term.
 	remoteRetryAfter = 3 * time.Second
 )
 
@@ -28,7 +28,7 @@
 	region   pabundle.RegionName
 	since    time.Time
 	attempts int
-	// running says that an attempt is under way, at entry.
+	// running is set while an attempt is under way at entry.
 	running bool
 	entry   pabundle.EntryName
 }
@@ -44,7 +44,7 @@
 		r = k.selector.AdmitArrival(k.table, now, v.Request.Service, v.From, here, k.config.Random.Float64())
 	}
 	if r.Refused && v.From != here && k.live(v.From) > 0 {
-		// The caller's own region is in service: its share there is not a shift.
+		// The caller's own region is live: sending the request there is not a shift.
 		r = pashift.Route{Region: v.From}
 	}
 	switch {
@@ -58,7 +58,7 @@
 	}
 }
 
-// live returns how many entry VMs of a region take work.
+// live returns the number of entry VMs of a region that accept requests.
 func (k *Control) live(r pabundle.RegionName) int {
 	n := 0
 	for _, m := range k.view.Members {
@@ -69,8 +69,8 @@
 	return n
 }
 
-// tryRemote forwards a request with a credit of the region's. Without one it waits for a moment,
-// since the first request is what asks for credits.
+// tryRemote forwards a request with one of the region's credits. Without one it asks for credits and the
+// request waits, since the first request to a region finds none.
 func (k *Control) tryRemote(now time.Time, id paowner.RequestID) {
 	f := k.remotes[id]
 	s := f.offer.Request.Service
@@ -101,7 +101,7 @@
 	})
 }
 
-// placeWaiting offers credits that came to the requests that wait for them.
+// placeWaiting forwards waiting requests with credits that have arrived.
 func (k *Control) placeWaiting(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(k.remotes)) {
 		if !k.remotes[id].running {
@@ -110,7 +110,7 @@
 	}
 }
 
-// tickWaiting refuses requests that no credit came for, and asks again for the others.
+// tickWaiting ends waits longer than creditWait, and asks again for the other requests.
 func (k *Control) tickWaiting(now time.Time) {
 	asked := map[destination]bool{}
 	for _, id := range slices.Sorted(maps.Keys(k.remotes)) {
@@ -134,10 +134,10 @@
 	region  pabundle.RegionName
 }
 
-// withoutCredit ends the wait for a credit that did not come. Where the bundle itself sends all of
-// the service's requests to this region, only a full or failing region made the share move: then the
-// request goes to its own region after all, which takes or refuses it by its own room. Where the
-// bundle moves the share, it is refused: all of them coming back at once would be a shift of its own.
+// endCreditWait ends the wait for a credit that did not come. If the bundle sends all of the service's
+// requests to this region, the share moved only because the region is full or failing: the request then
+// goes to this region after all, which accepts or refuses it by its capacity. If the bundle moves the
+// share, the request is refused: the return of all such requests at once would be an uncapped shift.
 func (k *Control) endCreditWait(now time.Time, f *remote) {
 	if f.offer.From == k.config.Self.Region && k.servedLocally(f.offer.Request.Service) {
 		k.decisions = k.owner.Offer(now, f.offer.Request, k.decisions)
@@ -146,7 +146,7 @@
 	k.refuse(f.offer.Request.ID, "NoCredit", k.jitter(remoteRetryAfter))
 }
 
-// staysHome says whether the bundle sends all requests of the region's callers to the region itself,
+// servedLocally reports whether the bundle sends all requests of this region's callers to this region
 // and no earlier shift of them is under way.
 func (k *Control) servedLocally(s pabundle.ServiceName) bool {
 	n, ok := k.index.services[s]
@@ -170,9 +170,9 @@
 	f.running = false
 	notRun := v.Result.Outcome.DidNotRun()
 	if notRun && v.Result.RetryAfter == 0 {
-		// The peer is gone, restarted or takes the credit for void: so are its other ones.
+		// The peer is gone, has restarted or considers the credit void: its other credits are void too.
 		k.holder.Void(f.entry)
-		k.record(paevent.CreditsVoided{Granter: string(f.entry), Reason: "its call was lost or its credit void"})
+		k.record(paevent.CreditsVoided{Granter: string(f.entry), Reason: "a forwarded request was lost or its credit was void"})
 	}
 	switch {
 	case v.Result.Outcome == patarget.Answered, v.Result.Outcome == patarget.Abandoned:
@@ -189,7 +189,7 @@
 	}
 }
 
-// jitter adds up to half, so that callers refused together do not return together.
+// jitter adds up to half, so that callers refused together do not retry together.
 func (k *Control) jitter(d time.Duration) time.Duration {
 	return d + time.Duration(k.config.Random.Float64()*float64(d)/2)
 }
--- a/pacontrol/sharestate.go
+++ b/pacontrol/sharestate.go
@@ -11,7 +11,7 @@
 	"papayahead/pawire"
 )
 
-// ShareStatesAsked is a question of a daemon that has just started; its effect is a ReplyStanding.
+// ShareStatesAsked is the query of a daemon that has just started; its effect is a ReplyStanding.
 type ShareStatesAsked struct{ Sequence pabundle.Sequence }
 
 // ShareStatesReceived answers an AskStanding.
@@ -20,7 +20,7 @@
 func (ShareStatesAsked) event()    {}
 func (ShareStatesReceived) event() {}
 
-// AskShareStates asks a neighbour where its shares stand; StandingTold reports the answer.
+// AskShareStates asks a peer for its current shares; StandingTold reports the answer.
 type AskShareStates struct {
 	Address  netip.AddrPort
 	Sequence pabundle.Sequence
@@ -32,21 +32,21 @@
 func (AskShareStates) effect()   {}
 func (ReplyShareStates) effect() {}
 
-// ShareStates is where a daemon's shares stand under a roll-out.
+// ShareStates are a daemon's current shares under a roll-out.
 type ShareStates struct {
 	Sequence pabundle.Sequence
 	Services map[pabundle.ServiceName]pashift.ShareState
 }
 
-// standingWait is how long after its first bundle a daemon takes a neighbour's standing. Harm of
-// more: shares that have moved by then jump back; of less: a neighbour between regions is not heard.
+// shareStatesWait is how long after its first bundle a daemon accepts a peer's share states. With more,
+// shares that have moved by then jump back; with less, the answer of a peer between regions is missed.
 const shareStatesWait = 2 * time.Second
 
-// askStanding asks one live neighbour of the region where its shares stand.
+// askShareStates asks one live peer of the region for its current shares.
 //
-// Guards against a daemon that restarts during a failover: it knows the schedule, but not how far the
-// failover has gone, and would send all of its callers' requests to the region that is down or full,
-// a jump of the whole share. The guard holds because a neighbour's limiter kept the cap all along.
+// A daemon that restarts during a failover knows the schedule but not how far the failover has
+// progressed. Without its peer's shares it would send all of its callers' requests to the region that is
+// down or full, a jump of the whole share. The peer's shares are safe, as its limiter applied the cap.
 func (k *Control) askShareStates(now time.Time) {
 	k.copySharesUntil = now.Add(shareStatesWait)
 	var near []netip.AddrPort
@@ -60,7 +60,7 @@
 	}
 }
 
-// tellStanding answers a neighbour; one that has just started itself has nothing to tell.
+// replyShareStates answers a peer; a daemon that has just started itself replies without shares.
 func (k *Control) replyShareStates(now time.Time, asked pabundle.Sequence) {
 	s := ShareStates{Sequence: k.head.Sequence}
 	if k.bundle != nil && asked == k.head.Sequence && !now.Before(k.copySharesUntil) {
@@ -72,7 +72,7 @@
 	k.effects = append(k.effects, ReplyShareStates{States: s})
 }
 
-// followStanding takes a neighbour's standing, once and only right after the first bundle.
+// copyShareStates adopts a peer's shares, once and only within shareStatesWait of the first bundle.
 func (k *Control) copyShareStates(now time.Time, s ShareStates) {
 	if k.bundle == nil || s.Sequence != k.head.Sequence || len(s.Services) == 0 || !now.Before(k.copySharesUntil) {
 		return
@@ -84,7 +84,7 @@
 	k.table = k.limiter.Step(now)
 }
 
-// Wire returns the standing as a message.
+// Wire encodes the share states as a message.
 func (s ShareStates) Wire() *pawire.StandingTold {
 	w := &pawire.StandingTold{Sequence: uint64(s.Sequence)}
 	for n, x := range s.Services {
@@ -98,18 +98,18 @@
 	return w
 }
 
-// maxStanding bounds the shares of a message: services times pairs of regions at the size designed for.
+// maxShareStates bounds the shares of a message: services times pairs of regions at the design size.
 const maxShareStates = 1 << 16
 
 // ShareStatesFromWire checks and reads a message; it returns trace.BadParameter for a bad one.
 func ShareStatesFromWire(w *pawire.StandingTold) (ShareStates, error) {
 	if len(w.GetShares()) > maxShareStates || len(w.GetDown()) > maxShareStates {
-		return ShareStates{}, trace.BadParameter("standing of %d shares: want at most %d", len(w.GetShares()), maxShareStates)
+		return ShareStates{}, trace.BadParameter("share states with %d shares: want at most %d", len(w.GetShares()), maxShareStates)
 	}
 	s := ShareStates{Sequence: pabundle.Sequence(w.GetSequence()), Services: map[pabundle.ServiceName]pashift.ShareState{}}
 	for _, x := range w.GetShares() {
 		if !(x.GetShare() >= 0 && x.GetShare() <= 1) {
-			return ShareStates{}, trace.BadParameter("standing with a share of %v: want 0 to 1", x.GetShare())
+			return ShareStates{}, trace.BadParameter("share states with a share of %v: want 0 to 1", x.GetShare())
 		}
 		n := pabundle.ServiceName(x.GetService())
 		v := s.Services[n]
--- a/pacontrol/simulation_test.go
+++ b/pacontrol/simulation_test.go
@@ -16,8 +16,8 @@
 	"papayahead/patarget"
 )
 
-// world carries out what four control states decide, on a clock of its own: two regions with two
-// zones of one entry VM each, and a target of two slots a zone. Messages are late, lost and repeated.
+// simulation carries out the effects of four control states on a simulated clock: two regions with two
+// zones of one entry VM each, and a target of two slots a zone. Messages are delayed, lost and duplicated.
 type simulation struct {
 	now     time.Time
 	rand    *rand.Rand
@@ -26,10 +26,10 @@
 	entries []*entry
 	pieces  map[pabundle.Digest][]byte
 	head    pabundle.Head
-	// lossy is the part of messages that is lost, and of those that come twice.
+	// lossRate is the fraction of messages that is lost, and also the fraction that is duplicated.
 	lossRate float64
 	cuts     map[[2]int]bool
-	// running and ran are the oracle: requests at each target, runs of each key.
+	// running, peak and keyRuns are the oracle: requests at each target now and at most, runs of each key.
 	running, peak map[pabundle.TargetName]int
 	keyRuns       map[string]int
 	requests      []*request
@@ -55,7 +55,7 @@
 	number  int
 	self    pamember.Identity
 	control *Control
-	// life counts the starts; frozen holds back all events until a time.
+	// generation counts the process's starts; frozen is until when all events are held back.
 	generation int
 	frozen     time.Time
 	requests   map[paowner.RequestID]*request
@@ -152,7 +152,7 @@
 	return w
 }
 
-// boot starts an entry VM's process, anew after a crash.
+// boot starts an entry VM's process, also after a crash.
 func (w *simulation) boot(e *entry) {
 	e.generation++
 	e.highest = 0
@@ -206,7 +206,7 @@
 	w.now = end
 }
 
-// step gives an event to a control state, once it is not frozen, and carries out the effects.
+// step passes an event to a control state, after a freeze has ended, and carries out the effects.
 func (w *simulation) step(e *entry, v Event) {
 	w.stepThen(e, v, func([]Effect) {})
 }
@@ -231,13 +231,13 @@
 	}
 	s := e.control.Head().Sequence
 	if s < e.highest {
-		panic("the sequence fell")
+		panic("the sequence decreased")
 	}
 	e.highest = s
 }
 
-// send delivers to an entry VM by its address, late, lost or twice; lost is called instead when it
-// never arrives.
+// send delivers a message to the entry VM at an address, once or twice after a random delay; lost is
+// called instead if it is dropped.
 func (w *simulation) send(from *entry, a netip.AddrPort, deliver func(to *entry), lost func()) {
 	for _, to := range w.entries {
 		if to.self.PeerAddress != a {
@@ -270,7 +270,7 @@
 
 func (w *simulation) carryOut(e *entry, x Effect) {
 	life := e.generation
-	// answer brings a reply home, if it is not lost on its way and the asker still lives.
+	// answer delivers a reply, unless it is lost or the asking process has ended.
 	answer := func(from *entry, v Event) {
 		w.send(from, e.self.PeerAddress, func(to *entry) {
 			if to.generation == life {
@@ -447,7 +447,7 @@
 	w.after(time.Second+50*time.Millisecond, func() { w.finish(r, patarget.Abandoned) })
 }
 
-// crash ends an entry VM's process and starts a new one; what it carried is lost to its callers.
+// crash ends an entry VM's process and starts a new one; callers lose their requests there.
 func (w *simulation) crash(n int) {
 	e := w.entries[n]
 	lost := e.requests
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -9,32 +9,32 @@
 	"papayahead/paspread"
 )
 
-// Snapshot is what traffic reads of the control state; it never changes.
+// Snapshot is the immutable part of the control state that the request path reads.
 type Snapshot struct {
 	Head pabundle.Head
 	// Bundle is nil until the first was accepted.
 	Bundle   *pabundle.Bundle
 	View     *pamember.View
 	Services map[pabundle.ServiceName]*pabundle.Service
-	// Plan answers look-ups, Blocks says which region a caller belongs to.
+	// Plan answers look-ups, Blocks maps a caller's address to its region.
 	Plan   *palookup.Plan
 	Blocks *palookup.Table
 	// Watches says that this daemon is one of those that watch the store for their zone.
 	Watches bool
 	// Stopping says that a graceful shutdown has begun.
 	Stopping bool
-	// Members is how many entry VMs of the region are agreed on; 0 is no agreement.
+	// Members is the number of agreed entry VMs of the region; 0 if there is no agreement.
 	Members int
 	// Owned is the number of targets that this entry VM owns.
 	Owned int
 	// Loads is the load of each service at this entry VM, when the snapshot was made: at most
 	// planInterval ago. It is for metrics; no decision reads it.
 	Loads map[pabundle.ServiceName]ServiceLoad
-	// RoomUse is the largest use of one of the entry VM's own limits, 1 at the limit.
+	// RoomUse is the highest utilization of the entry VM's own limits, 1 at the limit.
 	RoomUse float64
 }
 
-// ServiceLoad is how loaded one service is at one entry VM.
+// ServiceLoad is the load of one service at one entry VM.
 type ServiceLoad struct {
 	// Slots, Free and InFlight count the own targets' slots, those that a request could take now, and
 	// the requests that run there. Waiting requests wait for a slot.
