--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -10,7 +10,7 @@
 	"papayahead/paroom"
 )
 
-// peerDelay is the round trip to another entry VM of the region, as measured by users.
+// peerDelay is the round trip to another entry VM of the region, according to figures from users.
 const peerDelay = time.Millisecond
 
 // offer admits and places a request. The checks run from the cheapest refusal to the costliest: this
--- a/pacontrol/sharestate.go
+++ b/pacontrol/sharestate.go
@@ -11,22 +11,22 @@
 	"papayahead/pawire"
 )
 
-// ShareStatesAsked is the query of a daemon that has just started; its effect is a ReplyStanding.
+// ShareStatesAsked is the query of a daemon that has just started; its effect is a ReplyShareStates.
 type ShareStatesAsked struct{ Sequence pabundle.Sequence }
 
-// ShareStatesReceived answers an AskStanding.
+// ShareStatesReceived answers an AskShareStates.
 type ShareStatesReceived struct{ States ShareStates }
 
 func (ShareStatesAsked) event()    {}
 func (ShareStatesReceived) event() {}
 
-// AskShareStates asks a peer for its current shares; StandingTold reports the answer.
+// AskShareStates asks a peer for its current shares; ShareStatesReceived reports the answer.
 type AskShareStates struct {
 	Address  netip.AddrPort
 	Sequence pabundle.Sequence
 }
 
-// ReplyShareStates answers a StandingAsked.
+// ReplyShareStates answers a ShareStatesAsked.
 type ReplyShareStates struct{ States ShareStates }
 
 func (AskShareStates) effect()   {}
--- a/pacontrol/simulation_test.go
+++ b/pacontrol/simulation_test.go
@@ -165,10 +165,10 @@
 		panic(err)
 	}
 	e.control = k
-	life := e.generation
-	w.every(TickInterval, e, life, func() { w.step(e, Tick{}) })
-	w.every(time.Second, e, life, func() { w.step(e, VMsListed{VMs: w.list()}) })
-	w.every(time.Second, e, life, func() { w.step(e, HeadFound{Head: w.head}) })
+	generation := e.generation
+	w.every(TickInterval, e, generation, func() { w.step(e, Tick{}) })
+	w.every(time.Second, e, generation, func() { w.step(e, VMsListed{VMs: w.list()}) })
+	w.every(time.Second, e, generation, func() { w.step(e, HeadFound{Head: w.head}) })
 }
 
 func (w *simulation) list() []paplatform.VM {
@@ -187,11 +187,11 @@
 }
 
 // every repeats do for as long as the entry VM's process lives.
-func (w *simulation) every(d time.Duration, e *entry, life int, do func()) {
+func (w *simulation) every(d time.Duration, e *entry, generation int, do func()) {
 	w.after(d, func() {
-		if e.generation == life {
+		if e.generation == generation {
 			do()
-			w.every(d, e, life, do)
+			w.every(d, e, generation, do)
 		}
 	})
 }
@@ -213,10 +213,10 @@
 
 func (w *simulation) stepThen(e *entry, v Event, then func([]Effect)) {
 	if w.now.Before(e.frozen) {
-		life := e.generation
+		generation := e.generation
 		if _, tick := v.(Tick); !tick {
 			w.after(e.frozen.Sub(w.now), func() {
-				if e.generation == life {
+				if e.generation == generation {
 					w.stepThen(e, v, then)
 				}
 			})
@@ -255,9 +255,9 @@
 			return
 		}
 		for range times {
-			life := to.generation
+			generation := to.generation
 			w.after(time.Duration(w.rand.IntN(30))*time.Millisecond, func() {
-				if to.generation == life {
+				if to.generation == generation {
 					deliver(to)
 				}
 			})
@@ -269,11 +269,11 @@
 func ignore() {}
 
 func (w *simulation) carryOut(e *entry, x Effect) {
-	life := e.generation
+	generation := e.generation
 	// answer delivers a reply, unless it is lost or the asking process has ended.
 	answer := func(from *entry, v Event) {
 		w.send(from, e.self.PeerAddress, func(to *entry) {
-			if to.generation == life {
+			if to.generation == generation {
 				w.step(to, v)
 			}
 		}, ignore)
@@ -285,7 +285,7 @@
 		w.send(e, v.Address, func(to *entry) { w.step(to, HeadOffered{Peer: e.self.Name, Head: v.Head}) }, ignore)
 	case FetchPiece:
 		w.after(5*time.Millisecond, func() {
-			if e.generation == life {
+			if e.generation == generation {
 				w.step(e, PieceFetched{From: paspread.Source{Store: true}, Digest: v.Digest, Data: w.pieces[v.Digest]})
 			}
 		})
@@ -321,7 +321,7 @@
 		}, ignore)
 	case ClaimKey:
 		lost := func() {
-			if e.generation == life {
+			if e.generation == generation {
 				w.step(e, Claimed{Request: v.Request, Lost: true})
 			}
 		}
@@ -330,7 +330,7 @@
 				for _, r := range all {
 					if g, ok := r.(ReplyClaim); ok {
 						w.send(to, e.self.PeerAddress, func(back *entry) {
-							if back.generation == life {
+							if back.generation == generation {
 								w.step(back, Claimed{Request: v.Request, Reply: g.Reply})
 							}
 						}, lost)
@@ -345,7 +345,7 @@
 		w.send(e, v.Address, func(to *entry) { w.step(to, KeysHandedOver{Handover: v.Handover}) }, ignore)
 	case Probe:
 		w.after(5*time.Millisecond, func() {
-			if e.generation == life {
+			if e.generation == generation {
 				w.step(e, Probed{Target: v.Target, OK: true})
 			}
 		})
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -112,7 +112,7 @@
 	return held
 }
 
-// Piece returns a piece of the bundles that this daemon has, for neighbours.
+// Piece returns a piece of the bundles that this daemon has, to serve peers.
 func (k *Control) Piece(d pabundle.Digest) ([]byte, bool) { return k.spread.Piece(d) }
 
 // Head returns the head in force.
