--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -19,82 +19,83 @@
 	"papayahead/paspread"
 )
 
-// Config is what a Control is made from.
+// Config configures a Control.
 type Config struct {
 	Self       pamember.Identity
 	Deployment string
-	// Random belongs to the Control.
+	// Random must not be used elsewhere afterwards.
 	Random *rand.Rand
 	// Started is when the process started.
 	Started time.Time
-	// Room is how much this entry VM itself can hold.
+	// Room limits the requests and bytes that this entry VM holds at once.
 	Room paroom.Limits
-	// TimeToLive is how long callers use a look-up's answer.
+	// TimeToLive is how long callers cache a look-up's answer.
 	TimeToLive time.Duration
-	// ListLag is the longest time that a change of the VM list takes to be seen by every reader.
+	// ListLag is the longest time until every reader of the VM list sees a change.
 	ListLag time.Duration
 }
 
-// Control is the control state of one daemon. It is made by New and used by one goroutine.
+// Control is the control state of one daemon. It is created by New and not safe for concurrent use.
 type Control struct {
 	config Config
 	member *pamember.Member
 	owner  *paowner.Owner
 	spread *paspread.Replicator
-	// booted says that the spreading has begun.
-	booted  bool
-	planner palookup.Planner
-	plan    *palookup.Plan
-	planAt  time.Time
-	blocks  *palookup.Table
+	// spreadStarted is set once the distribution of bundles has started.
+	spreadStarted bool
+	planner       palookup.Planner
+	plan          *palookup.Plan
+	nextPlan      time.Time
+	clientBlocks  *palookup.Table
 
 	head    pabundle.Head
 	bundle  *pabundle.Bundle
 	index   index
 	view    *pamember.View
 	leaving map[pabundle.TargetName]bool
-	// owned are the targets of this entry VM.
+	// owned are the targets that this entry VM owns.
 	owned map[pabundle.TargetName]bool
-	// reports is when the facts of each member of the region last changed.
+	// reports holds the stamp of each member's newest facts and when they arrived.
 	reports  map[pabundle.EntryName]report
 	stopping bool
 
-	// room is the entry VM's own account, admitted what each request holds of it.
+	// room accounts for this entry VM's own capacity, admitted holds each request's bytes in it.
 	room     paroom.Controller
 	admitted map[paowner.RequestID]int64
-	// serving is the service of each admitted request, refusals those of the last second.
-	serving  map[paowner.RequestID]pabundle.ServiceName
-	refusals map[refusalKind]int
-	// moving are the services on their way to the bundle's shares, shed the regions taken for down.
-	moving map[pabundle.ServiceName]bool
-	shed   map[shedRegion]bool
-	// behind says that the store's head was older than the one in force.
-	behind bool
+	// requestService is the service of each admitted request, refusals counts those of the last second.
+	requestService map[paowner.RequestID]pabundle.ServiceName
+	refusals       map[refusalKind]int
+	// shifting are the services whose shares still move to those of the bundle, downRegions the regions
+	// recorded as down.
+	shifting    map[pabundle.ServiceName]bool
+	downRegions map[downRegion]bool
+	// storeBehind is set while the store's head is older than the one in force.
+	storeBehind bool
 
-	limiter pashift.Limiter
-	counter pashift.Selector
-	table   *pashift.Table
-	// standingUntil is how long a neighbour's standing is taken after the first bundle.
-	standingUntil time.Time
-	rates         map[pabundle.ServiceName]*rate
-	granter       pacredit.Granter
-	holder        pacredit.Holder
-	// asked is when a granter was last asked for credits, needed when requests waited for them.
-	asked, needed map[creditKey]time.Time
-	// granted is when each granter last gave something.
-	granted map[creditKey]time.Time
-	// loads are the smoothed loads of the own region.
+	limiter  pashift.Limiter
+	selector pashift.Selector
+	table    *pashift.Table
+	// copySharesUntil is until when a peer's share states are accepted after the first bundle.
+	copySharesUntil time.Time
+	rates           map[pabundle.ServiceName]*rate
+	granter         pacredit.Granter
+	holder          pacredit.Holder
+	// askedAt is when a granter was last asked for credits, neededAt when it was for waiting requests.
+	askedAt, neededAt map[creditKey]time.Time
+	// grantedAt is when each granter last granted a credit.
+	grantedAt map[creditKey]time.Time
+	// loads are the smoothed loads of each service in this region.
 	loads map[pabundle.ServiceName]float64
-	// remotes are requests that go to another region; redeemed are those that came from one.
+	// remotes are requests that go to another region; redeemed are those from one that redeemed a credit.
 	remotes  map[paowner.RequestID]*remote
 	redeemed map[paowner.RequestID]pabundle.ServiceName
 
 	agreement agreement
-	// members is how many entry VMs of the region are agreed on.
-	members int
-	homes   map[pabundle.ServiceName][]pabundle.RegionName
-	// confirmed is the last roll-out that every entry VM was heard to have taken.
-	confirmed             pabundle.Sequence
+	// members is the number of entry VMs of the region that the agreement counts.
+	members    int
+	keyRegions map[pabundle.ServiceName][]pabundle.RegionName
+	// confirmedSequence is the last roll-out that every entry VM has advertised.
+	confirmedSequence     pabundle.Sequence
 	nextShift, nextSecond time.Time
 	ledger                paledger.Ledger
 	claims                map[paowner.RequestID]*claim
@@ -106,73 +107,73 @@
 	nextFacts time.Time
 }
 
-// report is the newest facts of a member and when they came.
+// report is the stamp of a member's newest facts and when they arrived.
 type report struct {
 	stamp uint64
 	at    time.Time
 }
 
-// New returns a Control that knows neither bundle nor peers yet.
+// New returns a Control without a bundle or peers.
 func New(c Config) (*Control, error) {
-	m, err := pamember.New(pamember.Config{Self: c.Self, Random: fork(c.Random)})
+	m, err := pamember.New(pamember.Config{Self: c.Self, Random: splitRandom(c.Random)})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	s, err := paspread.New(paspread.Config{Deployment: c.Deployment, Random: fork(c.Random), Children: pabundle.Children})
+	s, err := paspread.New(paspread.Config{Deployment: c.Deployment, Random: splitRandom(c.Random), Children: pabundle.Children})
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
 	k := &Control{
-		spread:   s,
-		config:   c,
-		member:   m,
-		admitted: map[paowner.RequestID]int64{},
-		serving:  map[paowner.RequestID]pabundle.ServiceName{},
-		refusals: map[refusalKind]int{},
-		moving:   map[pabundle.ServiceName]bool{},
-		shed:     map[shedRegion]bool{},
-		rates:    map[pabundle.ServiceName]*rate{},
-		asked:    map[creditKey]time.Time{},
-		needed:   map[creditKey]time.Time{},
-		granted:  map[creditKey]time.Time{},
-		loads:    map[pabundle.ServiceName]float64{},
-		remotes:  map[paowner.RequestID]*remote{},
-		redeemed: map[paowner.RequestID]pabundle.ServiceName{},
-		claims:   map[paowner.RequestID]*claim{},
-		adverts:  map[pabundle.EntryName]pabundle.Sequence{},
-		leaving:  map[pabundle.TargetName]bool{},
-		owned:    map[pabundle.TargetName]bool{},
-		reports:  map[pabundle.EntryName]report{},
-		changed:  true,
+		spread:         s,
+		config:         c,
+		member:         m,
+		admitted:       map[paowner.RequestID]int64{},
+		requestService: map[paowner.RequestID]pabundle.ServiceName{},
+		refusals:       map[refusalKind]int{},
+		shifting:       map[pabundle.ServiceName]bool{},
+		downRegions:    map[downRegion]bool{},
+		rates:          map[pabundle.ServiceName]*rate{},
+		askedAt:        map[creditKey]time.Time{},
+		neededAt:       map[creditKey]time.Time{},
+		grantedAt:      map[creditKey]time.Time{},
+		loads:          map[pabundle.ServiceName]float64{},
+		remotes:        map[paowner.RequestID]*remote{},
+		redeemed:       map[paowner.RequestID]pabundle.ServiceName{},
+		claims:         map[paowner.RequestID]*claim{},
+		adverts:        map[pabundle.EntryName]pabundle.Sequence{},
+		leaving:        map[pabundle.TargetName]bool{},
+		owned:          map[pabundle.TargetName]bool{},
+		reports:        map[pabundle.EntryName]report{},
+		changed:        true,
 	}
-	k.owner = paowner.New(paowner.Config{Others: k, Rand: fork(c.Random)})
+	k.owner = paowner.New(paowner.Config{Others: k, Rand: splitRandom(c.Random)})
 	k.prepareLimits()
-	// Guards against a peer that knew this entry VM's predecessor and speaks before the first VM list
-	// was read: every step finds a view, if one of this entry VM alone.
+	// After a restart, peers that know the address may send messages before the first VM list was read.
+	// A view of this entry VM alone keeps those steps from using a nil view.
 	k.view = m.View(c.Started)
 	return k, nil
 }
 
-// fork returns a source of its own, so that how often one part draws does not change another.
-func fork(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
+// splitRandom returns an independent source, so that the draws of one component don't change another's.
+func splitRandom(r *rand.Rand) *rand.Rand { return rand.New(rand.NewPCG(r.Uint64(), r.Uint64())) }
 
-// Output is what a Step decided.
+// Output is the result of a Step.
 type Output struct {
-	// Effects are to be carried out in their order.
+	// Effects must be carried out in order.
 	Effects []Effect
-	// Snapshot is what traffic reads from now on; nil if it is as before.
+	// Snapshot replaces the one that the request path reads; nil if nothing changed.
 	Snapshot *Snapshot
 }
 
-// Step takes one event. The effects are valid until the next Step.
+// Step handles one event. The effects are valid until the next Step.
 func (k *Control) Step(now time.Time, e Event) Output {
 	k.effects = k.effects[:0]
 	k.decisions = k.decisions[:0]
 	switch v := e.(type) {
 	case Tick:
 		k.tick(now)
-	case Listed:
-		k.list(now, v.VMs)
+	case VMsListed:
+		k.updateVMs(now, v.VMs)
 	case HeadFound:
 		k.compareStore(v.Head)
 		k.spreadStep(now, paspread.StoreHeadRead{Head: v.Head})
@@ -180,63 +181,64 @@
 		k.spreadStep(now, paspread.HeadReceived{Peer: v.Peer, Head: v.Head})
 	case PieceFetched:
 		k.spreadStep(now, paspread.FetchResult{From: v.From, Digest: v.Digest, Data: v.Data})
-	case PeerSaid:
+	case MemberMessage:
 		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Config.Sequence)
-		k.hear(now, pamember.Received{Message: v.Message})
+		k.stepMembership(now, pamember.Received{Message: v.Message})
 	case Offered:
 		k.offer(now, v)
 	case Ended:
-		k.end(now, v)
-	case Landed:
-		k.land(now, v.Request)
+		k.endAttempt(now, v)
+	case RequestDone:
+		k.endRequest(now, v.Request)
 	case CreditAsked:
-		k.grant(now, v)
+		k.replyGrant(now, v)
 	case CreditGranted:
-		k.takeGrant(now, v.Grant)
+		k.acceptGrant(now, v.Grant)
 	case Announced:
-		k.announced(now, v.Announcement)
+		k.handleAnnouncement(now, v.Announcement)
 	case ClaimAsked:
 		k.effects = append(k.effects, ReplyClaim{Reply: k.ledger.Claim(now, v.Claim)})
 	case Claimed:
-		k.claimed(now, v)
+		k.handleClaimReply(now, v)
 	case KeySettled:
 		k.ledger.Settle(now, v.Settlement)
-	case KeysHanded:
+	case KeysHandedOver:
 		k.ledger.AcceptHandover(now, v.Handover)
-	case StandingAsked:
-		k.tellStanding(now, v.Sequence)
-	case StandingTold:
-		k.followStanding(now, v.Standing)
-	case Measured:
+	case ShareStatesAsked:
+		k.replyShareStates(now, v.Sequence)
+	case ShareStatesReceived:
+		k.copyShareStates(now, v.States)
+	case CPUMeasured:
 		k.room.SetCPU(now, v.Busy)
 	case Probed:
 		k.decisions = k.owner.Probed(now, v.Target, v.OK, k.decisions)
 	case Draining:
-		k.leave(now, v.Target, "the target's own word")
+		k.markLeaving(now, v.Target, "the target's own word")
 	case StopAsked:
 		k.stop(now)
 	case Departed:
-		k.hear(now, pamember.FinishLeave{})
+		k.stepMembership(now, pamember.FinishLeave{})
 	}
 	k.carryOut()
 	return k.output(now)
 }
 
-// planInterval is how often look-ups get new weights. Load: rooms that change with each second's
-// traffic; the weights follow them over tens of seconds, so that a second's delay is lost in it.
+// planInterval is how often the weights of look-up answers are updated. The entry VMs' free capacity
+// changes with each second's traffic, and the weights follow it over tens of seconds, so that a delay of
+// one second does not matter.
 const planInterval = time.Second
 
 func (k *Control) tick(now time.Time) {
-	k.hear(now, pamember.Tick{})
+	k.stepMembership(now, pamember.Tick{})
 	k.spreadStep(now, paspread.Tick{})
 	k.decisions = k.owner.Tick(now, k.decisions)
 	k.tickLimits(now)
 	if !now.Before(k.nextFacts) {
-		k.tellFacts(now)
+		k.publishFacts(now)
 	}
 }
 
-func (k *Control) list(now time.Time, all []paplatform.VM) {
+func (k *Control) updateVMs(now time.Time, all []paplatform.VM) {
 	var seeds []pamember.Seed
 	k.agreement.listed = all
 	for _, v := range all {
@@ -248,24 +250,23 @@
 			continue
 		}
 		if v.State == paplatform.Leaving {
-			k.leave(now, pabundle.TargetName(v.Name), "the platform's VM list")
+			k.markLeaving(now, pabundle.TargetName(v.Name), "the platform's VM list")
 		}
 	}
-	k.hear(now, pamember.Seeds{List: seeds})
-	k.listRegion(now)
-	k.boot(now)
+	k.stepMembership(now, pamember.Seeds{List: seeds})
+	k.updateRegionList(now)
+	k.startSpread(now)
 }
 
-// leave takes a target out of service at its first sign, whichever source it comes from: each can
-// be late, lost or wrong, and a target that stays in service by mistake costs its callers more than
-// one that leaves by mistake.
-func (k *Control) leave(now time.Time, t pabundle.TargetName, source string) {
+// markLeaving takes a target out of service at the first sign from any source: each source can be late,
+// lost or wrong, and a target kept in service by mistake costs callers more than one removed by mistake.
+func (k *Control) markLeaving(now time.Time, t pabundle.TargetName, source string) {
 	if k.leaving[t] {
 		return
 	}
 	k.leaving[t] = true
 	if k.owned[t] {
-		k.note(paevent.TargetLeaving{Target: string(t), Source: source})
+		k.record(paevent.TargetLeaving{Target: string(t), Source: source})
 		k.decisions = k.owner.MarkLeaving(now, t, k.decisions)
 	}
 }
@@ -276,21 +277,21 @@
 	}
 	k.stopping = true
 	k.changed = true
-	k.hear(now, pamember.Leave{})
-	k.retireKeys(now)
+	k.stepMembership(now, pamember.Leave{})
+	k.handOverKeys(now)
 }
 
-func (k *Control) note(e paevent.Event) { k.effects = append(k.effects, Note{Event: e}) }
+func (k *Control) record(e paevent.Event) { k.effects = append(k.effects, RecordEvent{Event: e}) }
 
-// output collects the effects, and the snapshot if it changed.
+// output returns the effects, and a new snapshot if the state changed or planInterval has passed.
 func (k *Control) output(now time.Time) Output {
 	out := Output{Effects: k.effects}
 	if v := k.member.View(now); v != k.view {
 		k.view = v
 		k.changed = true
 	}
-	if k.changed || !now.Before(k.planAt) {
-		k.planAt = now.Add(planInterval)
+	if k.changed || !now.Before(k.nextPlan) {
+		k.nextPlan = now.Add(planInterval)
 		k.plan = k.planner.Update(now, k.view)
 		k.changed = false
 		out.Snapshot = k.snapshot(now)
--- a/pacontrol/credit.go
+++ b/pacontrol/credit.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// creditAgain is the pause between asks of one granter for one service.
-	creditAgain = 100 * time.Millisecond
-	// neededAgain is that pause while requests wait: a round trip between regions with some room. Harm of
-	// more: a request asks only once or twice before its wait ends, while its turn may keep a slot free.
-	neededAgain = 50 * time.Millisecond
-	// creditAhead is the time of demand that credits are asked for; under the term of a credit, so
-	// that what is granted is used.
-	creditAhead = time.Second
-	// mostCredits bounds one ask. Harm of more: one source holds slots that others could use.
-	mostCredits = 32
+	// aheadAskInterval is the least time between asks to one granter for one service.
+	aheadAskInterval = 100 * time.Millisecond
+	// urgentAskInterval is that time while requests wait: a round trip between regions with some margin.
+	// With more, only one or two asks are made before a request's wait ends, and a slot may stay free.
+	urgentAskInterval = 50 * time.Millisecond
+	// creditHorizon is how much future demand credits are asked for; it is shorter than a credit's term,
+	// so that granted credits are used.
+	creditHorizon = time.Second
+	// maxCreditsPerAsk bounds one ask. With more, one source holds slots that others could use.
+	maxCreditsPerAsk = 32
 )
 
-// creditKey names one granter's credits for one service.
+// creditKey identifies one granter's credits for one service.
 type creditKey struct {
 	granter pabundle.EntryName
 	service pabundle.ServiceName
 }
 
-// encodeCredit writes a credit as the token that travels with a forwarded request.
+// encodeCredit encodes a credit as the token sent with a forwarded request.
 func encodeCredit(r pacredit.CreditRef) string {
 	b, err := proto.Marshal(r.Wire())
 	if err != nil {
-		panic("pacontrol: a credit cannot be written: " + err.Error())
+		panic("pacontrol: cannot encode a credit: " + err.Error())
 	}
 	return base64.RawStdEncoding.EncodeToString(b)
 }
@@ -57,8 +57,8 @@
 	return r, err == nil
 }
 
-// offerForwarded takes a request that another entry VM forwarded here. One of another region has to
-// redeem a credit: without it, sources that do not know of each other would overload this region.
+// offerForwarded handles a request that another entry VM forwarded here. One from another region must
+// redeem a credit, since sources that do not coordinate could otherwise overload this region.
 func (k *Control) offerForwarded(now time.Time, v Offered) {
 	m, known := k.view.Find(v.Origin)
 	if known && m.Region == k.config.Self.Region {
@@ -69,20 +69,20 @@
 	v.Request.Origin = paowner.Remote
 	r, ok := decodeCredit(v.Credit)
 	if !ok || r.Service != v.Request.Service || r.Source.Name != v.Origin {
-		k.refuse(v.Request.ID, "CreditMissing", k.jitter(remoteComeBack))
+		k.refuse(v.Request.ID, "CreditMissing", k.jitter(remoteRetryAfter))
 		return
 	}
 	k.setLoad(now, r.Service)
 	if got := k.granter.Redeem(now, r); got != pacredit.Start {
-		k.refuse(v.Request.ID, "Credit"+got.String(), k.jitter(remoteComeBack))
+		k.refuse(v.Request.ID, "Credit"+got.String(), k.jitter(remoteRetryAfter))
 		return
 	}
 	k.redeemed[v.Request.ID] = r.Service
 	k.decisions = k.owner.Offer(now, v.Request, k.decisions)
 }
 
-// grant answers another entry VM's ask for credits.
-func (k *Control) grant(now time.Time, v CreditAsked) {
+// replyGrant answers another entry VM's ask for credits.
+func (k *Control) replyGrant(now time.Time, v CreditAsked) {
 	if k.bundle != nil && !k.stopping {
 		for _, x := range v.Ask.Items {
 			k.setLoad(now, x.Service)
@@ -95,9 +95,9 @@
 	k.effects = append(k.effects, ReplyGrant{Grant: ask(now, v.Ask)})
 }
 
-// setLoad tells the granter what it has to give: the usable slots without the policy's reserve.
-// Load: every other region spills into this one at once. Harm prevented: a region that has given
-// its last slot away cannot take its own callers' next burst.
+// setLoad updates the granter's capacity: the usable slots without the policy's reserve. When all other
+// regions shift traffic here at once, a region that has granted its last slot could not serve its own
+// callers' next burst.
 func (k *Control) setLoad(now time.Time, s pabundle.ServiceName) {
 	reserve := k.bundle.Policy.Reserve
 	if k.bundle.Policy.First == pabundle.HeadroomFirst {
@@ -113,20 +113,20 @@
 	})
 }
 
-// takeGrant takes the answer to an ask and offers what came to the requests that wait.
-func (k *Control) takeGrant(now time.Time, g pacredit.Grant) {
+// acceptGrant stores the credits of an answer and forwards waiting requests with them.
+func (k *Control) acceptGrant(now time.Time, g pacredit.Grant) {
 	switch {
 	case k.holder.Accept(now, g):
 		for _, x := range g.Items {
-			k.granted[creditKey{g.Granter.Name, x.Service}] = now
+			k.grantedAt[creditKey{g.Granter.Name, x.Service}] = now
 		}
 	case len(g.Items) > 0:
-		k.note(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they came after their term, twice or unasked"})
+		k.record(paevent.CreditsVoided{Granter: string(g.Granter.Name), Reason: "they arrived after their term, twice or without an ask"})
 	}
 	k.placeWaiting(now)
 }
 
-// askCredits keeps credits at hand for the shares that go to other regions.
+// askCredits asks ahead for the credits that the shares to other regions need.
 func (k *Control) askCredits(now time.Time) {
 	here := k.config.Self.Region
 	for _, s := range k.bundle.Services {
@@ -136,52 +136,51 @@
 		}
 		for _, x := range k.table.ShareState(s.Name).Shares {
 			if x.From == here && x.To != here && x.Share > 0 {
-				k.askRegion(now, s.Name, x.To, r.perSecond*x.Share*creditAhead.Seconds())
+				k.askRegion(now, s.Name, x.To, r.perSecond*x.Share*creditHorizon.Seconds())
 			}
 		}
 	}
 }
 
-// ahead is how many credits cover a demand with its bursts. Load: a shift at sixty requests a second
-// over a few sources and small owners, where each source expects one or two requests in a credit's
-// term. Harm prevented: a burst of three waits for credits until it is refused. Two deviations of a
-// Poisson process and one more; unused ones are free again after their term.
-func ahead(need float64) int { return int(math.Ceil(need+2*math.Sqrt(need))) + 1 }
+// creditsFor returns how many credits cover an expected number of requests including bursts: two standard
+// deviations of a Poisson process above the mean, and one more. In a shift of sixty requests a second over
+// a few sources and small owners, each source expects one or two requests in a credit's term; without the
+// margin a burst of three waits for credits until it is refused. Unused credits expire after their term.
+func creditsFor(need float64) int { return int(math.Ceil(need+2*math.Sqrt(need))) + 1 }
 
-// askRegion asks the entry VMs of a region for credits ahead of requests, up to what is needed beyond
-// those held.
+// askRegion asks the entry VMs of a region for credits ahead of requests: those needed beyond those held.
 func (k *Control) askRegion(now time.Time, s pabundle.ServiceName, region pabundle.RegionName, need float64) {
 	alive := k.live(region)
 	for _, m := range k.view.Members {
-		if m.Region != region || !m.Live() || now.Sub(k.asked[creditKey{m.Name, s}]) < creditAgain {
+		if m.Region != region || !m.Live() || now.Sub(k.askedAt[creditKey{m.Name, s}]) < aheadAskInterval {
 			continue
 		}
-		if want := min(mostCredits, ahead(need/float64(alive))) - k.holder.Held(now, m.Name, s); want > 0 {
+		if want := min(maxCreditsPerAsk, creditsFor(need/float64(alive))) - k.holder.Held(now, m.Name, s); want > 0 {
 			k.askCredit(now, m, s, want, true)
 		}
 	}
 }
 
-// askNow asks the entry VMs of a region for credits for the requests that wait for one.
-func (k *Control) askNow(now time.Time, s pabundle.ServiceName, region pabundle.RegionName) {
+// askUrgent asks the entry VMs of a region for credits for the requests that wait for one.
+func (k *Control) askUrgent(now time.Time, s pabundle.ServiceName, region pabundle.RegionName) {
 	alive, waiting := k.live(region), 0
 	for _, m := range k.view.Members {
-		if m.Region != region || !m.Live() || now.Sub(k.needed[creditKey{m.Name, s}]) < neededAgain {
+		if m.Region != region || !m.Live() || now.Sub(k.neededAt[creditKey{m.Name, s}]) < urgentAskInterval {
 			continue
 		}
 		if waiting == 0 {
 			waiting = k.waiting(s, region)
 		}
-		k.needed[creditKey{m.Name, s}] = now
-		k.askCredit(now, m, s, min(mostCredits, ahead(float64(waiting)/float64(alive))), false)
+		k.neededAt[creditKey{m.Name, s}] = now
+		k.askCredit(now, m, s, min(maxCreditsPerAsk, creditsFor(float64(waiting)/float64(alive))), false)
 	}
 }
 
-// waiting counts the requests that wait for a credit of a region.
+// waiting returns the number of requests that wait for a credit of a region.
 func (k *Control) waiting(s pabundle.ServiceName, region pabundle.RegionName) int {
 	n := 0
 	for _, f := range k.remotes {
-		if !f.running && f.region == region && f.offered.Request.Service == s {
+		if !f.running && f.region == region && f.offer.Request.Service == s {
 			n++
 		}
 	}
@@ -189,7 +188,7 @@
 }
 
 func (k *Control) askCredit(now time.Time, m pamember.MemberView, s pabundle.ServiceName, want int, ahead bool) {
-	k.asked[creditKey{m.Name, s}] = now
+	k.askedAt[creditKey{m.Name, s}] = now
 	k.effects = append(k.effects, AskCredit{
 		Address: m.PeerAddress,
 		Ask:     k.holder.Ask(now, m.Name, []pacredit.Item{{Service: s, Count: want}}),
--- a/pacontrol/effect.go
+++ b/pacontrol/effect.go
@@ -15,10 +15,10 @@
 	"papayahead/paview"
 )
 
-// Effect is something that the daemon has to carry out.
+// Effect is an action that the daemon carries out.
 type Effect interface{ effect() }
 
-// Start sends a request to an own target; Ended reports the attempt's end.
+// Start sends a request to a target that this entry VM owns; Ended reports the attempt's end.
 type Start struct {
 	Request     paowner.RequestID
 	Attempt     int
@@ -37,15 +37,15 @@
 	Incarnation uint64
 	// Credit is the encoded credit that the request redeems there; empty within a region.
 	Credit string
-	// Patience goes with the request: the wait here, which the other owner has to undercut.
-	Patience time.Duration
+	// MaxWait goes with the request: the wait here, which the other owner has to undercut.
+	MaxWait time.Duration
 }
 
 // Refuse is the final answer to a request that did not run.
 type Refuse struct {
-	Request  paowner.RequestID
-	Reason   string
-	ComeBack time.Duration
+	Request    paowner.RequestID
+	Reason     string
+	RetryAfter time.Duration
 }
 
 // Fail is the final answer to a request that may have run.
@@ -60,22 +60,23 @@
 	Outcome paledger.Outcome
 	Reason  string
 	// Status is the HTTP status of the answer that an earlier copy got.
-	Status   int
-	ComeBack time.Duration
+	Status     int
+	RetryAfter time.Duration
 }
 
 // AskCredit asks an entry VM of another region for credits; CreditGranted reports the answer.
 type AskCredit struct {
 	Address netip.AddrPort
 	Ask     pacredit.Ask
-	// Ahead says that no request waits for them yet.
+	// Ahead is set if no request waits for the credits yet.
 	Ahead bool
 }
 
 // ReplyGrant answers a CreditAsked.
 type ReplyGrant struct{ Grant pacredit.Grant }
 
-// Announce tells an entry VM of the region who counts; its answer comes back as Announced.
+// Announce sends this entry VM's view of the member set to another of the region; Announced reports the
+// answer.
 type Announce struct {
 	Address      netip.AddrPort
 	Announcement paview.Announcement
@@ -84,7 +85,7 @@
 // ReplyAnnounce answers an Announced.
 type ReplyAnnounce struct{ Announcement paview.Announcement }
 
-// ClaimKey asks a keeper whether a request may run; Claimed reports the answer.
+// ClaimKey asks the keeper of an idempotency key whether a request may run; Claimed reports the answer.
 type ClaimKey struct {
 	Request paowner.RequestID
 	Address netip.AddrPort
@@ -94,14 +95,14 @@
 // ReplyClaim answers a ClaimAsked.
 type ReplyClaim struct{ Reply paledger.Reply }
 
-// SettleKey tells a keeper how a granted copy ended.
+// SettleKey tells a keeper how a request that it granted ended.
 type SettleKey struct {
 	Address    netip.AddrPort
 	Settlement paledger.Settlement
 }
 
-// HandKeys gives a part of this keeper's memory to a successor.
-type HandKeys struct {
+// HandOverKeys sends a part of this keeper's ledger to a successor.
+type HandOverKeys struct {
 	Address  netip.AddrPort
 	Handover paledger.Handover
 }
@@ -109,7 +110,7 @@
 // Send hands a membership message to the network.
 type Send struct{ Envelope pamember.Envelope }
 
-// Probe asks a target for a sign of life over a new connection; Probed reports its end.
+// Probe checks a target's health over a new connection; Probed reports the result.
 type Probe struct {
 	Target  pabundle.TargetName
 	Address netip.AddrPort
@@ -118,7 +119,7 @@
 // CloseConnections closes the connections to a target that carry no request.
 type CloseConnections struct{ Address netip.AddrPort }
 
-// OfferHead tells a peer the own head; HeadOffered reports the peer's.
+// OfferHead sends this daemon's head to a peer; HeadOffered reports the peer's.
 type OfferHead struct {
 	To      pabundle.EntryName
 	Address netip.AddrPort
@@ -132,8 +133,8 @@
 	Digest  pabundle.Digest
 }
 
-// Note records an event.
-type Note struct{ Event paevent.Event }
+// RecordEvent records an event.
+type RecordEvent struct{ Event paevent.Event }
 
 func (Start) effect()            {}
 func (Forward) effect()          {}
@@ -147,10 +148,10 @@
 func (ClaimKey) effect()         {}
 func (ReplyClaim) effect()       {}
 func (SettleKey) effect()        {}
-func (HandKeys) effect()         {}
+func (HandOverKeys) effect()     {}
 func (Send) effect()             {}
 func (Probe) effect()            {}
 func (CloseConnections) effect() {}
 func (OfferHead) effect()        {}
 func (FetchPiece) effect()       {}
-func (Note) effect()             {}
+func (RecordEvent) effect()      {}
--- a/pacontrol/fuzz_test.go
+++ b/pacontrol/fuzz_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same verdict on every run; longer runs by hand give their own seed and number of checks.
+	// A fixed seed makes runs repeatable; flags override it and the number of checks.
 	for name, value := range map[string]string{"rapid.seed": "2026", "rapid.checks": "40"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			if err := f.Value.Set(value); err != nil {
@@ -25,31 +25,32 @@
 	m.Run()
 }
 
-// faults is how long the world is made to fail, rest how long it then has for all to end.
+// settleTime is the time to start up, faultTime how long faults are injected, recoveryTime how long
+// requests then have to end.
 const (
-	settle = 14 * time.Second
-	faults = 10 * time.Second
-	rest   = 4 * time.Second
+	settleTime   = 14 * time.Second
+	faultTime    = 10 * time.Second
+	recoveryTime = 4 * time.Second
 )
 
-// Whatever happens to four entry VMs (crashes, freezes, cuts, late, lost and repeated messages, a
-// caller that sends each key by two entry VMs at once), a key runs at most once, a sequence never
-// falls, no request is left without an end, and once all is quiet the region serves again.
+// Under crashes, freezes, network partitions, late, lost and duplicated messages, and copies of each key
+// sent through two of four entry VMs, a key runs at most once, a sequence never decreases, every
+// request ends, and each entry VM serves again after the faults.
 func TestWholeControlUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossy"))
-		w.run(settle)
-		plan(t, w)
-		w.run(faults)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]float64{0, 0.02, 0.1}).Draw(t, "lossy"))
+		w.run(settleTime)
+		scheduleFaults(t, w)
+		w.run(faultTime)
 		clear(w.cuts)
-		w.run(rest)
-		for key, n := range w.ran {
+		w.run(recoveryTime)
+		for key, n := range w.keyRuns {
 			if n > 1 {
 				t.Fatalf("key %s ran %d times", key, n)
 			}
 		}
 		for _, r := range w.requests {
-			if !r.ended && r.entry.life == r.life {
+			if !r.ended && r.entry.generation == r.generation {
 				t.Fatalf("request %d of %s has no end", r.id, r.entry.self.Name)
 			}
 		}
@@ -58,14 +59,14 @@
 				t.Fatalf("target %s still runs %d", name, n)
 			}
 		}
-		served(t, w)
+		checkServing(t, w)
 	})
 }
 
-// plan spreads offers and faults over the time of the faults.
-func plan(t *rapid.T, w *world) {
+// scheduleFaults schedules requests and faults at random times within faultTime.
+func scheduleFaults(t *rapid.T, w *simulation) {
 	for i := range 60 {
-		at := time.Duration(rapid.IntRange(0, int(faults/time.Millisecond)).Draw(t, "at")) * time.Millisecond
+		at := time.Duration(rapid.IntRange(0, int(faultTime/time.Millisecond)).Draw(t, "at")) * time.Millisecond
 		n := rapid.IntRange(0, 3).Draw(t, "entry")
 		keyed := rapid.Bool().Draw(t, "keyed")
 		second := rapid.IntRange(0, 3).Draw(t, "second")
@@ -81,16 +82,16 @@
 		})
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "faults") {
-		at := time.Duration(rapid.IntRange(0, int(faults/time.Millisecond)).Draw(t, "fault at")) * time.Millisecond
+		at := time.Duration(rapid.IntRange(0, int(faultTime/time.Millisecond)).Draw(t, "fault at")) * time.Millisecond
 		n := rapid.IntRange(0, 3).Draw(t, "victim")
 		other := rapid.IntRange(0, 3).Draw(t, "other")
 		span := time.Duration(rapid.IntRange(100, 6000).Draw(t, "span")) * time.Millisecond
 		kind := rapid.SampledFrom([]string{"crash", "freeze", "cut", "cut one way"}).Draw(t, "kind")
-		w.after(at, func() { w.fail(kind, n, other, span) })
+		w.after(at, func() { w.injectFault(kind, n, other, span) })
 	}
 }
 
-func (w *world) fail(kind string, n, other int, span time.Duration) {
+func (w *simulation) injectFault(kind string, n, other int, span time.Duration) {
 	switch kind {
 	case "crash":
 		w.crash(n)
@@ -108,9 +109,9 @@
 	}
 }
 
-// served checks that each entry VM answers again when nothing fails any more.
-func served(t *rapid.T, w *world) {
-	w.lossy = 0
+// checkServing checks that each entry VM answers again after the faults.
+func checkServing(t *rapid.T, w *simulation) {
+	w.lossRate = 0
 	w.run(15 * time.Second)
 	for n := range w.entries {
 		before := len(w.requests)
@@ -122,11 +123,11 @@
 	}
 }
 
-// At full load, with no fault but late messages, no target ever runs more than its slots.
+// At full load, with late messages as the only fault, no target runs more requests than it has slots.
 func TestSlotsHoldUnderLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 0)
-		w.run(settle)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 0)
+		w.run(settleTime)
 		for range 400 {
 			n := rapid.IntRange(0, 3).Draw(t, "entry")
 			w.after(time.Duration(rapid.IntRange(0, 2000).Draw(t, "at"))*time.Millisecond, func() { w.offer(n, "", time.Time{}) })
@@ -140,12 +141,12 @@
 	})
 }
 
-// The west is down and its callers have moved east step by step under the cap, when an entry VM of the
-// west's neighbour restarts. It knows only the schedule, which sends all of east's callers to the east;
-// a failover of the east itself is what its neighbours know. It must stand where they stand.
-func TestARestartedDaemonStandsWhereItsNeighbourStands(t *testing.T) {
-	w := newWorld(1, 0)
-	w.run(settle)
+// All targets of the east drain and its shares move west under the cap, when one of its entry VMs
+// restarts. It knows only the schedule, which sends all of the east's callers to the east, and must take
+// over the shares of its peer, which has followed the failover.
+func TestRestartedDaemonAdoptsThePeersShares(t *testing.T) {
+	w := newSimulation(1, 0)
+	w.run(settleTime)
 	// No target of the east takes work any more: its shares leave it under the cap.
 	for _, e := range w.entries[:2] {
 		for _, g := range w.bundle().Services[0].Targets[:2] {
@@ -160,7 +161,7 @@
 	w.crash(1)
 	w.run(5 * time.Second)
 	if got := shareOf(w.entries[1], "east", "west"); got < stands {
-		t.Errorf("the restarted daemon sends %v of east's callers west, its neighbour %v", got, stands)
+		t.Errorf("the restarted daemon sends %v of east's callers west, its peer %v", got, stands)
 	}
 }
 
--- a/pacontrol/index.go
+++ b/pacontrol/index.go
@@ -4,24 +4,24 @@
 	"papayahead/pabundle"
 )
 
-// index finds the parts of a bundle by name.
+// index looks up the parts of a bundle by name.
 type index struct {
 	regions  map[pabundle.ZoneName]pabundle.RegionName
 	services map[pabundle.ServiceName]int
 	targets  map[pabundle.TargetName]pabundle.Target
-	// homes are the regions that have targets of a service.
-	homes map[pabundle.ServiceName]map[pabundle.RegionName]bool
-	// slots are the targets' slots within their regions' limits.
+	// serviceRegions are the regions that have targets of a service.
+	serviceRegions map[pabundle.ServiceName]map[pabundle.RegionName]bool
+	// slots are the targets' slots, reduced to their region's MaxInFlight.
 	slots map[pabundle.TargetName]int
 }
 
 func newIndex(b *pabundle.Bundle) index {
 	x := index{
-		regions:  map[pabundle.ZoneName]pabundle.RegionName{},
-		services: map[pabundle.ServiceName]int{},
-		targets:  map[pabundle.TargetName]pabundle.Target{},
-		slots:    map[pabundle.TargetName]int{},
-		homes:    map[pabundle.ServiceName]map[pabundle.RegionName]bool{},
+		regions:        map[pabundle.ZoneName]pabundle.RegionName{},
+		services:       map[pabundle.ServiceName]int{},
+		targets:        map[pabundle.TargetName]pabundle.Target{},
+		slots:          map[pabundle.TargetName]int{},
+		serviceRegions: map[pabundle.ServiceName]map[pabundle.RegionName]bool{},
 	}
 	for _, r := range b.Regions {
 		for _, z := range r.Zones {
@@ -30,10 +30,10 @@
 	}
 	for i, s := range b.Services {
 		x.services[s.Name] = i
-		x.homes[s.Name] = map[pabundle.RegionName]bool{}
+		x.serviceRegions[s.Name] = map[pabundle.RegionName]bool{}
 		for _, t := range s.Targets {
 			x.targets[t.Name] = t
-			x.homes[s.Name][x.regions[t.Zone]] = true
+			x.serviceRegions[s.Name][x.regions[t.Zone]] = true
 		}
 	}
 	for _, r := range b.Regions {
@@ -42,12 +42,12 @@
 	return x
 }
 
-// limitRegion spreads a region's MaxInFlight over the slots of its targets.
+// limitRegion divides a region's MaxInFlight over its targets in proportion to their slots.
 //
-// Load: a region whose targets together have more slots than the region may carry, because it
-// shares power or a database. Harm prevented: owners that each keep within their targets' slots
-// still overload the region. Each target has one owner and its part is a function of the bundle
-// alone, so the parts add up to the limit without any agreement between owners.
+// The targets of a region may have more slots together than the region can carry, for example because
+// they share power or a database; owners that each respect their targets' slots would then overload it.
+// Each target has one owner and its part depends on the bundle alone, so the parts add up to the limit
+// without coordination between owners.
 func (x *index) limitRegion(b *pabundle.Bundle, r pabundle.Region) {
 	var names []pabundle.TargetName
 	total := 0
@@ -72,12 +72,12 @@
 	}
 }
 
-// runs says whether a service has targets in a region.
-func (x *index) runs(s pabundle.ServiceName, r pabundle.RegionName) bool {
-	return x.homes[s][r]
+// hasTargets reports whether a service has targets in a region.
+func (x *index) hasTargets(s pabundle.ServiceName, r pabundle.RegionName) bool {
+	return x.serviceRegions[s][r]
 }
 
-// regionOf returns a zone's region, empty while it is not known.
+// regionOf returns a zone's region, empty if unknown.
 func (k *Control) regionOf(z pabundle.ZoneName) pabundle.RegionName {
 	if z == k.config.Self.Zone {
 		return k.config.Self.Region
--- a/pacontrol/key.go
+++ b/pacontrol/key.go
@@ -15,35 +15,35 @@
 	"papayahead/patarget"
 )
 
-// claim is a keyed request between its offer and its end.
+// claim is the state of a request with an idempotency key until the request ends.
 type claim struct {
 	offered Offered
 	id      paledger.ID
 	keeper  pabundle.EntryName
 	address netip.AddrPort
 	granted bool
-	// asked says that the keeper's answer is awaited.
-	asked bool
-	// again is when to ask the keeper anew, while another copy runs.
-	again time.Time
-	// ended is the outcome so far, once an attempt was made.
+	// awaiting is set while the keeper's answer is outstanding.
+	awaiting bool
+	// askAgainAt is when to ask the keeper again while another copy runs; zero if none is due.
+	askAgainAt time.Time
+	// attempted is set once an attempt has ended; outcome and status are the result so far.
 	attempted bool
-	// sent says that an attempt is under way.
-	sent    bool
-	outcome paledger.Outcome
-	status  int
+	// inFlight is set while an attempt is under way.
+	inFlight bool
+	outcome  paledger.Outcome
+	status   int
 }
 
-// ledgerCapacity bounds the keys that are remembered, at about 300 bytes each: 60 MB.
+// ledgerCapacity bounds the keys in the ledger, at about 300 bytes each: 60 MB.
 const ledgerCapacity = 200_000
 
-// keyComeBack is what a caller is told while a key's keeper is away or not agreed on yet.
-const keyComeBack = 2 * time.Second
+// keyRetryAfter is the retry delay given to callers while a key's keeper is unreachable or not agreed on.
+const keyRetryAfter = 2 * time.Second
 
-// claimKey asks the key's keeper whether this copy may run, before any byte can go anywhere.
+// claimKey asks the key's keeper whether this copy may run, before any byte of it is sent.
 func (k *Control) claimKey(now time.Time, v Offered) {
 	id := paledger.ID{Service: v.Request.Service, Key: v.Key}
-	home := paledger.HomeRegion(id, k.homes[v.Request.Service])
+	home := paledger.HomeRegion(id, k.keyRegions[v.Request.Service])
 	keeper := paledger.Keeper(id, k.keepers(home))
 	c := &claim{offered: v, id: id, keeper: keeper}
 	k.claims[v.Request.ID] = c
@@ -52,20 +52,20 @@
 
 // askKeeper sends the claim to the keeper, which may be this entry VM.
 func (k *Control) askKeeper(now time.Time, c *claim) {
-	c.asked = true
+	c.awaiting = true
 	v, id, keeper := c.offered, c.id, c.keeper
 	ask := paledger.Claim{
-		ID: id, Request: v.Identity, BodyDigest: v.Digest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
+		ID: id, Request: v.Identity, BodyDigest: v.BodyDigest, FirstSent: v.FirstSent, Repeat: v.Repeat, Deadline: v.Request.Deadline,
 		Claimant: paledger.Claimant{Name: k.config.Self.Name, Incarnation: uint64(k.config.Self.Incarnation)},
 		Memory:   k.keyMemory(v.Request.Service),
 	}
 	if keeper == k.config.Self.Name {
-		k.claimed(now, Claimed{Request: v.Request.ID, Reply: k.ledger.Claim(now, ask)})
+		k.handleClaimReply(now, Claimed{Request: v.Request.ID, Reply: k.ledger.Claim(now, ask)})
 		return
 	}
 	a, ok := k.peerAddress(keeper)
 	if !ok {
-		k.claimed(now, Claimed{Request: v.Request.ID, Lost: true})
+		k.handleClaimReply(now, Claimed{Request: v.Request.ID, Lost: true})
 		return
 	}
 	c.address = a
@@ -79,8 +79,9 @@
 	return 0
 }
 
-// keepers are the entry VMs that keep a region's keys: in the own region those agreed on, elsewhere
-// those of the VM list that did not say good-bye. A wrong guess is refused by whoever is asked.
+// keepers returns the entry VMs that keep a region's keys: in this region those agreed on, elsewhere
+// those of the VM list that have not announced their leaving. An entry VM that is not the keeper refuses
+// the claim.
 func (k *Control) keepers(home pabundle.RegionName) []pabundle.EntryName {
 	if home == k.config.Self.Region {
 		return k.agreement.view.Members()
@@ -99,7 +100,7 @@
 	return names
 }
 
-// peerAddress finds an entry VM by the membership, or by the VM list.
+// peerAddress returns an entry VM's address from the membership, or else from the VM list.
 func (k *Control) peerAddress(n pabundle.EntryName) (netip.AddrPort, bool) {
 	if m, ok := k.view.Find(n); ok {
 		return m.PeerAddress, true
@@ -112,19 +113,19 @@
 	return netip.AddrPort{}, false
 }
 
-// claimed acts on the keeper's answer. Only a grant lets the request go on.
-func (k *Control) claimed(now time.Time, v Claimed) {
+// handleClaimReply handles the keeper's answer. Only a grant lets the request proceed.
+func (k *Control) handleClaimReply(now time.Time, v Claimed) {
 	c := k.claims[v.Request]
-	// Failure: an answer comes twice, or after it was given up as lost. It would show as a request that
-	// is placed twice. Only the answer that is awaited counts.
-	if c == nil || !c.asked {
+	// An answer that arrives twice, or after it was reported lost, would place the request twice: only an
+	// outstanding answer counts.
+	if c == nil || !c.awaiting {
 		return
 	}
-	c.asked = false
+	c.awaiting = false
 	if v.Lost {
-		// The keeper may have granted the key. This copy does not run, and says so when it lands.
+		// The keeper may have granted the key. This copy does not run; settle reports that when it ends.
 		c.granted = c.address.IsValid()
-		k.refuse(v.Request, "KeeperLost", k.jitter(keyComeBack))
+		k.refuse(v.Request, "KeeperLost", k.jitter(keyRetryAfter))
 		return
 	}
 	r := v.Reply
@@ -133,9 +134,9 @@
 		c.granted = true
 		k.route(now, c.offered)
 	case paledger.NotRun:
-		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.RetryAfter, keyComeBack)))
+		k.refuse(v.Request, "Key"+r.Reason.String(), k.jitter(max(r.RetryAfter, keyRetryAfter)))
 	case paledger.Join:
-		k.join(now, c, r)
+		k.waitForCopy(now, c, r)
 	case paledger.Repeated:
 		k.conclude(v.Request, r.Outcome, "Repeated", r)
 	case paledger.Conflict:
@@ -145,51 +146,51 @@
 	}
 }
 
-// joinPause is how often a request that another copy stands for asks how that one ended. Load: a
-// caller that asked twice at once. Harm of more: it waits longer than it has to; of less: calls
-// that bring nothing. Runs take 20 ms and more.
-const joinPause = 50 * time.Millisecond
+// copyPollInterval is how often a request that waits for a running copy asks the keeper for its outcome,
+// as when a caller sends two copies at once. A longer interval adds to the wait; a shorter one makes
+// useless calls, since runs take 20 ms and more.
+const copyPollInterval = 50 * time.Millisecond
 
-// join lets a request wait for the end of the copy that runs, for as long as its own deadline
-// allows; the copy's end is its answer.
-func (k *Control) join(now time.Time, c *claim, r paledger.Reply) {
-	if now.Add(2 * joinPause).After(c.offered.Request.Deadline) {
+// waitForCopy lets a request wait for the copy that runs, as long as its own deadline allows; the copy's
+// outcome becomes its answer.
+func (k *Control) waitForCopy(now time.Time, c *claim, r paledger.Reply) {
+	if now.Add(2 * copyPollInterval).After(c.offered.Request.Deadline) {
 		k.conclude(c.offered.Request.ID, paledger.EndedUnknown, "CopyRuns", r)
 		return
 	}
-	c.again = now.Add(joinPause)
+	c.askAgainAt = now.Add(copyPollInterval)
 }
 
-// askAgain asks the keepers of requests that joined another copy.
-func (k *Control) askAgain(now time.Time) {
+// pollCopies asks the keepers of requests that wait for a running copy.
+func (k *Control) pollCopies(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(k.claims)) {
 		c := k.claims[id]
-		if !c.again.IsZero() && !now.Before(c.again) {
-			c.again = time.Time{}
+		if !c.askAgainAt.IsZero() && !now.Before(c.askAgainAt) {
+			c.askAgainAt = time.Time{}
 			k.askKeeper(now, c)
 		}
 	}
 }
 
 func (k *Control) conclude(id paowner.RequestID, o paledger.Outcome, reason string, r paledger.Reply) {
-	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, ComeBack: r.RetryAfter})
+	k.effects = append(k.effects, Conclude{Request: id, Outcome: o, Reason: reason, Status: r.Status, RetryAfter: r.RetryAfter})
 }
 
-// sending notes that an attempt of a request begins.
-func (k *Control) sending(id paowner.RequestID) {
+// markInFlight records that an attempt of a request starts.
+func (k *Control) markInFlight(id paowner.RequestID) {
 	if c := k.claims[id]; c != nil {
-		c.sent = true
+		c.inFlight = true
 	}
 }
 
-// learn notes how an attempt of a keyed request ended. What may have run stays so, whatever a later
-// attempt says.
-func (k *Control) learn(v Ended) {
+// recordAttempt records how an attempt of a keyed request ended. Once an attempt may have run, a later
+// attempt that did not run does not change that.
+func (k *Control) recordAttempt(v Ended) {
 	c := k.claims[v.Request]
 	if c == nil {
 		return
 	}
-	c.sent = false
+	c.inFlight = false
 	switch o := v.Result.Outcome; {
 	case o == patarget.Answered, o == patarget.Failed:
 		c.outcome, c.status = paledger.EndedAnswered, v.Status
@@ -213,9 +214,9 @@
 	}
 	s := paledger.Settlement{ID: c.id, Request: c.offered.Identity, Outcome: paledger.EndedNotRun}
 	switch {
-	case c.sent && c.outcome != paledger.EndedAnswered:
-		// Failure: the request is over while an attempt still is not. Settled as not run, the next copy
-		// would be granted, and the key run twice. What is under way may run.
+	case c.inFlight && c.outcome != paledger.EndedAnswered:
+		// The request is over while an attempt is still under way and may run. Settled as not run, the next
+		// copy would be granted and the key would run twice.
 		s.Outcome = paledger.EndedUnknown
 	case c.attempted:
 		s.Outcome, s.Status = c.outcome, c.status
@@ -227,14 +228,14 @@
 	k.effects = append(k.effects, SettleKey{Address: c.address, Settlement: s})
 }
 
-// setHomes takes the home regions of the bundle in force.
-func (k *Control) setHomes(now time.Time) {
-	k.homes = paledger.CandidateRegions(k.bundle)
-	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.homes)
+// setKeyRegions sets the candidate home regions of keys from the bundle in force.
+func (k *Control) setKeyRegions(now time.Time) {
+	k.keyRegions = paledger.CandidateRegions(k.bundle)
+	k.ledger.SetCandidateRegions(now, k.head.Sequence, k.keyRegions)
 }
 
-// retireKeys hands the memory of keys over, at the start of a graceful shutdown.
-func (k *Control) retireKeys(now time.Time) {
+// handOverKeys hands the ledger over to the other members at the start of a graceful shutdown.
+func (k *Control) handOverKeys(now time.Time) {
 	members := k.agreement.view.Members()
 	var successors []pabundle.EntryName
 	for _, n := range members {
@@ -244,15 +245,15 @@
 	}
 	keys := k.ledger.Len()
 	handed := k.ledger.Retire(now, successors)
-	k.note(paevent.LedgerHandedOver{Keys: keys, Successors: len(handed)})
+	k.record(paevent.LedgerHandedOver{Keys: keys, Successors: len(handed)})
 	for _, n := range slices.Sorted(maps.Keys(handed)) {
 		if a, ok := k.peerAddress(n); ok {
 			for _, p := range handed[n] {
-				k.effects = append(k.effects, HandKeys{Address: a, Handover: p})
+				k.effects = append(k.effects, HandOverKeys{Address: a, Handover: p})
 			}
 		}
 	}
 	k.agreement.view.Retire()
-	k.takeMembers(now)
+	k.updateMembers(now)
 	k.announceAll()
 }
--- a/pacontrol/limits.go
+++ b/pacontrol/limits.go
@@ -9,11 +9,11 @@
 	"papayahead/pashift"
 )
 
-// shiftInterval is how often shares move. Load: shifts of a tenth of the traffic in half a minute,
-// which are smooth at this pace. Harm of less: nothing gained; of more: steps that show.
+// shiftInterval is how often shares are updated. A shift of a tenth of the traffic in half a minute is
+// smooth at this interval; a shorter one gains nothing, a longer one makes visible steps.
 const shiftInterval = 200 * time.Millisecond
 
-// rate is the smoothed number of requests a second for a service, of the own region's callers.
+// rate is the smoothed number of requests a second for a service from this region's callers.
 type rate struct {
 	perSecond float64
 	count     int
@@ -27,35 +27,35 @@
 	k.limiter.Config = pashift.Config{ForwardOnly: true}
 	k.ledger.Self, k.ledger.Incarnation = self.Name, self.Incarnation
 	k.ledger.Region, k.ledger.Capacity = k.config.Self.Region, ledgerCapacity
-	k.agreement.prepare(k.config)
+	k.agreement.configure(k.config)
 }
 
 func (k *Control) adoptLimits(now time.Time) {
 	if k.table == nil {
-		k.askStanding(now)
+		k.askShareStates(now)
 	}
 	k.limiter.SetRollOut(pashift.RollOut{Bundle: k.bundle, Start: pashift.ServiceShares(k.head.Start), RolledAt: k.head.RolledAt}, now)
 	k.table = k.limiter.Step(now)
-	k.noteShifts(now)
-	k.setHomes(now)
-	k.listRegion(now)
+	k.recordShifts(now)
+	k.setKeyRegions(now)
+	k.updateRegionList(now)
 }
 
-// tickLimits moves shares, credits and agreements on.
+// tickLimits advances shares, credits, the ledger and the agreement.
 func (k *Control) tickLimits(now time.Time) {
 	if k.bundle == nil {
 		return
 	}
 	k.holder.Tick(now)
 	k.tickWaiting(now)
-	k.askAgain(now)
+	k.pollCopies(now)
 	if now.Before(k.nextShift) {
 		return
 	}
 	k.nextShift = now.Add(shiftInterval)
 	k.granter.Tick(now)
 	k.ledger.Tick(now)
-	k.agree(now)
+	k.tickAgreement(now)
 	k.observeRegions(now)
 	k.table = k.limiter.Step(now)
 	k.askCredits(now)
@@ -63,11 +63,11 @@
 		k.nextSecond = now.Add(time.Second)
 		k.room.UpdateWeight(now)
 		k.countRates()
-		k.noteSecond(now)
+		k.recordSecond(now)
 	}
 }
 
-// rateSmoothing is the weight of the last second in a rate.
+// rateSmoothing is the weight of the last second in the moving average of a rate.
 const rateSmoothing = 0.3
 
 func (k *Control) countRates() {
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -11,20 +11,20 @@
 	"papayahead/patarget"
 )
 
-// factsInterval is how often the own facts are told. Load: free slots that turn over ten times a
-// second. Harm of less: gossip that carries news nobody acts on; of more: other owners place work
-// by reports that are too old to count.
+// factsInterval is how often this entry VM publishes its facts. Free slots turn over ten times a second.
+// A shorter interval adds gossip that nobody acts on; with a longer one, other owners place requests by
+// facts too old to count.
 const factsInterval = time.Second
 
-// hear lets the membership take an event, and acts on what changed.
-func (k *Control) hear(now time.Time, e pamember.Event) {
+// stepMembership passes an event to the membership and handles the changes.
+func (k *Control) stepMembership(now time.Time, e pamember.Event) {
 	out := k.member.Step(now, e)
 	for _, m := range out.Send {
 		k.effects = append(k.effects, Send{Envelope: m})
 	}
 	moved := false
 	for _, c := range out.Changes {
-		moved = k.change(now, c) || moved
+		moved = k.applyChange(now, c) || moved
 	}
 	if v := k.member.View(now); v != k.view {
 		k.view = v
@@ -33,38 +33,38 @@
 	}
 	if moved {
 		k.setPeers(now)
-		k.assign(now)
+		k.assignTargets(now)
 	}
 }
 
-// change acts on one change of the membership and says whether targets may have moved.
-func (k *Control) change(now time.Time, c pamember.Change) bool {
+// applyChange handles one change of the membership and reports whether targets may have new owners.
+func (k *Control) applyChange(now time.Time, c pamember.Change) bool {
 	switch v := c.(type) {
 	case pamember.StateChanged:
-		k.noteMember(v)
+		k.recordMember(v)
 		return true
 	case pamember.ZoneLost:
-		k.note(paevent.ZoneLost{Zone: string(v.Zone)})
+		k.record(paevent.ZoneLost{Zone: string(v.Zone)})
 		return true
 	case pamember.ZoneFound:
-		k.note(paevent.ZoneFound{Zone: string(v.Zone)})
+		k.record(paevent.ZoneFound{Zone: string(v.Zone)})
 		return true
 	case pamember.PauseDetected:
-		k.note(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
+		k.record(paevent.Thawed{Milliseconds: v.Gap.Milliseconds()})
 		k.holder.VoidAll()
-		k.note(paevent.CreditsVoided{Reason: "this process stood still"})
+		k.record(paevent.CreditsVoided{Reason: "this process was suspended"})
 	case pamember.Refuted:
-		k.note(paevent.SuspicionRefuted{Said: v.Claimed.String()})
+		k.record(paevent.SuspicionRefuted{Said: v.Claimed.String()})
 	case pamember.NewerConfigSeen:
 		k.spreadStep(now, paspread.NewerSequenceSeen{Peer: v.From.Name, Sequence: v.Config.Sequence})
 	}
 	return false
 }
 
-// assign divides the region's targets over its live entry VMs: each has one owner, who alone sends
-// to it. Two daemons may disagree for as long as a change takes to spread; the new owner supposes
-// until then that the former owner's work still runs.
-func (k *Control) assign(now time.Time) {
+// assignTargets divides the region's targets over its live entry VMs: each has one owner, which alone
+// sends to it. Two daemons may disagree while a change spreads; until then the new owner assumes that
+// the former owner's requests still run.
+func (k *Control) assignTargets(now time.Time) {
 	if k.bundle == nil {
 		return
 	}
@@ -84,18 +84,18 @@
 			}
 			owned[t.Name] = true
 			if !k.owned[t.Name] {
-				k.note(paevent.TargetTaken{Subject: paevent.Subject{Service: string(s.Name)}, Target: string(t.Name), Join: "Orphaned"})
+				k.record(paevent.TargetTaken{Subject: paevent.Subject{Service: string(s.Name)}, Target: string(t.Name), Join: "Orphaned"})
 			}
-			mine = append(mine, k.take(s, t))
+			mine = append(mine, k.ownedTarget(s, t))
 		}
 	}
 	k.owned = owned
 	k.decisions = k.owner.SetTargets(now, mine, k.decisions)
 }
 
-// take describes a target for its owner. One that is new here is taken as orphaned: what its
-// former owner, or this VM's former process, sent to it may still run.
-func (k *Control) take(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
+// ownedTarget describes a target for its owner. A target that is new here counts as orphaned: requests
+// from its former owner, or from this VM's former process, may still run there.
+func (k *Control) ownedTarget(s *pabundle.Service, t pabundle.Target) paowner.OwnedTarget {
 	t.Slots = k.index.slots[t.Name]
 	return paowner.OwnedTarget{
 		Target: t, Service: s.Name, Connections: k.connections(t),
@@ -103,29 +103,29 @@
 	}
 }
 
-// connections is this entry VM's part of a target's connections. Only the owner connects; half are
-// left for a former owner's connections that are not closed yet.
+// connections is the number of connections that this entry VM may open to a target. Only the owner
+// connects; half of the target's limit is left for a former owner's connections that are still open.
 func (k *Control) connections(t pabundle.Target) int { return max(1, t.MaxConnections/2) }
 
-// tellFacts spreads this entry VM's free slots and room in its region.
-func (k *Control) tellFacts(now time.Time) {
+// publishFacts gossips this entry VM's slots, queue lengths and spare capacity in its region.
+func (k *Control) publishFacts(now time.Time) {
 	k.nextFacts = now.Add(factsInterval)
 	if k.bundle == nil {
 		return
 	}
 	f := pamember.LoadReport{Sequence: k.head.Sequence, Headroom: uint8(k.room.Weight() * 255)}
 	for _, s := range k.bundle.Services {
-		f.Free = append(f.Free, saturated(k.owner.FreeSlots(now, s.Name)))
-		f.Slots = append(f.Slots, saturated(k.owner.Slots(now, s.Name)))
-		f.Waiting = append(f.Waiting, saturated(k.owner.Waiting(s.Name)))
+		f.Free = append(f.Free, saturateUint8(k.owner.FreeSlots(now, s.Name)))
+		f.Slots = append(f.Slots, saturateUint8(k.owner.Slots(now, s.Name)))
+		f.Waiting = append(f.Waiting, saturateUint8(k.owner.Waiting(s.Name)))
 	}
-	k.hear(now, pamember.SetLoadReport{Report: f})
+	k.stepMembership(now, pamember.SetLoadReport{Report: f})
 }
 
-// saturated is a count as facts carry it: 255 means that or more.
-func saturated(n int) uint8 { return uint8(min(255, max(0, n))) }
+// saturateUint8 encodes a count for the facts: 255 means 255 or more.
+func saturateUint8(n int) uint8 { return uint8(min(255, max(0, n))) }
 
-// observeFacts notes when each member's facts changed, because their age decides what they count.
+// observeFacts records when each member's facts changed, because placement weighs them by age.
 func (k *Control) observeFacts(now time.Time) {
 	for _, m := range k.view.Members {
 		if r, ok := k.reports[m.Name]; !ok || r.stamp != m.Load.Stamp {
--- a/pacontrol/place.go
+++ b/pacontrol/place.go
@@ -10,15 +10,15 @@
 	"papayahead/paroom"
 )
 
-// neighbourDelay is the round trip to another entry VM of the region, by the users' figures.
-const neighbourDelay = time.Millisecond
+// peerDelay is the round trip to another entry VM of the region, according to figures from users.
+const peerDelay = time.Millisecond
 
-// offer decides on a request, in the order of what a refusal costs: this entry VM's own room, the
-// key, the region, and the targets.
+// offer admits and places a request. The checks run from the cheapest refusal to the costliest: this
+// entry VM's capacity, the key, the region, the targets.
 func (k *Control) offer(now time.Time, v Offered) {
 	id := v.Request.ID
 	if k.bundle == nil {
-		k.refuse(id, "NoBundle", noBundleComeBack)
+		k.refuse(id, "NoBundle", noBundleRetryAfter)
 		return
 	}
 	if r := k.room.Admit(now, roomClass(v), v.Request.Bytes, k.config.Random.Float64()); r.Refused {
@@ -26,7 +26,7 @@
 		return
 	}
 	k.admitted[id] = v.Request.Bytes
-	k.serving[id] = v.Request.Service
+	k.requestService[id] = v.Request.Service
 	switch {
 	case v.Origin != "":
 		k.offerForwarded(now, v)
@@ -39,10 +39,10 @@
 
 func (k *Control) refuse(id paowner.RequestID, reason string, comeBack time.Duration) {
 	k.countRefusal(id, reason)
-	k.effects = append(k.effects, Refuse{Request: id, Reason: reason, ComeBack: comeBack})
+	k.effects = append(k.effects, Refuse{Request: id, Reason: reason, RetryAfter: comeBack})
 }
 
-// longBytes is the size from which on a request counts as long work for the entry VM's room.
+// longBytes is the size from which a request counts as long in the entry VM's admission control.
 const longBytes = 1 << 20
 
 func roomClass(v Offered) paroom.Class {
@@ -58,9 +58,9 @@
 	}
 }
 
-// end takes the end of an attempt, wherever it was made.
-func (k *Control) end(now time.Time, v Ended) {
-	k.learn(v)
+// endAttempt handles the end of an attempt in this or another region.
+func (k *Control) endAttempt(now time.Time, v Ended) {
+	k.recordAttempt(v)
 	if _, ok := k.remotes[v.Request]; ok {
 		k.endRemote(now, v)
 		return
@@ -68,8 +68,8 @@
 	k.decisions = k.owner.Finish(now, v.Request, v.Result, k.decisions)
 }
 
-// land forgets a request that is over.
-func (k *Control) land(now time.Time, id paowner.RequestID) {
+// endRequest releases the state of a request that is over.
+func (k *Control) endRequest(now time.Time, id paowner.RequestID) {
 	k.decisions = k.owner.Cancel(now, id, k.decisions)
 	delete(k.remotes, id)
 	if s, ok := k.redeemed[id]; ok {
@@ -79,14 +79,14 @@
 	if b, ok := k.admitted[id]; ok {
 		k.room.Release(b)
 		delete(k.admitted, id)
-		delete(k.serving, id)
+		delete(k.requestService, id)
 	}
 	k.settle(now, id)
 }
 
-// noBundleComeBack is what a caller is told while the daemon has no bundle. A boot takes a second
-// when neighbours or the store answer.
-const noBundleComeBack = 2 * time.Second
+// noBundleRetryAfter is the retry delay given to callers while the daemon has no bundle. Loading one at
+// start takes a second when peers or the store answer.
+const noBundleRetryAfter = 2 * time.Second
 
 // Candidates implements paowner.CandidateSource with the other owners of the region.
 func (k *Control) Candidates(now time.Time, s pabundle.ServiceName, into []paplacement.Candidate) []paplacement.Candidate {
@@ -104,15 +104,15 @@
 		into = append(into, paplacement.Candidate{
 			Distance: paplacement.SameRegion, Entry: m.Name, Region: m.Region,
 			Slots: int(m.Load.Slots[n]), Free: int(m.Load.Free[n]),
-			Wait: k.waitOf(s, int(m.Load.Waiting[n]), int(m.Load.Slots[n])),
-			Age:  now.Sub(k.reports[m.Name].at), Delay: neighbourDelay,
+			Wait: k.predictWait(s, int(m.Load.Waiting[n]), int(m.Load.Slots[n])),
+			Age:  now.Sub(k.reports[m.Name].at), Delay: peerDelay,
 		})
 	}
 	return into
 }
 
-// waitOf predicts the wait at another owner from the length of its queue and its slots.
-func (k *Control) waitOf(s pabundle.ServiceName, waiting, slots int) time.Duration {
+// predictWait predicts the wait at another owner from its queue length and slots.
+func (k *Control) predictWait(s pabundle.ServiceName, waiting, slots int) time.Duration {
 	return k.owner.PredictedRun(s) * time.Duration(waiting) / time.Duration(max(1, slots))
 }
 
@@ -121,14 +121,14 @@
 	for _, d := range k.decisions {
 		switch v := d.(type) {
 		case paowner.Start:
-			k.sending(v.Request)
+			k.markInFlight(v.Request)
 			t := k.index.targets[v.Target]
 			k.effects = append(k.effects, Start{
 				Request: v.Request, Attempt: v.Attempt, Target: v.Target,
 				Address: t.Address, Connections: k.connections(t),
 			})
 		case paowner.Forward:
-			k.sending(v.Request)
+			k.markInFlight(v.Request)
 			k.effects = append(k.effects, k.forward(v))
 		case paowner.Refuse:
 			k.refuse(v.Request, v.Reason.String(), v.RetryAfter)
@@ -139,13 +139,13 @@
 		case paowner.CloseConnections:
 			k.effects = append(k.effects, CloseConnections{Address: k.index.targets[v.Target].Address})
 		case paowner.PhaseChanged:
-			k.note(paevent.TargetChanged{Subject: k.serviceOf(v.Target), Target: string(v.Target), Phase: v.Phase.String()})
+			k.record(paevent.TargetChanged{Subject: k.serviceOf(v.Target), Target: string(v.Target), Phase: v.Phase.String()})
 		}
 	}
 }
 
 func (k *Control) forward(v paowner.Forward) Forward {
-	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, Patience: v.MaxWait}
+	f := Forward{Request: v.Request, Attempt: v.Attempt, Entry: v.Entry, Region: v.Region, MaxWait: v.MaxWait}
 	if m, ok := k.view.Find(v.Entry); ok {
 		f.Address = m.PeerAddress
 		f.Incarnation = uint64(m.Incarnation)
--- a/pacontrol/snapshot.go
+++ b/pacontrol/snapshot.go
@@ -9,32 +9,32 @@
 	"papayahead/paspread"
 )
 
-// Snapshot is what traffic reads of the control state; it never changes.
+// Snapshot is the immutable part of the control state that the request path reads.
 type Snapshot struct {
 	Head pabundle.Head
 	// Bundle is nil until the first was accepted.
 	Bundle   *pabundle.Bundle
 	View     *pamember.View
 	Services map[pabundle.ServiceName]*pabundle.Service
-	// Plan answers look-ups, Blocks says which region a caller belongs to.
+	// Plan answers look-ups, Blocks maps a caller's address to its region.
 	Plan   *palookup.Plan
 	Blocks *palookup.Table
 	// Watches says that this daemon is one of those that watch the store for their zone.
 	Watches bool
 	// Stopping says that a graceful shutdown has begun.
 	Stopping bool
-	// Members is how many entry VMs of the region are agreed on; 0 is no agreement.
+	// Members is the number of agreed entry VMs of the region; 0 if there is no agreement.
 	Members int
 	// Owned is the number of targets that this entry VM owns.
 	Owned int
 	// Loads is the load of each service at this entry VM, when the snapshot was made: at most
 	// planInterval ago. It is for metrics; no decision reads it.
 	Loads map[pabundle.ServiceName]ServiceLoad
-	// Use is the largest use of one of the entry VM's own limits, 1 at the limit.
-	Use float64
+	// RoomUse is the highest utilization of the entry VM's own limits, 1 at the limit.
+	RoomUse float64
 }
 
-// ServiceLoad is how loaded one service is at one entry VM.
+// ServiceLoad is the load of one service at one entry VM.
 type ServiceLoad struct {
 	// Slots, Free and InFlight count the own targets' slots, those that a request could take now, and
 	// the requests that run there. Waiting requests wait for a slot.
@@ -53,14 +53,14 @@
 func (k *Control) snapshot(now time.Time) *Snapshot {
 	s := &Snapshot{
 		Head: k.head, Bundle: k.bundle, View: k.view, Stopping: k.stopping, Members: k.members, Owned: len(k.owned),
-		Plan: k.plan, Blocks: k.blocks, Watches: paspread.IsWatcher(k.view),
+		Plan: k.plan, Blocks: k.clientBlocks, Watches: paspread.IsWatcher(k.view),
 		Services: map[pabundle.ServiceName]*pabundle.Service{},
 	}
 	if k.bundle != nil {
 		for i := range k.bundle.Services {
 			s.Services[k.bundle.Services[i].Name] = &k.bundle.Services[i]
 		}
-		s.Loads, s.Use = k.serviceLoads(now), k.room.Usage(now).Max
+		s.Loads, s.RoomUse = k.serviceLoads(now), k.room.Usage(now).Max
 	}
 	return s
 }
@@ -112,11 +112,11 @@
 	return held
 }
 
-// Piece returns a piece of the bundles that this daemon has, for neighbours.
+// Piece returns a piece of the bundles that this daemon has, to serve peers.
 func (k *Control) Piece(d pabundle.Digest) ([]byte, bool) { return k.spread.Piece(d) }
 
 // Head returns the head in force.
 func (k *Control) Head() pabundle.Head { return k.spread.Head() }
 
-// Held returns how many requests are offered and not over.
-func (k *Control) Held() int { return len(k.admitted) }
+// InFlight returns how many requests are offered and not over.
+func (k *Control) InFlight() int { return len(k.admitted) }
--- a/paentry/control_loop.go
+++ b/paentry/control_loop.go
@@ -88,7 +88,7 @@
 // timers of membership and shares are due, five times a second; a shorter interval would make an idle
 // daemon spend more on waking up than on the work.
 func (d *Daemon) tickInterval() time.Duration {
-	if d.control.Held() > 0 {
+	if d.control.InFlight() > 0 {
 		return pacontrol.TickInterval
 	}
 	return pamember.TickInterval
@@ -132,7 +132,7 @@
 		case pacontrol.Forward:
 			d.deliver(v.Request, d.forwardPlacement(v))
 		case pacontrol.Refuse:
-			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), RetryAfter: v.ComeBack})
+			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Reason), RetryAfter: v.RetryAfter})
 			delete(d.waiting, v.Request)
 		case pacontrol.Fail:
 			d.deliver(v.Request, paproxy.Refuse{Reason: paproxy.Reason(v.Outcome.String())})
@@ -144,13 +144,13 @@
 			d.peers.askCredit(ctx, v)
 		case pacontrol.Announce:
 			d.peers.announce(ctx, v)
-		case pacontrol.AskStanding:
+		case pacontrol.AskShareStates:
 			d.peers.askStanding(ctx, v)
 		case pacontrol.ClaimKey:
 			d.peers.claim(ctx, v)
 		case pacontrol.SettleKey:
 			d.peers.settle(ctx, v)
-		case pacontrol.HandKeys:
+		case pacontrol.HandOverKeys:
 			d.peers.handOverKeys(ctx, v)
 		case pacontrol.Send:
 			d.peers.sendMember(ctx, v.Envelope)
@@ -162,7 +162,7 @@
 			d.probe(ctx, v)
 		case pacontrol.CloseConnections:
 			d.targets.CloseIdle(v.Address)
-		case pacontrol.Note:
+		case pacontrol.RecordEvent:
 			d.record(v.Event)
 		}
 	}
@@ -180,7 +180,7 @@
 
 // concludePlacement returns the final placement of a repeated request, with the outcome of its earlier copy.
 func concludePlacement(v pacontrol.Conclude) paproxy.Placement {
-	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, RetryAfter: v.ComeBack}
+	c := paproxy.Conclude{Outcome: paproxy.Unknown, Reason: paproxy.Reason(v.Reason), Status: v.Status, RetryAfter: v.RetryAfter}
 	switch v.Outcome {
 	case paledger.EndedAnswered:
 		c.Outcome = paproxy.Answered
--- a/paentry/peers.go
+++ b/paentry/peers.go
@@ -104,7 +104,7 @@
 		return
 	}
 	for _, m := range all {
-		p.daemon.post(pacontrol.PeerSaid{Message: m})
+		p.daemon.post(pacontrol.MemberMessage{Message: m})
 	}
 }
 
@@ -196,7 +196,7 @@
 // memberReplies applies a membership message and returns the messages that answer its sender.
 func (d *Daemon) memberReplies(m pamember.Message) []pamember.Message {
 	var reply []pamember.Message
-	d.stepAndReply(pacontrol.PeerSaid{Message: m}, func(e pacontrol.Effect) bool {
+	d.stepAndReply(pacontrol.MemberMessage{Message: m}, func(e pacontrol.Effect) bool {
 		s, ok := e.(pacontrol.Send)
 		if !ok || s.Envelope.Address != m.From.PeerAddress {
 			return false
--- a/paentry/placer.go
+++ b/paentry/placer.go
@@ -103,12 +103,12 @@
 			Bytes: max(0, r.Size), MaxWait: r.MaxQueueWait, Class: classOf(r), Block: blockOf(r.Caller),
 		},
 		// Unlike the caller's request ID, which a repeat may carry too, this one names a single copy.
-		Identity:  d.copyID(id),
-		Origin:    r.Origin,
-		Credit:    r.Credit,
-		FirstSent: r.FirstSent,
-		Repeat:    r.Repeat,
-		Digest:    r.Digest,
+		Identity:   d.copyID(id),
+		Origin:     r.Origin,
+		Credit:     r.Credit,
+		FirstSent:  r.FirstSent,
+		Repeat:     r.Repeat,
+		BodyDigest: r.Digest,
 	}
 	if r.Origin != "" {
 		return o
@@ -158,7 +158,7 @@
 // their slots.
 func (d *Daemon) endRequest(exchange uint64, f *pendingRequest) {
 	d.requests.Delete(exchange)
-	d.send(step{event: pacontrol.Landed{Request: f.id}, then: func([]pacontrol.Effect) {
+	d.send(step{event: pacontrol.RequestDone{Request: f.id}, then: func([]pacontrol.Effect) {
 		delete(d.waiting, f.id)
 		for {
 			select {
@@ -198,7 +198,7 @@
 
 func (d *Daemon) forwardPlacement(v pacontrol.Forward) paproxy.Placement {
 	return paproxy.Forward{
-		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, MaxQueueWait: v.Patience,
+		Entry: v.Entry, Address: v.Address, Incarnation: v.Incarnation, Credit: v.Credit, MaxQueueWait: v.MaxWait,
 		Done: func(r paproxy.Result) {
 			d.post(pacontrol.Ended{Request: v.Request, Result: attemptResult(v.Attempt, r), Status: r.Status})
 		},
--- a/paentry/platform.go
+++ b/paentry/platform.go
@@ -32,7 +32,7 @@
 		all, err := d.config.VMList.List(ctx)
 		switch {
 		case err == nil:
-			d.post(pacontrol.Listed{VMs: all})
+			d.post(pacontrol.VMsListed{VMs: all})
 			failed = false
 		case !failed && ctx.Err() == nil:
 			failed = true
