--- a/paentry/peers.go
+++ b/paentry/peers.go
@@ -88,12 +88,12 @@
 	p.startCall(ctx, controlTimeout, ignoreDrop, func(ctx context.Context) {
 		c := pawire.NewDRPCMembershipClient(p.conn(ctx, e.Address))
 		w := pamember.ToWire([]pamember.Message{e.Message})
-		w.Stamp = p.daemon.config.Recorder.Stamps.Text()
+		w.Stamp = p.daemon.config.Recorder.Stamps.NextText()
 		r, err := c.Exchange(ctx, w)
 		if err != nil {
 			return
 		}
-		p.daemon.config.Recorder.Stamps.Heard(r.GetStamp())
+		p.daemon.config.Recorder.Stamps.ReceiveText(r.GetStamp())
 		p.receiveMembers(r)
 	})
 }
@@ -183,13 +183,13 @@
 		return nil, trace.Wrap(err)
 	}
 	stamps := &s.daemon.config.Recorder.Stamps
-	stamps.Heard(w.GetStamp())
+	stamps.ReceiveText(w.GetStamp())
 	var reply []pamember.Message
 	for _, m := range all {
 		reply = append(reply, s.daemon.memberReplies(m)...)
 	}
 	answer := pamember.ToWire(reply)
-	answer.Stamp = stamps.Text()
+	answer.Stamp = stamps.NextText()
 	return answer, nil
 }
 
--- a/paevent/bundle.go
+++ b/paevent/bundle.go
@@ -42,7 +42,7 @@
 
 // Kind returns the catalogue's entry.
 func (SequenceFork) Kind() Kind {
-	return Kind{Number: 2004, Name: "SequenceFork", Level: Alarm, Text: "Two heads carry one sequence: the store lost writes. Roll out with a floor above it."}
+	return Kind{Number: 2004, Name: "SequenceFork", Level: Error, Text: "Two heads carry one sequence: the store lost writes. Roll out with a floor above it."}
 }
 
 func (SequenceFork) sealed() {}
@@ -56,7 +56,7 @@
 
 // Kind returns the catalogue's entry.
 func (StoreBehind) Kind() Kind {
-	return Kind{Number: 2005, Name: "StoreBehind", Level: Alarm, Text: "The store's head is older than the one in force: the store lost writes. Roll out with a floor above it."}
+	return Kind{Number: 2005, Name: "StoreBehind", Level: Error, Text: "The store's head is older than the one in force: the store lost writes. Roll out with a floor above it."}
 }
 
 func (StoreBehind) sealed() {}
--- a/paevent/control.go
+++ b/paevent/control.go
@@ -30,7 +30,7 @@
 
 // Kind returns the catalogue's entry.
 func (ZoneMismatch) Kind() Kind {
-	return Kind{Number: 1103, Name: "ZoneMismatch", Level: Alarm, Text: "The bundle does not know this VM's zone in this region."}
+	return Kind{Number: 1103, Name: "ZoneMismatch", Level: Error, Text: "The bundle does not know this VM's zone in this region."}
 }
 
 func (ZoneMismatch) sealed() {}
@@ -54,7 +54,7 @@
 
 // Kind returns the catalogue's entry.
 func (ZoneLost) Kind() Kind {
-	return Kind{Number: 1106, Name: "ZoneLost", Level: Alarm, Text: "There is no sign of a zone any more; its entry VMs count as unreachable."}
+	return Kind{Number: 1106, Name: "ZoneLost", Level: Error, Text: "There is no sign of a zone any more; its entry VMs count as unreachable."}
 }
 
 func (ZoneLost) sealed() {}
--- a/paevent/daemon.go
+++ b/paevent/daemon.go
@@ -46,7 +46,7 @@
 
 // Kind returns the catalogue's entry.
 func (SettingsRefused) Kind() Kind {
-	return Kind{Number: 1004, Name: "SettingsRefused", Level: Alarm, Text: "A setting is missing or wrong; the process does not start."}
+	return Kind{Number: 1004, Name: "SettingsRefused", Level: Error, Text: "A setting is missing or wrong; the process does not start."}
 }
 
 func (SettingsRefused) sealed() {}
--- a/paevent/event.go
+++ b/paevent/event.go
@@ -12,8 +12,8 @@
 	Info Level = iota
 	// Warning is a fault that the system deals with by itself.
 	Warning
-	// Alarm asks for an operator.
-	Alarm
+	// Error asks for an operator.
+	Error
 )
 
 // String returns the level's name in logs.
--- a/paevent/gate.go
+++ b/paevent/gate.go
@@ -99,7 +99,7 @@
 
 // Kind returns the catalogue's entry.
 func (ListenerFailed) Kind() Kind {
-	return Kind{Number: 8005, Name: "ListenerFailed", Level: Alarm, Text: "A port is no longer served."}
+	return Kind{Number: 8005, Name: "ListenerFailed", Level: Error, Text: "A port is no longer served."}
 }
 
 func (ListenerFailed) sealed() {}
--- a/paevent/limit.go
+++ b/paevent/limit.go
@@ -37,7 +37,7 @@
 
 // Kind returns the catalogue's entry.
 func (RegionShed) Kind() Kind {
-	return Kind{Number: 5003, Name: "RegionShed", Level: Alarm, Text: "A region is down for a service; what the cap lets no other region take yet is refused."}
+	return Kind{Number: 5003, Name: "RegionShed", Level: Error, Text: "A region is down for a service; what the cap lets no other region take yet is refused."}
 }
 
 func (RegionShed) sealed() {}
--- a/paevent/recorder.go
+++ b/paevent/recorder.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 )
 
-// DefaultRing is how many records a Recorder keeps when its configuration names no number.
+// DefaultRingSize is how many records a Recorder keeps when its configuration names no number.
 //
 // It holds the last minutes of a busy entry VM, which is what an operator asks for after a fault;
 // at about 400 bytes a record it stays under 4 MB of the 256 MB that control may use.
-const DefaultRing = 8192
+const DefaultRingSize = 8192
 
 // Record is one event of one process on the time line.
 type Record struct {
@@ -33,8 +33,8 @@
 	Log zerolog.Logger
 	// Clock stamps the events.
 	Clock Clock
-	// Ring is the number of records kept; 0 means DefaultRing.
-	Ring int
+	// RingSize is the number of records kept; 0 means DefaultRingSize.
+	RingSize int
 }
 
 // Recorder logs events and keeps the latest. It may be used from many goroutines.
@@ -52,14 +52,14 @@
 
 // NewRecorder returns a Recorder for one process.
 func NewRecorder(c RecorderConfig) *Recorder {
-	if c.Ring <= 0 {
-		c.Ring = DefaultRing
+	if c.RingSize <= 0 {
+		c.RingSize = DefaultRingSize
 	}
 	return &Recorder{
 		Stamps:  Stamper{Clock: c.Clock},
 		process: c.Process,
 		log:     c.Log,
-		ring:    make([]Record, 0, c.Ring),
+		ring:    make([]Record, 0, c.RingSize),
 		counts:  map[Number]uint64{},
 	}
 }
--- a/paevent/request.go
+++ b/paevent/request.go
@@ -86,7 +86,7 @@
 
 // Kind returns the catalogue's entry.
 func (IdentityMismatch) Kind() Kind {
-	return Kind{Number: 6006, Name: "IdentityMismatch", Level: Alarm, Text: "A target answered under another request's identity; the answer was dropped."}
+	return Kind{Number: 6006, Name: "IdentityMismatch", Level: Error, Text: "A target answered under another request's identity; the answer was dropped."}
 }
 
 func (IdentityMismatch) sealed() {}
--- a/paevent/stamp.go
+++ b/paevent/stamp.go
@@ -66,16 +66,16 @@
 	last Stamp
 }
 
-// Text returns a new stamp as it travels with a message; a nil Stamper has none.
-func (s *Stamper) Text() string {
+// NextText returns a new stamp as it travels with a message; a nil Stamper has none.
+func (s *Stamper) NextText() string {
 	if s == nil {
 		return ""
 	}
 	return s.Next().String()
 }
 
-// Heard notes the stamp that came with a message; one that is missing or malformed says nothing.
-func (s *Stamper) Heard(text string) {
+// ReceiveText notes the stamp that came with a message; one that is missing or malformed says nothing.
+func (s *Stamper) ReceiveText(text string) {
 	if s == nil || text == "" {
 		return
 	}
--- a/paevent/timeline_test.go
+++ b/paevent/timeline_test.go
@@ -42,7 +42,7 @@
 
 func TestRingKeepsTheLatest(t *testing.T) {
 	g := NewWithT(t)
-	r := NewRecorder(RecorderConfig{Process: "a", Log: zerolog.Nop(), Clock: clockwork.NewFakeClock(), Ring: 3})
+	r := NewRecorder(RecorderConfig{Process: "a", Log: zerolog.Nop(), Clock: clockwork.NewFakeClock(), RingSize: 3})
 	for i := range 5 {
 		r.Record(Stopping{InFlight: i})
 	}
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -36,7 +36,7 @@
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	set, err := pasetting.ParseEntry(given)
 	if err != nil {
-		refused := paevent.NewRecorder(paevent.RecorderConfig{Process: given["name"], Log: log, Clock: clock, Ring: 1})
+		refused := paevent.NewRecorder(paevent.RecorderConfig{Process: given["name"], Log: log, Clock: clock, RingSize: 1})
 		refused.Record(paevent.SettingsRefused{Fault: err.Error()})
 		return err
 	}
--- a/papayahead/gate.go
+++ b/papayahead/gate.go
@@ -71,7 +71,7 @@
 	log := zerolog.New(out).With().Timestamp().Logger()
 	set, err := platform.ReadSettings(path)
 	recorder := paevent.NewRecorder(paevent.RecorderConfig{
-		Process: set.Name, Clock: clock, Log: log.With().Str("Process", set.Name).Logger(), Ring: gateRing,
+		Process: set.Name, Clock: clock, Log: log.With().Str("Process", set.Name).Logger(), RingSize: gateRing,
 	})
 	if err != nil {
 		recorder.Record(paevent.SettingsRefused{Fault: err.Error()})
--- a/papayahead/log_test.go
+++ b/papayahead/log_test.go
@@ -22,7 +22,7 @@
 	defer r.Close()
 	var dropped atomic.Uint64
 	out := logWriter(w, &dropped)
-	recorder := paevent.NewRecorder(paevent.RecorderConfig{Process: "t", Clock: clockwork.NewRealClock(), Log: zerolog.New(out), Ring: 4})
+	recorder := paevent.NewRecorder(paevent.RecorderConfig{Process: "t", Clock: clockwork.NewRealClock(), Log: zerolog.New(out), RingSize: 4})
 	const lines = 4 * logLines
 	begun := time.Now()
 	for range lines {
--- a/papayahead/reload_test.go
+++ b/papayahead/reload_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	clock := clockwork.NewFakeClock()
-	recorder := paevent.NewRecorder(paevent.RecorderConfig{Process: "t", Clock: clock, Log: zerolog.Nop(), Ring: 4})
+	recorder := paevent.NewRecorder(paevent.RecorderConfig{Process: "t", Clock: clock, Log: zerolog.Nop(), RingSize: 4})
 	r := &reloader{path: path, clock: clock, gate: pagate.New(pagate.Config{Clock: clock, Network: gateNetwork{}}), recorder: recorder}
 	go r.run(t.Context(), hangup)
 	deadline := time.After(10 * time.Second)
--- a/paproxy/call.go
+++ b/paproxy/call.go
@@ -73,7 +73,7 @@
 	silence := c.peers.Clock.AfterFunc(orDefault(c.peers.AcceptTimeout, DefaultAcceptTimeout), func() { c.cancel(errSilent) })
 	defer silence.Stop()
 	open := newForwardOpen(c.x, c.to, c.id, c.peers.Self, left)
-	open.Stamp = c.peers.Stamps.Text()
+	open.Stamp = c.peers.Stamps.NextText()
 	if err := c.stream.Send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_Open{Open: open}}); err != nil {
 		return nil, peerLostError(err)
 	}
@@ -93,7 +93,7 @@
 			}
 			c.x.writeInterim(int(s.Head.GetStatus()), fromFields(s.Head.GetHeader()))
 		case *pawire.ForwardFrame_End:
-			c.peers.Stamps.Heard(s.End.GetStamp())
+			c.peers.Stamps.ReceiveText(s.End.GetStamp())
 			c.end = s.End
 			return nil, nil
 		default:
@@ -238,7 +238,7 @@
 	if err != nil {
 		return nil, peerLostError(err)
 	}
-	c.peers.Stamps.Heard(f.GetEnd().GetStamp())
+	c.peers.Stamps.ReceiveText(f.GetEnd().GetStamp())
 	return f, nil
 }
 
--- a/paproxy/owner.go
+++ b/paproxy/owner.go
@@ -74,7 +74,7 @@
 		return trace.Wrap(err)
 	}
 	open := first.GetOpen()
-	p.Stamps.Heard(open.GetStamp())
+	p.Stamps.ReceiveText(open.GetStamp())
 	x, err := exchangeFromOpen(open, p.Clock.Now())
 	if err != nil {
 		return trace.Wrap(err)
@@ -167,7 +167,7 @@
 
 func (w *peerResponder) sendEnd(e *pawire.ForwardEnd) error {
 	e.BodyTaken = w.bodyReceived.Load()
-	e.Stamp = w.stamps.Text()
+	e.Stamp = w.stamps.NextText()
 	return w.send(&pawire.ForwardFrame{Step: &pawire.ForwardFrame_End{End: e}})
 }
 
--- a/paproxy/send.go
+++ b/paproxy/send.go
@@ -148,7 +148,7 @@
 	u.Scheme, u.Host = "http", s.conn.address.String()
 	h := x.header.Clone()
 	h.Set(RequestIDHeader, string(x.request.ID))
-	if t := s.targets.Stamps.Text(); t != "" {
+	if t := s.targets.Stamps.NextText(); t != "" {
 		h.Set(StampHeader, t)
 	}
 	h.Set(AttemptHeader, strconv.Itoa(x.request.Attempt))
@@ -303,7 +303,7 @@
 		Outcome: Unknown, Fault: FaultTarget, Status: httpResp.StatusCode,
 		NewConnection: !s.conn.reused, Draining: httpResp.Header.Get(DrainingHeader) == "true",
 	}
-	s.targets.Stamps.Heard(httpResp.Header.Get(StampHeader))
+	s.targets.Stamps.ReceiveText(httpResp.Header.Get(StampHeader))
 	gotID := httpResp.Header.Get(RequestIDHeader)
 	strict := s.conn.reused && !s.targets.TrustResponseOrder
 	switch {
--- a/pastand/serve.go
+++ b/pastand/serve.go
@@ -41,8 +41,8 @@
 // serveRequest takes, sheds, runs and answers one request of the service.
 func (t *Target) serveRequest(w http.ResponseWriter, r *http.Request) {
 	if t.Recorder != nil {
-		t.Recorder.Stamps.Heard(r.Header.Get(stampHeader))
-		w.Header().Set(stampHeader, t.Recorder.Stamps.Text())
+		t.Recorder.Stamps.ReceiveText(r.Header.Get(stampHeader))
+		w.Header().Set(stampHeader, t.Recorder.Stamps.NextText())
 	}
 	j := job{identity: r.Header.Get(identityHeader), class: r.FormValue(ClassParameter)}
 	j.size, _ = strconv.ParseInt(r.URL.Query().Get(SizeParameter), 10, 64)
