--- a/paevent/gate.go
+++ b/paevent/gate.go
@@ -44,7 +44,7 @@
 	// State is Ready, Draining, Lapsed or Gone.
 	State string
 	Born  int64
-	// Revision is the store's revision of the target's latest registration.
+	// Revision is the store's revision of the latest update of the target.
 	Revision uint64
 	// ColdMilliseconds is the rest of the target's warm-up.
 	ColdMilliseconds int64
--- a/paevent/limit.go
+++ b/paevent/limit.go
@@ -30,7 +30,7 @@
 
 func (ShiftEnded) sealed() {}
 
-// RegionShed reports that a region is down for a service, and that its share of requests is refused until the
+// RegionShed reports that a region is down for a service and that its share of requests is refused until the
 // shift cap lets other regions take it.
 type RegionShed struct {
 	Subject
--- a/paevent/request.go
+++ b/paevent/request.go
@@ -73,7 +73,7 @@
 
 // Kind implements Event.
 func (ConnectionSilent) Kind() Kind {
-	return Kind{Number: 6005, Name: "ConnectionSilent", Level: Warning, Text: "A connection to a target went silent; it and similar connections were closed, and the target is not counted as failing."}
+	return Kind{Number: 6005, Name: "ConnectionSilent", Level: Warning, Text: "A connection to a target went silent; it and the target's idle connections were closed. The target is not counted as failing."}
 }
 
 func (ConnectionSilent) sealed() {}
