--- a/paoperator/change.go
+++ b/paoperator/change.go
@@ -110,7 +110,7 @@
 	case paroll.Lost:
 		return &ExitError{LostRace, errors.New("lost: " + result.Advice)}
 	case paroll.Unresolved:
-		return &ExitError{InDoubt, errors.New("not known: " + result.Advice)}
+		return &ExitError{OutcomeUnknown, errors.New("not known: " + result.Advice)}
 	default:
 		return nil
 	}
--- a/paoperator/command_test.go
+++ b/paoperator/command_test.go
@@ -35,7 +35,7 @@
 }
 
 // run returns what a command printed, its error text and its exit code.
-func (m terminal) run(operator string, arguments ...string) (string, string, Exit) {
+func (m terminal) run(operator string, arguments ...string) (string, string, ExitCode) {
 	var out bytes.Buffer
 	c := Commands{Clock: instant{clockwork.NewRealClock()}, Output: &out}
 	c.Open = func(_ string, caller paplatform.Caller) paplatform.Store { return m.store.As(caller) }
@@ -94,12 +94,12 @@
 
 	m.store.Inject(paplatform.Injection{Operation: paplatform.OperationCompareAndSwap, Effect: paplatform.LostBefore})
 	_, text, code = m.run("ana", "roll-out", string(v.Digest))
-	g.Expect(code).To(Equal(InDoubt))
+	g.Expect(code).To(Equal(OutcomeUnknown))
 	g.Expect(text).To(ContainSubstring("repeat the same command"))
 	m.store.ClearInjections()
 	m.store.Inject(paplatform.Injection{Effect: paplatform.Outage})
 	_, text, code = m.run("ana", "roll-out", string(v.Digest))
-	g.Expect(code).To(Equal(StoreDown))
+	g.Expect(code).To(Equal(StoreUnavailable))
 	g.Expect(text).To(HaveSuffix("the head is unchanged; repeat the command when the store answers again"))
 	m.store.ClearInjections()
 	out, _, _ = m.run("ana", "roll-out", string(v.Digest))
@@ -121,9 +121,9 @@
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	g.Expect(os.WriteFile(bad, []byte("{\n \"Format\": 2,\n \"Fromat\": 1}"), 0o600)).To(Succeed())
 	_, text, code = m.run("", "check", bad)
-	g.Expect(code).To(Equal(Faulty))
+	g.Expect(code).To(Equal(InvalidBundle))
 	g.Expect(strings.Split(text, "\n")).To(ContainElement(`2:12: Format: 2 given, want 1`))
 	_, _, code = m.run("ana", "propose", bad)
-	g.Expect(code).To(Equal(Faulty))
+	g.Expect(code).To(Equal(InvalidBundle))
 	g.Expect(m.store.Counts().Total()).To(BeZero())
 }
--- a/paoperator/exit.go
+++ b/paoperator/exit.go
@@ -7,29 +7,29 @@
 	"papayahead/paplatform"
 )
 
-// Exit is the code that a command ends with.
-type Exit int
+// ExitCode is the code that a command ends with.
+type ExitCode int
 
 // The exit codes.
 const (
 	// Done says that the command did what it says, or that it was done already.
-	Done Exit = 0
+	Done ExitCode = 0
 	// Refused says that the command or its input is wrong, or not allowed in this state; nothing
 	// changed.
-	Refused Exit = 1
-	// Faulty says that the bundle has faults; nothing changed.
-	Faulty Exit = 2
+	Refused ExitCode = 1
+	// InvalidBundle says that the bundle has faults; nothing changed.
+	InvalidBundle ExitCode = 2
 	// LostRace says that another operator's command came first; nothing changed.
-	LostRace Exit = 3
-	// InDoubt says that a reply was lost and what happened is not known; repeat the command.
-	InDoubt Exit = 4
-	// StoreDown says that the platform's store did not answer; the head is unchanged.
-	StoreDown Exit = 5
+	LostRace ExitCode = 3
+	// OutcomeUnknown says that a reply was lost and what happened is not known; repeat the command.
+	OutcomeUnknown ExitCode = 4
+	// StoreUnavailable says that the platform's store did not answer; the head is unchanged.
+	StoreUnavailable ExitCode = 5
 )
 
 // ExitError is a command's end with a code other than Done.
 type ExitError struct {
-	Code  Exit
+	Code  ExitCode
 	Cause error
 }
 
@@ -41,9 +41,9 @@
 		return text
 	}
 	switch e.Code {
-	case StoreDown:
+	case StoreUnavailable:
 		return text + "\nthe head is unchanged; repeat the command when the store answers again"
-	case InDoubt, LostRace:
+	case OutcomeUnknown, LostRace:
 		return text + "\nrepeat the command; what is done already is not done again"
 	default:
 		return text
@@ -67,9 +67,9 @@
 	var platform *paplatform.Error
 	switch {
 	case errors.As(err, &faults):
-		code = Faulty
+		code = InvalidBundle
 	case errors.As(err, &platform):
-		code = StoreDown
+		code = StoreUnavailable
 		if platform.Fault == paplatform.TooLarge || platform.Fault == paplatform.Invalid {
 			code = Refused
 		}
@@ -77,7 +77,7 @@
 			code = LostRace
 		}
 		if platform.Fault == paplatform.Unknown {
-			code = InDoubt
+			code = OutcomeUnknown
 		}
 	}
 	return &ExitError{code, err}
--- a/paoperator/print.go
+++ b/paoperator/print.go
@@ -19,16 +19,16 @@
 	json bool
 }
 
-// Checked is the JSON result of check.
-type Checked struct {
+// CheckResult is the JSON result of check.
+type CheckResult struct {
 	Digest                           pabundle.Digest
 	Deployment                       string
 	Regions, Zones, Services, Blocks int
 	Targets                          int
 }
 
-// Reviewed is the JSON result of review.
-type Reviewed struct {
+// ReviewResult is the JSON result of review.
+type ReviewResult struct {
 	Version paroll.Version
 	// Changes is what the version changes against the head in force.
 	Changes []pabundle.Difference
@@ -49,7 +49,7 @@
 }
 
 func (p printer) checked(b pabundle.Bundle, d pabundle.Digest) error {
-	c := Checked{Digest: d, Deployment: b.Deployment, Regions: len(b.Regions), Services: len(b.Services), Blocks: len(b.ClientBlocks)}
+	c := CheckResult{Digest: d, Deployment: b.Deployment, Regions: len(b.Regions), Services: len(b.Services), Blocks: len(b.ClientBlocks)}
 	for _, r := range b.Regions {
 		c.Zones += len(r.Zones)
 	}
@@ -72,7 +72,7 @@
 
 func (p printer) reviewed(v paroll.Version, changes []pabundle.Difference) error {
 	if p.json {
-		return p.write(Reviewed{v, changes})
+		return p.write(ReviewResult{v, changes})
 	}
 	if err := p.differences(changes); err != nil {
 		return err
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -27,7 +27,7 @@
 		Name:   "entry",
 		Usage:  "run the daemon of an entry VM",
 		Flags:  pasetting.Flags(settings),
-		Action: func(ctx context.Context, c *cli.Command) error { return runEntry(ctx, pasetting.Given(c, settings)) },
+		Action: func(ctx context.Context, c *cli.Command) error { return runEntry(ctx, pasetting.FlagValues(c, settings)) },
 	}
 }
 
--- a/pasetting/entry.go
+++ b/pasetting/entry.go
@@ -41,7 +41,7 @@
 
 // Setting is one entry of the table that a process is configured by.
 type Setting struct {
-	Flag, Variable, Usage, Allowed string
+	Flag, EnvVar, Usage, Allowed string
 	// Default is taken when nothing is given; with Required set there is none.
 	Default  string
 	Required bool
@@ -103,7 +103,7 @@
 // ParseEntry checks the given values, by flag name; the error is Faults with every fault.
 func ParseEntry(given map[string]string) (Entry, error) {
 	var e Entry
-	var faults Faults
+	var faults SettingErrors
 	for _, s := range EntrySettings() {
 		v := given[s.Flag]
 		if v == "" {
@@ -113,7 +113,7 @@
 			continue
 		}
 		if v == "" || s.parse(&e, v) != nil {
-			faults = append(faults, Fault{Flag: s.Flag, Variable: Variable(s.Flag), Given: given[s.Flag], Allowed: s.Allowed})
+			faults = append(faults, SettingError{Flag: s.Flag, EnvVar: EnvVar(s.Flag), Value: given[s.Flag], Allowed: s.Allowed})
 		}
 	}
 	if len(faults) > 0 {
@@ -126,7 +126,7 @@
 }
 
 // complete fills in what follows from other settings, and checks what only shows between them.
-func (e *Entry) complete() Faults {
+func (e *Entry) complete() SettingErrors {
 	if !e.CallersAddress.IsValid() {
 		e.CallersAddress = e.Callers
 	}
@@ -136,18 +136,18 @@
 	if e.Machines == nil {
 		e.Machines = e.Store
 	}
-	var f Faults
+	var f SettingErrors
 	for _, a := range []struct {
 		flag    string
 		address netip.AddrPort
 	}{{"callers-address", e.CallersAddress}, {"peers-address", e.PeersAddress}} {
 		if a.address.Addr().IsUnspecified() || a.address.Port() == 0 {
-			f = append(f, Fault{Flag: a.flag, Variable: Variable(a.flag), Given: a.address.String(),
+			f = append(f, SettingError{Flag: a.flag, EnvVar: EnvVar(a.flag), Value: a.address.String(),
 				Allowed: addressAllowed + " that others can reach"})
 		}
 	}
 	if e.Callers == e.Peers || e.Callers == e.Operators || e.Peers == e.Operators {
-		f = append(f, Fault{Flag: "operators", Variable: Variable("operators"), Given: e.Operators.String(),
+		f = append(f, SettingError{Flag: "operators", EnvVar: EnvVar("operators"), Value: e.Operators.String(),
 			Allowed: "three different addresses for callers, peers and operators"})
 	}
 	return f
--- a/pasetting/flag.go
+++ b/pasetting/flag.go
@@ -6,12 +6,12 @@
 	"github.com/urfave/cli/v3"
 )
 
-// VariablePrefix begins the environment variable of every setting.
-const VariablePrefix = "PAPAYAHEAD_"
+// EnvPrefix begins the environment variable of every setting.
+const EnvPrefix = "PAPAYAHEAD_"
 
-// Variable returns the environment variable of a flag.
-func Variable(flag string) string {
-	return VariablePrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
+// EnvVar returns the environment variable of a flag.
+func EnvVar(flag string) string {
+	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
 // Flags returns the command line flags of the settings. All take text: the check of the values is
@@ -23,14 +23,14 @@
 			Name:    s.Flag,
 			Usage:   s.Usage + " (" + s.Allowed + ")",
 			Value:   s.Default,
-			Sources: cli.EnvVars(Variable(s.Flag)),
+			Sources: cli.EnvVars(EnvVar(s.Flag)),
 		})
 	}
 	return flags
 }
 
-// Given collects the values of the settings from a command.
-func Given(c *cli.Command, settings []Setting) map[string]string {
+// FlagValues collects the values of the settings from a command.
+func FlagValues(c *cli.Command, settings []Setting) map[string]string {
 	given := map[string]string{}
 	for _, s := range settings {
 		given[s.Flag] = c.String(s.Flag)
--- a/pasetting/page_test.go
+++ b/pasetting/page_test.go
@@ -27,7 +27,7 @@
 		case s.Default != "":
 			value = "`" + s.Default + "`"
 		}
-		table += fmt.Sprintf("| `--%s` | `%s` | %s | %s | %s |\n", s.Flag, Variable(s.Flag), s.Usage, s.Allowed, value)
+		table += fmt.Sprintf("| `--%s` | `%s` | %s | %s | %s |\n", s.Flag, EnvVar(s.Flag), s.Usage, s.Allowed, value)
 	}
 	return table
 }
