--- a/paoperator/change.go
+++ b/paoperator/change.go
@@ -13,28 +13,29 @@
 	"papayahead/paroll"
 )
 
-// readFile reads and checks a bundle's file.
-func readFile(path string) (pabundle.Bundle, error) {
+// readBundleFile reads and validates a bundle file. A bundle that fails validation is returned with a
+// pabundle.ValidationError that lists every error.
+func readBundleFile(path string) (pabundle.Bundle, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return pabundle.Bundle{}, trace.BadParameter("%v; want a bundle's file", err)
+		return pabundle.Bundle{}, trace.BadParameter("read bundle file: %v", err)
 	}
 	defer func() { _ = f.Close() }()
 	data, err := io.ReadAll(io.LimitReader(f, pabundle.MaxFileSize+1))
 	if err != nil {
-		return pabundle.Bundle{}, trace.BadParameter("%v; want a bundle's file", err)
+		return pabundle.Bundle{}, trace.BadParameter("read bundle file: %v", err)
 	}
-	b, faults := pabundle.Check(data)
-	if len(faults) > 0 {
-		return b, trace.Wrap(&pabundle.ValidationError{Errors: faults})
+	b, errs := pabundle.Check(data)
+	if len(errs) > 0 {
+		return b, trace.Wrap(&pabundle.ValidationError{Errors: errs})
 	}
 	return b, nil
 }
 
-func (c *Commands) propose(ctx context.Context, r run) error {
-	b, err := readFile(r.command.Args().First())
+func (c *Commands) propose(ctx context.Context, r invocation) error {
+	b, err := readBundleFile(r.command.Args().First())
 	if err != nil {
-		return r.faults(err)
+		return r.reportErrors(err)
 	}
 	v, err := r.operator.Propose(ctx, b)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return r.output.version(v, "another operator reviews it: bundle review "+string(v.Digest))
 }
 
-func (c *Commands) review(ctx context.Context, r run) error {
-	d, err := r.digest(ctx)
+func (c *Commands) review(ctx context.Context, r invocation) error {
+	d, err := r.digestArgument(ctx)
 	if err != nil {
 		return err
 	}
@@ -52,15 +53,15 @@
 	if err != nil {
 		return err
 	}
-	changes, err := r.fromHead(ctx, d)
+	changes, err := r.diffFromHead(ctx, d)
 	if err != nil {
 		return err
 	}
-	return r.output.reviewed(v, changes)
+	return r.output.reviewResult(v, changes)
 }
 
-// fromHead returns what a version changes against the head in force.
-func (r run) fromHead(ctx context.Context, d pabundle.Digest) ([]pabundle.Difference, error) {
+// diffFromHead returns the differences between the head in force and a version.
+func (r invocation) diffFromHead(ctx context.Context, d pabundle.Digest) ([]pabundle.Difference, error) {
 	s, err := r.operator.Status(ctx)
 	if err != nil {
 		return nil, err
@@ -68,8 +69,8 @@
 	return r.operator.Changes(ctx, s.Head.Digest, d)
 }
 
-func (c *Commands) signOff(ctx context.Context, r run) error {
-	d, err := r.digest(ctx)
+func (c *Commands) signOff(ctx context.Context, r invocation) error {
+	d, err := r.digestArgument(ctx)
 	if err != nil {
 		return err
 	}
@@ -80,17 +81,18 @@
 	return r.output.version(v, fmt.Sprintf("roll it out while sequence %d is in force: bundle roll-out %s", v.SignOff.After, v.Digest))
 }
 
-func (c *Commands) rollOut(ctx context.Context, r run) error {
-	return c.roll(ctx, r, r.operator.RollOut)
+func (c *Commands) rollOut(ctx context.Context, r invocation) error {
+	return c.runRoll(ctx, r, r.operator.RollOut)
 }
 
-func (c *Commands) rollBack(ctx context.Context, r run) error {
-	return c.roll(ctx, r, r.operator.RollBack)
+func (c *Commands) rollBack(ctx context.Context, r invocation) error {
+	return c.runRoll(ctx, r, r.operator.RollBack)
 }
 
-// roll carries out a roll-out or roll-back and reports how it ended.
-func (c *Commands) roll(ctx context.Context, r run, do func(context.Context, paroll.Request) (paroll.Result, error)) error {
-	d, err := r.digest(ctx)
+// runRoll runs a roll-out or roll-back, prints its result and maps a lost race or an unknown outcome
+// to an exit code.
+func (c *Commands) runRoll(ctx context.Context, r invocation, do func(context.Context, paroll.Request) (paroll.Result, error)) error {
+	d, err := r.digestArgument(ctx)
 	if err != nil {
 		return err
 	}
@@ -103,14 +105,14 @@
 	if err != nil {
 		return err
 	}
-	if err := r.output.result(result); err != nil {
+	if err := r.output.rollResult(result); err != nil {
 		return err
 	}
 	switch result.Outcome {
 	case paroll.Lost:
-		return &ExitError{LostRace, errors.New("lost: " + result.Advice)}
+		return &ExitError{LostRace, errors.New("another operator changed the head first: " + result.Advice)}
 	case paroll.Unresolved:
-		return &ExitError{OutcomeUnknown, errors.New("not known: " + result.Advice)}
+		return &ExitError{OutcomeUnknown, errors.New("outcome unknown: " + result.Advice)}
 	default:
 		return nil
 	}
--- a/paoperator/command.go
+++ b/paoperator/command.go
@@ -19,23 +19,23 @@
 	"papayahead/paroll"
 )
 
-// defaultTimeout bounds a command. A roll-out is a dozen calls of milliseconds; half a minute
-// covers its repeated writes through a short outage, and then the operator wants to know.
+// defaultTimeout limits a whole command. A roll-out makes about a dozen store calls of milliseconds
+// each; 30 s leaves time to retry writes through a short outage before the failure is reported.
 const defaultTimeout = 30 * time.Second
 
-// Commands builds the operators' commands.
+// Commands builds the operators' command line.
 type Commands struct {
-	// Clock stamps what the operator does.
+	// Clock supplies the timestamps of records and the pauses between retries.
 	Clock clockwork.Clock
-	// Random jitters pauses before repeated calls.
+	// Random supplies the jitter of retry delays.
 	Random *rand.Rand
-	// Output takes the results.
+	// Output receives the results.
 	Output io.Writer
-	// Open returns the store at an address.
+	// Open returns a client of the store at an address.
 	Open func(address string, caller paplatform.Caller) paplatform.Store
 }
 
-// Command returns the command "bundle" with its sub-commands.
+// Command returns the command "bundle" with its subcommands.
 func (c *Commands) Command() *cli.Command {
 	return &cli.Command{
 		Name:  "bundle",
@@ -44,16 +44,16 @@
 			"4 a reply was lost, repeat the command; 5 the store does not answer, the head is unchanged.",
 		Flags: flags(),
 		Commands: []*cli.Command{
-			{Name: "check", ArgsUsage: "FILE", Usage: "report every fault of a bundle's file", Action: c.action(1, offline, c.check)},
-			{Name: "propose", ArgsUsage: "FILE", Usage: "put a bundle into the store for review", Action: c.action(1, named, c.propose)},
+			{Name: "check", ArgsUsage: "FILE", Usage: "report every fault of a bundle's file", Action: c.action(1, needsNothing, c.check)},
+			{Name: "propose", ArgsUsage: "FILE", Usage: "put a bundle into the store for review", Action: c.action(1, needsOperator, c.propose)},
 			{Name: "review", ArgsUsage: "DIGEST", Usage: "show what a version changes and record that you read it", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "note", Usage: "a note for the record"},
-			}, Action: c.action(1, named, c.review)},
-			{Name: "sign-off", ArgsUsage: "DIGEST", Usage: "allow the roll-out of a version on top of the head in force", Action: c.action(1, named, c.signOff)},
-			{Name: "roll-out", ArgsUsage: "DIGEST", Usage: "bring a signed-off version into force", Flags: rollFlags(), Action: c.action(1, named, c.rollOut)},
-			{Name: "roll-back", ArgsUsage: "DIGEST", Usage: "bring an earlier version into force again", Flags: rollFlags(), Action: c.action(1, named, c.rollBack)},
-			{Name: "status", Usage: "show the head in force and all versions", Action: c.action(0, online, c.status)},
-			{Name: "diff", ArgsUsage: "FROM TO", Usage: "show what changes between two bundles: each a file, a digest or head", Action: c.action(2, online, c.diff)},
+			}, Action: c.action(1, needsOperator, c.review)},
+			{Name: "sign-off", ArgsUsage: "DIGEST", Usage: "allow the roll-out of a version on top of the head in force", Action: c.action(1, needsOperator, c.signOff)},
+			{Name: "roll-out", ArgsUsage: "DIGEST", Usage: "bring a signed-off version into force", Flags: rollFlags(), Action: c.action(1, needsOperator, c.rollOut)},
+			{Name: "roll-back", ArgsUsage: "DIGEST", Usage: "bring an earlier version into force again", Flags: rollFlags(), Action: c.action(1, needsOperator, c.rollBack)},
+			{Name: "status", Usage: "show the head in force and all versions", Action: c.action(0, needsStore, c.status)},
+			{Name: "diff", ArgsUsage: "FROM TO", Usage: "show what changes between two bundles: each a file, a digest or head", Action: c.action(2, needsStore, c.diff)},
 		},
 	}
 }
@@ -75,42 +75,43 @@
 	}
 }
 
-// need says which settings a command needs.
-type need int
+// requirement is the set of settings that a command requires.
+type requirement int
 
 const (
-	offline need = iota
-	online
-	named
+	needsNothing  requirement = iota
+	needsStore                // store and deployment
+	needsOperator             // store, deployment and operator
 )
 
-// run is one command under way.
-type run struct {
+// invocation holds what one run of a command uses.
+type invocation struct {
 	command  *cli.Command
 	operator *paroll.Operator
 	output   printer
 }
 
-// action checks all settings, and says all that is wrong with them at once, before the command.
-func (c *Commands) action(arguments int, n need, do func(context.Context, run) error) cli.ActionFunc {
+// action returns an action that validates all settings, reports all problems in one error, and only
+// then runs the command.
+func (c *Commands) action(arguments int, n requirement, do func(context.Context, invocation) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
-		if problems := wrong(command, arguments, n); len(problems) > 0 {
-			return ended(trace.BadParameter("bundle %s:\n  %s", command.Name, strings.Join(problems, "\n  ")))
+		if problems := checkSettings(command, arguments, n); len(problems) > 0 {
+			return withExitCode(trace.BadParameter("bundle %s:\n  %s", command.Name, strings.Join(problems, "\n  ")))
 		}
 		ctx, cancel := context.WithTimeout(ctx, command.Duration("timeout"))
 		defer cancel()
 		name := command.String("operator")
-		r := run{command: command, output: printer{c.Output, command.String("output") == "json"}}
+		r := invocation{command: command, output: printer{c.Output, command.String("output") == "json"}}
 		r.operator = &paroll.Operator{
 			Name: name, Deployment: command.String("deployment"), Clock: c.Clock, Random: c.Random,
 			Store: c.Open(command.String("store"), paplatform.Caller("operator:"+name)),
 		}
-		return ended(do(ctx, r))
+		return withExitCode(do(ctx, r))
 	}
 }
 
-// wrong lists what is wrong with a command's settings.
-func wrong(command *cli.Command, arguments int, n need) []string {
+// checkSettings returns one message for each invalid setting of a command.
+func checkSettings(command *cli.Command, arguments int, n requirement) []string {
 	var problems []string
 	problem := func(format string, given ...any) { problems = append(problems, fmt.Sprintf(format, given...)) }
 	if command.NArg() != arguments {
@@ -122,22 +123,23 @@
 	if given := command.Duration("timeout"); given <= 0 {
 		problem("--timeout (PAPAYAHEAD_TIMEOUT): %s given, want a time above 0, such as 30s", given)
 	}
-	if n == offline {
+	if n == needsNothing {
 		return problems
 	}
-	if given := command.String("store"); !storeAddress(given) {
+	if given := command.String("store"); !isStoreAddress(given) {
 		problem("--store (PAPAYAHEAD_STORE): %q given, want http://IP:PORT", given)
 	}
 	if command.String("deployment") == "" {
 		problem("--deployment (PAPAYAHEAD_DEPLOYMENT): nothing given, want the deployment's name")
 	}
-	if n == named && command.String("operator") == "" {
+	if n == needsOperator && command.String("operator") == "" {
 		problem("--operator (PAPAYAHEAD_OPERATOR): nothing given, want your name")
 	}
 	return problems
 }
 
-func storeAddress(given string) bool {
+// isStoreAddress reports whether the value is an http or https URL whose host is a numeric IP and port.
+func isStoreAddress(given string) bool {
 	u, err := url.Parse(given)
 	if err != nil || !slices.Contains([]string{"http", "https"}, u.Scheme) {
 		return false
--- a/paoperator/command_test.go
+++ b/paoperator/command_test.go
@@ -20,16 +20,16 @@
 
 const exampleFile = "../examples/kartuli.json"
 
-// instant is a clock whose pauses are over at once.
-type instant struct{ clockwork.Clock }
+// noWaitClock is a clock whose After fires immediately, so that retries do not wait.
+type noWaitClock struct{ clockwork.Clock }
 
-func (instant) After(time.Duration) <-chan time.Time {
+func (noWaitClock) After(time.Duration) <-chan time.Time {
 	c := make(chan time.Time, 1)
 	c <- time.Time{}
 	return c
 }
 
-// terminal runs commands against one store.
+// terminal runs commands against one in-memory store.
 type terminal struct {
 	store *paplatform.MemoryStore
 }
@@ -37,7 +37,7 @@
 // run returns what a command printed, its error text and its exit code.
 func (m terminal) run(operator string, arguments ...string) (string, string, ExitCode) {
 	var out bytes.Buffer
-	c := Commands{Clock: instant{clockwork.NewRealClock()}, Output: &out}
+	c := Commands{Clock: noWaitClock{clockwork.NewRealClock()}, Output: &out}
 	c.Open = func(_ string, caller paplatform.Caller) paplatform.Store { return m.store.As(caller) }
 	root := &cli.Command{
 		Name: "papayahead", Writer: &out, ErrWriter: &out, Commands: []*cli.Command{c.Command()},
@@ -55,7 +55,7 @@
 	return out.String(), err.Error(), e.Code
 }
 
-func TestOperatorsBringABundleIntoForce(t *testing.T) {
+func TestBundleLifecycle(t *testing.T) {
 	g := NewWithT(t)
 	m := terminal{&paplatform.MemoryStore{Clock: clockwork.NewRealClock()}}
 	out, _, code := m.run("ana", "--output", "json", "propose", exampleFile)
@@ -110,7 +110,7 @@
 	g.Expect(out).To(HavePrefix("in force: sequence 3, " + short))
 }
 
-func TestWrongSettingsAreNamedAllAtOnce(t *testing.T) {
+func TestInvalidSettingsAreAllReported(t *testing.T) {
 	g := NewWithT(t)
 	m := terminal{&paplatform.MemoryStore{Clock: clockwork.NewRealClock()}}
 	_, text, code := m.run("", "--store", "store:7000", "--output", "xml", "--timeout", "0s", "propose")
--- a/paoperator/exit.go
+++ b/paoperator/exit.go
@@ -7,33 +7,34 @@
 	"papayahead/paplatform"
 )
 
-// ExitCode is the code that a command ends with.
+// ExitCode is the exit code of the process after a command.
 type ExitCode int
 
 // The exit codes.
 const (
-	// Done says that the command did what it says, or that it was done already.
+	// Done means that the command succeeded, or that its effect was already in place.
 	Done ExitCode = 0
-	// Refused says that the command or its input is wrong, or not allowed in this state; nothing
+	// Refused means that the command or its input is invalid, or not allowed in this state; nothing
 	// changed.
 	Refused ExitCode = 1
-	// InvalidBundle says that the bundle has faults; nothing changed.
+	// InvalidBundle means that the bundle failed validation; nothing changed.
 	InvalidBundle ExitCode = 2
-	// LostRace says that another operator's command came first; nothing changed.
+	// LostRace means that another operator changed the head or the version first; nothing changed.
 	LostRace ExitCode = 3
-	// OutcomeUnknown says that a reply was lost and what happened is not known; repeat the command.
+	// OutcomeUnknown means that a reply was lost, so that the command may or may not have taken
+	// effect; it is safe to repeat.
 	OutcomeUnknown ExitCode = 4
-	// StoreUnavailable says that the platform's store did not answer; the head is unchanged.
+	// StoreUnavailable means that the platform's store did not answer; the head is unchanged.
 	StoreUnavailable ExitCode = 5
 )
 
-// ExitError is a command's end with a code other than Done.
+// ExitError is the error of a command that ends with a code other than Done.
 type ExitError struct {
 	Code  ExitCode
 	Cause error
 }
 
-// Error says what went wrong and what to do next.
+// Error returns the cause and, for errors of the store, what the operator should do next.
 func (e *ExitError) Error() string {
 	text := e.Cause.Error()
 	var platform *paplatform.Error
@@ -53,20 +54,20 @@
 // Unwrap returns the cause.
 func (e *ExitError) Unwrap() error { return e.Cause }
 
-// ExitCode returns the code; urfave/cli ends the process with it.
+// ExitCode implements cli.ExitCoder.
 func (e *ExitError) ExitCode() int { return int(e.Code) }
 
-// ended gives an error its exit code.
-func ended(err error) error {
-	var done *ExitError
-	if err == nil || errors.As(err, &done) {
+// withExitCode wraps an error in an ExitError with the code that fits it; nil stays nil.
+func withExitCode(err error) error {
+	var exit *ExitError
+	if err == nil || errors.As(err, &exit) {
 		return err
 	}
 	code := Refused
-	var faults *pabundle.ValidationError
+	var invalid *pabundle.ValidationError
 	var platform *paplatform.Error
 	switch {
-	case errors.As(err, &faults):
+	case errors.As(err, &invalid):
 		code = InvalidBundle
 	case errors.As(err, &platform):
 		code = StoreUnavailable
--- a/paoperator/print.go
+++ b/paoperator/print.go
@@ -19,7 +19,7 @@
 	json bool
 }
 
-// CheckResult is the JSON result of check.
+// CheckResult is the JSON result of the check command.
 type CheckResult struct {
 	Digest                           pabundle.Digest
 	Deployment                       string
@@ -27,28 +27,27 @@
 	Targets                          int
 }
 
-// ReviewResult is the JSON result of review.
+// ReviewResult is the JSON result of the review command.
 type ReviewResult struct {
 	Version paroll.Version
-	// Changes is what the version changes against the head in force.
+	// Changes lists the differences between the head in force and the version.
 	Changes []pabundle.Difference
 }
 
-// write prints a value as JSON.
-func (p printer) write(v any) error {
+// writeJSON prints a value as indented JSON.
+func (p printer) writeJSON(v any) error {
 	e := json.NewEncoder(p.out)
 	e.SetEscapeHTML(false)
 	e.SetIndent("", "  ")
 	return trace.Wrap(e.Encode(v))
 }
 
-// lines prints text.
-func (p printer) lines(lines ...string) error {
+func (p printer) writeLines(lines ...string) error {
 	_, err := fmt.Fprintln(p.out, strings.Join(lines, "\n"))
 	return trace.Wrap(err)
 }
 
-func (p printer) checked(b pabundle.Bundle, d pabundle.Digest) error {
+func (p printer) checkResult(b pabundle.Bundle, d pabundle.Digest) error {
 	c := CheckResult{Digest: d, Deployment: b.Deployment, Regions: len(b.Regions), Services: len(b.Services), Blocks: len(b.ClientBlocks)}
 	for _, r := range b.Regions {
 		c.Zones += len(r.Zones)
@@ -57,22 +56,22 @@
 		c.Targets += len(s.Targets)
 	}
 	if p.json {
-		return p.write(c)
+		return p.writeJSON(c)
 	}
-	return p.lines("no faults, digest "+string(d),
+	return p.writeLines("bundle is valid, digest "+string(d),
 		fmt.Sprintf("%s: regions %d, zones %d, services %d, targets %d, client blocks %d", c.Deployment, c.Regions, c.Zones, c.Services, c.Targets, c.Blocks))
 }
 
 func (p printer) version(v paroll.Version, next string) error {
 	if p.json {
-		return p.write(v)
+		return p.writeJSON(v)
 	}
-	return p.lines(describe(v), "next: "+next)
+	return p.writeLines(describe(v), "next: "+next)
 }
 
-func (p printer) reviewed(v paroll.Version, changes []pabundle.Difference) error {
+func (p printer) reviewResult(v paroll.Version, changes []pabundle.Difference) error {
 	if p.json {
-		return p.write(ReviewResult{v, changes})
+		return p.writeJSON(ReviewResult{v, changes})
 	}
 	if err := p.differences(changes); err != nil {
 		return err
@@ -80,19 +79,19 @@
 	return p.version(v, "if all of this is meant: bundle sign-off "+string(v.Digest))
 }
 
-func (p printer) result(r paroll.Result) error {
+func (p printer) rollResult(r paroll.Result) error {
 	if p.json {
-		return p.write(r)
+		return p.writeJSON(r)
 	}
 	if r.Outcome != paroll.Won && r.Outcome != paroll.AlreadyInForce {
 		return nil
 	}
-	return p.lines(fmt.Sprintf("%s: sequence %d is %s, by %s", r.Outcome, r.Head.Sequence, r.Head.Digest, r.Head.Operator), "next: "+r.Advice)
+	return p.writeLines(fmt.Sprintf("%s: sequence %d is %s, by %s", r.Outcome, r.Head.Sequence, r.Head.Digest, r.Head.Operator), "next: "+r.Advice)
 }
 
 func (p printer) status(s paroll.Status) error {
 	if p.json {
-		return p.write(s)
+		return p.writeJSON(s)
 	}
 	lines := []string{"nothing is in force yet"}
 	if h := s.Head; h.Sequence > 0 {
@@ -101,25 +100,25 @@
 	for _, v := range s.Versions {
 		lines = append(lines, describe(v))
 	}
-	return p.lines(lines...)
+	return p.writeLines(lines...)
 }
 
-func (p printer) differences(all []pabundle.Difference) error {
+func (p printer) differences(ds []pabundle.Difference) error {
 	if p.json {
-		return p.write(all)
+		return p.writeJSON(ds)
 	}
-	if len(all) == 0 {
-		return p.lines("no difference")
+	if len(ds) == 0 {
+		return p.writeLines("no difference")
 	}
-	for _, d := range all {
-		if err := p.lines(d.String()); err != nil {
+	for _, d := range ds {
+		if err := p.writeLines(d.String()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// describe returns a version as one line.
+// describe formats a version and its history as one line.
 func describe(v paroll.Version) string {
 	line := fmt.Sprintf("%s %s, proposed by %s at %s", v.Digest, v.State, v.Proposer, v.ProposedAt.Format(time.RFC3339))
 	for _, r := range v.Reviews {
--- a/paoperator/show.go
+++ b/paoperator/show.go
@@ -11,35 +11,36 @@
 	"papayahead/pabundle"
 )
 
-// headArgument names the bundle in force where a bundle is asked for.
+// headArgument is the command argument that stands for the bundle in force.
 const headArgument = "head"
 
-// minDigits is the fewest digits that may stand for a digest: enough that a slip of the hand meets
-// another version less than once in four thousand million.
-const minDigits = 8
+// minDigestPrefix is the minimum length of an abbreviated digest: with 8 hexadecimal digits a mistyped
+// prefix matches another version with a chance below 1 in 4 billion.
+const minDigestPrefix = 8
 
-func (c *Commands) check(_ context.Context, r run) error {
-	b, err := readFile(r.command.Args().First())
+func (c *Commands) check(_ context.Context, r invocation) error {
+	b, err := readBundleFile(r.command.Args().First())
 	if err != nil {
-		return r.faults(err)
+		return r.reportErrors(err)
 	}
 	d, err := b.Digest()
 	if err != nil {
 		return err
 	}
-	return r.output.checked(b, d)
+	return r.output.checkResult(b, d)
 }
 
-// faults prints a bundle's faults as JSON if that is asked for; the text is in the error.
-func (r run) faults(err error) error {
+// reportErrors prints validation errors as JSON if the output is JSON, and returns err; its text lists
+// the same errors.
+func (r invocation) reportErrors(err error) error {
 	var e *pabundle.ValidationError
 	if errors.As(err, &e) && r.output.json {
-		return errors.Join(err, r.output.write(e))
+		return errors.Join(err, r.output.writeJSON(e))
 	}
 	return err
 }
 
-func (c *Commands) status(ctx context.Context, r run) error {
+func (c *Commands) status(ctx context.Context, r invocation) error {
 	s, err := r.operator.Status(ctx)
 	if err != nil {
 		return err
@@ -47,37 +48,37 @@
 	return r.output.status(s)
 }
 
-func (c *Commands) diff(ctx context.Context, r run) error {
+func (c *Commands) diff(ctx context.Context, r invocation) error {
 	from, to := r.command.Args().Get(0), r.command.Args().Get(1)
 	if isFile(from) || isFile(to) {
 		return r.diffFiles(ctx, from, to)
 	}
-	old, err := r.version(ctx, from)
+	old, err := r.resolveVersion(ctx, from)
 	if err != nil {
 		return err
 	}
-	fresh, err := r.version(ctx, to)
+	updated, err := r.resolveVersion(ctx, to)
 	if err != nil {
 		return err
 	}
-	changes, err := r.operator.Changes(ctx, old, fresh)
+	changes, err := r.operator.Changes(ctx, old, updated)
 	if err != nil {
 		return err
 	}
 	return r.output.differences(changes)
 }
 
-// diffFiles compares two bundles of which at least one is a file.
-func (r run) diffFiles(ctx context.Context, from, to string) error {
+// diffFiles prints the differences between two bundles, at least one of which is a file.
+func (r invocation) diffFiles(ctx context.Context, from, to string) error {
 	old, err := r.bundle(ctx, from)
 	if err != nil {
 		return err
 	}
-	fresh, err := r.bundle(ctx, to)
+	updated, err := r.bundle(ctx, to)
 	if err != nil {
 		return err
 	}
-	return r.output.differences(pabundle.Diff(old, fresh))
+	return r.output.differences(pabundle.Diff(old, updated))
 }
 
 func isFile(argument string) bool {
@@ -85,45 +86,45 @@
 	return err == nil && argument != headArgument
 }
 
-// bundle returns the bundle that an argument names: the head, a file or a digest.
-func (r run) bundle(ctx context.Context, argument string) (pabundle.Bundle, error) {
+// bundle returns the bundle that an argument refers to: the head, a file or a digest.
+func (r invocation) bundle(ctx context.Context, argument string) (pabundle.Bundle, error) {
 	if isFile(argument) {
-		return readFile(argument)
+		return readBundleFile(argument)
 	}
-	d, err := r.version(ctx, argument)
+	d, err := r.resolveVersion(ctx, argument)
 	if err != nil {
 		return pabundle.Bundle{}, err
 	}
 	return r.operator.Bundle(ctx, d)
 }
 
-// version returns the digest that an argument names: that of the head, or a digest itself.
-func (r run) version(ctx context.Context, argument string) (pabundle.Digest, error) {
+// resolveVersion returns the digest that an argument refers to: the head's, or a full or abbreviated digest.
+func (r invocation) resolveVersion(ctx context.Context, argument string) (pabundle.Digest, error) {
 	if argument != headArgument {
-		return r.resolve(ctx, argument)
+		return r.expandDigest(ctx, argument)
 	}
 	s, err := r.operator.Status(ctx)
 	if err != nil {
 		return "", err
 	}
 	if s.Head.Sequence == 0 {
-		return "", trace.NotFound("nothing is in force in deployment %q yet", r.operator.Deployment)
+		return "", trace.NotFound("no bundle is in force in deployment %q yet", r.operator.Deployment)
 	}
 	return s.Head.Digest, nil
 }
 
-// digest returns the version that the first argument names.
-func (r run) digest(ctx context.Context) (pabundle.Digest, error) {
-	return r.resolve(ctx, r.command.Args().First())
+// digestArgument returns the full digest for the command's first argument.
+func (r invocation) digestArgument(ctx context.Context) (pabundle.Digest, error) {
+	return r.expandDigest(ctx, r.command.Args().First())
 }
 
-// resolve completes a digest of which only the first digits are given.
-func (r run) resolve(ctx context.Context, given string) (pabundle.Digest, error) {
+// expandDigest returns the full digest for an abbreviated one, which must match exactly one version.
+func (r invocation) expandDigest(ctx context.Context, given string) (pabundle.Digest, error) {
 	if d := pabundle.Digest(given); d.Valid() {
 		return d, nil
 	}
-	if len(given) < minDigits {
-		return "", trace.BadParameter("%q given, want a digest, or at least its first %d digits", given, minDigits)
+	if len(given) < minDigestPrefix {
+		return "", trace.BadParameter("%q given, want a digest, or at least its first %d digits", given, minDigestPrefix)
 	}
 	s, err := r.operator.Status(ctx)
 	if err != nil {
@@ -137,10 +138,10 @@
 	}
 	switch len(found) {
 	case 0:
-		return "", trace.NotFound("no version begins with %q; see bundle status", given)
+		return "", trace.NotFound("no version has a digest that begins with %q; list the versions with: bundle status", given)
 	case 1:
 		return found[0], nil
 	default:
-		return "", trace.BadParameter("%d versions begin with %q; give more digits", len(found), given)
+		return "", trace.BadParameter("%d versions have digests that begin with %q; give more digits", len(found), given)
 	}
 }
