--- a/pasetting/doc.go
+++ b/pasetting/doc.go
@@ -1,6 +1,6 @@
-// Package pasetting reads and checks the settings of papayahead's processes.
+// Package pasetting parses and validates the settings of papayahead's processes.
 //
-// A setting is a flag with an environment variable beside it. All settings of a process are checked
-// before it opens a port, and one error names every setting that is missing or wrong, what was
-// given and what is allowed.
+// Each setting is a command line flag with an environment variable as its alternative. All settings
+// of a process are validated before it opens a port. One error lists every missing or invalid
+// setting with the value given and the values allowed.
 package pasetting
--- a/pasetting/entry.go
+++ b/pasetting/entry.go
@@ -13,7 +13,7 @@
 	"papayahead/pabundle"
 )
 
-// Entry is the checked settings of an entry VM's daemon.
+// Entry holds the validated settings of an entry VM's daemon.
 type Entry struct {
 	Name       pabundle.EntryName
 	Zone       pabundle.ZoneName
@@ -21,28 +21,30 @@
 	Deployment string
 	// Callers, Peers and Operators are the addresses that the daemon listens on.
 	Callers, Peers, Operators netip.AddrPort
-	// CallersAddress and PeersAddress are the addresses that others reach the daemon at.
+	// CallersAddress and PeersAddress are the advertised addresses, at which callers and other entry VMs
+	// reach the daemon.
 	CallersAddress, PeersAddress netip.AddrPort
-	// DialFrom is the address that connections to others come from; unset leaves it to the system.
+	// DialFrom is the local address of outgoing connections; if unset, the system chooses it.
 	DialFrom netip.Addr
 	// Store and Machines are the base addresses of the platform's key-value service and VM list.
 	Store, Machines *url.URL
-	// TimeToLive is how long callers may keep a look-up's answer.
+	// TimeToLive is how long callers may cache the answer of a look-up.
 	TimeToLive time.Duration
-	// ListLag is the longest time that a change of the VM list takes to be seen by every reader.
+	// ListLag is the maximum time until a change of the VM list is visible to every reader.
 	ListLag time.Duration
-	// DrainLimit bounds a graceful shutdown.
+	// DrainLimit is the maximum duration of a graceful shutdown.
 	DrainLimit time.Duration
-	// MaxConnections, MaxRequests and MaxBytes are the VM's own limits.
+	// MaxConnections, MaxRequests and MaxBytes are this VM's limits on caller connections, requests in
+	// flight and bytes in flight.
 	MaxConnections, MaxRequests int
 	MaxBytes                    int64
 	LogLevel                    zerolog.Level
 }
 
-// Setting is one entry of the table that a process is configured by.
+// Setting describes one setting of a process.
 type Setting struct {
 	Flag, EnvVar, Usage, Allowed string
-	// Default is taken when nothing is given; with Required set there is none.
+	// Default applies when no value is given; a required setting has none.
 	Default  string
 	Required bool
 	parse    func(e *Entry, value string) error
@@ -56,7 +58,7 @@
 	urlAllowed     = "http://IP:PORT"
 )
 
-// EntrySettings returns the settings of `papayahead entry`, in the order of its help page.
+// EntrySettings returns the settings of `papayahead entry`, in the order of its help text.
 func EntrySettings() []Setting {
 	return []Setting{
 		{Flag: "name", Usage: "name of this entry VM", Allowed: nameAllowed, Required: true,
@@ -100,12 +102,13 @@
 	}
 }
 
-// ParseEntry checks the given values, by flag name; the error is Faults with every fault.
-func ParseEntry(given map[string]string) (Entry, error) {
+// ParseEntry parses and validates values, keyed by flag name. The error is a SettingErrors that lists
+// every missing or invalid setting.
+func ParseEntry(values map[string]string) (Entry, error) {
 	var e Entry
-	var faults SettingErrors
+	var errs SettingErrors
 	for _, s := range EntrySettings() {
-		v := given[s.Flag]
+		v := values[s.Flag]
 		if v == "" {
 			v = s.Default
 		}
@@ -113,11 +116,11 @@
 			continue
 		}
 		if v == "" || s.parse(&e, v) != nil {
-			faults = append(faults, SettingError{Flag: s.Flag, EnvVar: EnvVar(s.Flag), Value: given[s.Flag], Allowed: s.Allowed})
+			errs = append(errs, SettingError{Flag: s.Flag, EnvVar: EnvVar(s.Flag), Value: values[s.Flag], Allowed: s.Allowed})
 		}
 	}
-	if len(faults) > 0 {
-		return Entry{}, faults
+	if len(errs) > 0 {
+		return Entry{}, errs
 	}
 	if f := e.complete(); len(f) > 0 {
 		return Entry{}, f
@@ -125,7 +128,8 @@
 	return e, nil
 }
 
-// complete fills in what follows from other settings, and checks what only shows between them.
+// complete fills in settings that default to the value of another one, and validates constraints
+// between settings.
 func (e *Entry) complete() SettingErrors {
 	if !e.CallersAddress.IsValid() {
 		e.CallersAddress = e.Callers
@@ -155,7 +159,7 @@
 
 func parseName(v string, to *string) error {
 	if !namePattern.MatchString(v) {
-		return trace.BadParameter("not a name")
+		return trace.BadParameter("invalid name")
 	}
 	*to = v
 	return nil
@@ -164,7 +168,7 @@
 func parseAddress(v string, to *netip.AddrPort) error {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil {
-		return trace.BadParameter("not an address")
+		return trace.BadParameter("invalid IP:PORT")
 	}
 	*to = a
 	return nil
@@ -173,7 +177,7 @@
 func parseIP(v string, to *netip.Addr) error {
 	a, err := netip.ParseAddr(v)
 	if err != nil {
-		return trace.BadParameter("not an IP")
+		return trace.BadParameter("invalid IP address")
 	}
 	*to = a
 	return nil
@@ -182,10 +186,10 @@
 func parseURL(v string, to **url.URL) error {
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" || u.Path != "" && u.Path != "/" {
-		return trace.BadParameter("not a base address")
+		return trace.BadParameter("invalid base URL")
 	}
 	if _, err := netip.ParseAddrPort(u.Host); err != nil {
-		return trace.BadParameter("not a numeric address")
+		return trace.BadParameter("URL host is not a numeric IP:PORT")
 	}
 	*to = u
 	return nil
@@ -194,7 +198,7 @@
 func parseDuration(v string, low, high time.Duration, to *time.Duration) error {
 	d, err := time.ParseDuration(v)
 	if err != nil || d < low || d > high {
-		return trace.BadParameter("not in range")
+		return trace.BadParameter("value out of range")
 	}
 	*to = d
 	return nil
@@ -203,7 +207,7 @@
 func parseInt[T int | int64](v string, low, high T, to *T) error {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || n < int64(low) || n > int64(high) {
-		return trace.BadParameter("not in range")
+		return trace.BadParameter("value out of range")
 	}
 	*to = T(n)
 	return nil
@@ -216,6 +220,6 @@
 		*to = l
 		return trace.Wrap(err)
 	default:
-		return trace.BadParameter("not a level")
+		return trace.BadParameter("unknown log level")
 	}
 }
--- a/pasetting/entry_test.go
+++ b/pasetting/entry_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func valid() map[string]string {
+func validValues() map[string]string {
 	return map[string]string{
 		"name": "entry-1", "zone": "centro-a", "region": "centro", "deployment": "instituto",
 		"callers": "127.0.0.1:8001", "peers": "127.0.0.1:8002", "operators": "127.0.0.1:8003",
@@ -14,19 +14,19 @@
 	}
 }
 
-func TestEntryTakesDefaultsFromOtherSettings(t *testing.T) {
+func TestParseEntryDerivesDefaults(t *testing.T) {
 	g := NewWithT(t)
-	e, err := ParseEntry(valid())
+	e, err := ParseEntry(validValues())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(e.PeersAddress).To(Equal(e.Peers))
 	g.Expect(e.Machines).To(Equal(e.Store))
 	g.Expect(e.MaxRequests).To(Equal(2048))
 }
 
-// An operator starts a daemon with three mistakes. Told of one at a time, he would need four starts.
-func TestEveryFaultIsNamedAtOnce(t *testing.T) {
+// Guards against an error that reports only the first invalid setting: fixing three would take four starts.
+func TestParseEntryReportsAllErrors(t *testing.T) {
 	g := NewWithT(t)
-	given := valid()
+	given := validValues()
 	given["zone"] = ""
 	given["callers"] = "localhost:8001"
 	given["time-to-live"] = "2h"
@@ -39,9 +39,9 @@
 	)))
 }
 
-func TestAddressThatNobodyCanReachIsRefused(t *testing.T) {
+func TestParseEntryRejectsUnreachableAddress(t *testing.T) {
 	g := NewWithT(t)
-	given := valid()
+	given := validValues()
 	given["peers"] = "0.0.0.0:8002"
 	_, err := ParseEntry(given)
 	g.Expect(err).To(MatchError(ContainSubstring("--peers-address")))
@@ -51,7 +51,7 @@
 	f.Add("entry-1", "127.0.0.1:1", "http://127.0.0.1:7000", "3s", "4096")
 	f.Add("-", "[::1]:0", "http://a", "1e9s", "-1")
 	f.Fuzz(func(t *testing.T, name, address, store, ttl, n string) {
-		given := valid()
+		given := validValues()
 		given["name"], given["callers"], given["store"], given["time-to-live"], given["max-connections"] = name, address, store, ttl, n
 		e, err := ParseEntry(given)
 		if err != nil {
--- a/pasetting/fault.go
+++ b/pasetting/fault.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// SettingError is one setting that is missing or wrong.
+// SettingError describes one missing or invalid setting.
 type SettingError struct {
-	// Flag and EnvVar are the two names of the setting.
+	// Flag and EnvVar name the setting's command line flag and environment variable.
 	Flag, EnvVar string
-	// Value is the value as it was given; it is empty if none was.
+	// Value is the value as given; empty if none was.
 	Value string
-	// Allowed says what the setting takes.
+	// Allowed describes the values that the setting accepts.
 	Allowed string
 }
 
-// String describes the fault in one line.
+// String formats the error as one line.
 func (f SettingError) String() string {
 	given := "not set"
 	if f.Value != "" {
@@ -24,14 +24,14 @@
 	return fmt.Sprintf("--%s (%s): given %s, allowed: %s", f.Flag, f.EnvVar, given, f.Allowed)
 }
 
-// SettingErrors is every fault found in one check; as an error it lists them all.
+// SettingErrors collects all errors of one validation.
 type SettingErrors []SettingError
 
-// Error lists the faults, one a line.
+// Error lists the errors, one per line.
 func (f SettingErrors) Error() string {
-	lines := []string{fmt.Sprintf("%d settings are missing or wrong:", len(f))}
+	lines := []string{fmt.Sprintf("%d settings are missing or invalid:", len(f))}
 	if len(f) == 1 {
-		lines[0] = "1 setting is missing or wrong:"
+		lines[0] = "1 setting is missing or invalid:"
 	}
 	for _, x := range f {
 		lines = append(lines, "  "+x.String())
--- a/pasetting/flag.go
+++ b/pasetting/flag.go
@@ -6,16 +6,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// EnvPrefix begins the environment variable of every setting.
+// EnvPrefix is the prefix of every setting's environment variable.
 const EnvPrefix = "PAPAYAHEAD_"
 
-// EnvVar returns the environment variable of a flag.
+// EnvVar returns the name of a flag's environment variable.
 func EnvVar(flag string) string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Flags returns the command line flags of the settings. All take text: the check of the values is
-// left to ParseEntry, which reports every fault at once where the flag library stops at the first.
+// Flags returns the command line flags of the settings. All are string flags, because the flag library
+// stops at the first invalid value whereas ParseEntry reports all of them at once.
 func Flags(settings []Setting) []cli.Flag {
 	var flags []cli.Flag
 	for _, s := range settings {
@@ -29,7 +29,7 @@
 	return flags
 }
 
-// FlagValues collects the values of the settings from a command.
+// FlagValues returns the values of the settings from a command, keyed by flag name.
 func FlagValues(c *cli.Command, settings []Setting) map[string]string {
 	given := map[string]string{}
 	for _, s := range settings {
--- a/pasetting/page_test.go
+++ b/pasetting/page_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the settings of docs/OPERATING.md anew")
+var update = flag.Bool("update", false, "rewrite the settings table of docs/OPERATING.md")
 
 const (
 	operatingPage = "../docs/OPERATING.md"
@@ -16,7 +16,7 @@
 	tableEnd      = "<!-- end of settings -->\n"
 )
 
-// settingsTable is the table of the operators' page.
+// settingsTable returns the settings table of the operators' page.
 func settingsTable() string {
 	table := "| flag | variable | meaning | allowed | default |\n|---|---|---|---|---|\n"
 	for _, s := range EntrySettings() {
@@ -32,8 +32,8 @@
 	return table
 }
 
-// An operator sets a variable that the page names and the daemon does not know, or goes by a default
-// that has changed: the VM runs with something else than he believes.
+// Guards against a page that lists a variable the daemon does not read, or an outdated default: the VM
+// would then run with settings other than the operator expects.
 func TestOperatingPageListsTheSettings(t *testing.T) {
 	written, err := os.ReadFile(operatingPage)
 	if err != nil {
@@ -42,7 +42,7 @@
 	before, rest, opened := strings.Cut(string(written), tableBegin)
 	table, after, closed := strings.Cut(rest, tableEnd)
 	if !opened || !closed {
-		t.Fatalf("%s: the marks of the settings' table are gone", operatingPage)
+		t.Fatalf("%s: the markers around the settings table are missing", operatingPage)
 	}
 	if *update {
 		table = settingsTable()
