--- a/papayahead/check.go
+++ b/papayahead/check.go
@@ -28,19 +28,20 @@
 	}
 }
 
-// check prints every fault, and fails if there is one.
+// check prints every error in the settings file and, unless offline is set, in the configuration and
+// targets in its store. It returns an error if it found any.
 func check(ctx context.Context, path string, offline bool) error {
 	s, err := platform.ReadSettings(path)
 	if err != nil {
 		return err
 	}
 	if offline {
-		fmt.Println("settings: no faults")
+		fmt.Println("settings: no errors")
 		return nil
 	}
-	faults := 0
+	found := 0
 	report := func(format string, arguments ...any) {
-		faults++
+		found++
 		fmt.Println(fmt.Sprintf(format, arguments...))
 	}
 	clock := clockwork.NewRealClock()
@@ -55,17 +56,18 @@
 	var v pafleet.View
 	v.ApplyListing(all, revision, clock.Now())
 	if v.Config == nil {
-		report("no configuration is in the store")
+		report("the store holds no configuration")
 	} else {
 		checkView(&v, s.Regions, report)
 	}
-	fmt.Printf("%d targets, %d entry VMs, %d zones evacuated, %d faults\n", len(v.Targets), len(v.Entries), len(v.Evacuated), faults)
-	if faults > 0 {
-		return trace.BadParameter("check: %d faults", faults)
+	fmt.Printf("%d targets, %d entry VMs, %d zones evacuated, %d errors\n", len(v.Targets), len(v.Entries), len(v.Evacuated), found)
+	if found > 0 {
+		return trace.BadParameter("check: %d errors", found)
 	}
 	return nil
 }
 
+// checkView reports invalid configuration and every service that has no available target.
 func checkView(v *pafleet.View, regions map[string]string, report func(format string, arguments ...any)) {
 	for _, f := range append(paroute.Check(v.Config), paroute.CheckRegions(v.Config.Workspaces, regions)...) {
 		report("%s", f)
@@ -78,7 +80,7 @@
 	}
 	for name := range v.Config.Services {
 		if ready[name] == 0 {
-			report("service %q: no target may be used; its requests are refused", name)
+			report("service %q: no target is available; its requests are refused", name)
 		}
 	}
 }
--- a/papayahead/doc.go
+++ b/papayahead/doc.go
@@ -1,3 +1,3 @@
-// Command papayahead runs the daemons of the system and the operators' commands: gate, check, entry, bundle, timeline
-// and look-up.
+// Command papayahead runs the entry VM daemons (entry and gate) and the operators' commands: check,
+// bundle, timeline and look-up.
 package main
--- a/papayahead/entry.go
+++ b/papayahead/entry.go
@@ -24,19 +24,23 @@
 func entryCommand() *cli.Command {
 	settings := pasetting.EntrySettings()
 	return &cli.Command{
-		Name:   "entry",
-		Usage:  "run the daemon of an entry VM",
-		Flags:  pasetting.Flags(settings),
-		Action: func(ctx context.Context, c *cli.Command) error { return runEntry(ctx, pasetting.FlagValues(c, settings)) },
+		Name:  "entry",
+		Usage: "run the daemon of an entry VM",
+		Flags: pasetting.Flags(settings),
+		Action: func(ctx context.Context, c *cli.Command) error {
+			return runEntry(ctx, pasetting.FlagValues(c, settings))
+		},
 	}
 }
 
-func runEntry(ctx context.Context, given map[string]string) error {
+// runEntry runs the entry daemon until a signal shuts it down. Invalid settings are recorded as an event,
+// so that they also reach the log, and returned.
+func runEntry(ctx context.Context, values map[string]string) error {
 	clock := clockwork.NewRealClock()
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	set, err := pasetting.ParseEntry(given)
+	set, err := pasetting.ParseEntry(values)
 	if err != nil {
-		refused := paevent.NewRecorder(paevent.RecorderConfig{Process: given["name"], Log: log, Clock: clock, Ring: 1})
+		refused := paevent.NewRecorder(paevent.RecorderConfig{Process: values["name"], Log: log, Clock: clock, Ring: 1})
 		refused.Record(paevent.SettingsRefused{Fault: err.Error()})
 		return err
 	}
@@ -44,7 +48,7 @@
 	seed := uint64(clock.Now().UnixNano())
 	random := rand.New(rand.NewPCG(seed, uint64(os.Getpid())))
 	network := &paentry.TCP{LocalAddr: set.DialFrom}
-	transport := &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: platformConnections}
+	transport := &http.Transport{DialContext: network.Dial, MaxIdleConnsPerHost: maxIdlePlatformConns}
 	store := &platform.StoreClient{
 		BaseURL: set.Store.String(), Caller: paplatform.Caller(name), Clock: clock, Transport: transport,
 		Random: rand.New(rand.NewPCG(random.Uint64(), random.Uint64())),
@@ -60,18 +64,18 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	soft, hard, release := signals(ctx)
+	soft, hard, release := shutdownContexts(ctx)
 	defer release()
 	return trace.Wrap(d.Run(soft, hard))
 }
 
-// platformConnections is how many idle connections to the platform are kept: a waiting watch and
-// another call.
-const platformConnections = 2
+// maxIdlePlatformConns is the number of idle connections to the platform to keep: one for a long-polling
+// watch and one for other calls.
+const maxIdlePlatformConns = 2
 
-// signals returns a context that the first SIGTERM or SIGINT ends, for a graceful shutdown, and one
-// that the second ends, for giving up what still runs.
-func signals(ctx context.Context) (soft, hard context.Context, release func()) {
+// shutdownContexts returns two contexts: the first SIGTERM or SIGINT cancels soft, which starts a graceful
+// shutdown; the second cancels hard, which aborts requests still in flight. release stops the signal handling.
+func shutdownContexts(ctx context.Context) (soft, hard context.Context, release func()) {
 	soft, endSoft := context.WithCancel(ctx)
 	hard, endHard := context.WithCancel(ctx)
 	c := make(chan os.Signal, 2)
--- a/papayahead/gate.go
+++ b/papayahead/gate.go
@@ -30,13 +30,14 @@
 )
 
 const (
-	// logLines is how many log lines wait for a slow reader; beyond it lines are dropped and counted.
-	logLines = 2048
-	// gateRing is how many events are kept in memory; the log has them all.
-	gateRing = 64
-	// storeIdle is how many idle connections to the store are kept: a waiting watch and another call.
-	storeIdle = 2
-	// metricsPort is where the gate's own metrics are served; the deploy file names it too.
+	// logQueueLines is the number of log lines buffered for a slow reader; beyond it lines are dropped and counted.
+	logQueueLines = 2048
+	// eventRingSize is the number of recent events kept in memory; every event is also logged.
+	eventRingSize = 64
+	// maxIdleStoreConns is the number of idle connections to the store to keep: one for a long-polling watch
+	// and one for other calls.
+	maxIdleStoreConns = 2
+	// metricsPort is the port of the gate's metrics; the deploy file contains the same number.
 	metricsPort = 9464
 )
 
@@ -58,8 +59,10 @@
 	}
 }
 
+// runGate runs the gate daemon until a signal shuts it down. SIGHUP is subscribed first: until then it would
+// end the process.
 func runGate(ctx context.Context, path string, off pasteer.Off) error {
-	hangup := hangups()
+	hangup := notifyHangup()
 	clock := clockwork.NewRealClock()
 	var dropped atomic.Uint64
 	out := logWriter(os.Stdout, &dropped)
@@ -71,7 +74,7 @@
 	log := zerolog.New(out).With().Timestamp().Logger()
 	set, err := platform.ReadSettings(path)
 	recorder := paevent.NewRecorder(paevent.RecorderConfig{
-		Process: set.Name, Clock: clock, Log: log.With().Str("Process", set.Name).Logger(), Ring: gateRing,
+		Process: set.Name, Clock: clock, Log: log.With().Str("Process", set.Name).Logger(), Ring: eventRingSize,
 	})
 	if err != nil {
 		recorder.Record(paevent.SettingsRefused{Fault: err.Error()})
@@ -92,7 +95,7 @@
 		Registry: &platform.Registry{
 			Store: &platform.StoreClient{
 				BaseURL: "http://" + set.Store, Caller: paplatform.Caller(set.Name), Clock: clock,
-				Transport: &http.Transport{DialContext: dialStore, MaxIdleConnsPerHost: storeIdle},
+				Transport: &http.Transport{DialContext: dialStore, MaxIdleConnsPerHost: maxIdleStoreConns},
 			},
 			OnUnreadable: func(key string, err error) {
 				recorder.Record(paevent.ValueUnreadable{Key: key, Reason: err.Error()})
@@ -104,28 +107,31 @@
 	})
 	g.CountDroppedLines(&dropped)
 	serveMetrics(set, g, recorder)
-	soft, hard, release := signals(ctx)
+	soft, hard, release := shutdownContexts(ctx)
 	defer release()
 	r := &reloader{path: path, clock: clock, gate: g, recorder: recorder}
 	go r.run(hard, hangup)
 	return trace.Wrap(g.Run(soft, hard))
 }
 
-// uptime returns the time since the machine started; unlike the steady clock's it counts suspended time.
+// uptime returns the time since boot from CLOCK_BOOTTIME, which, unlike CLOCK_MONOTONIC, includes the time
+// that the VM was suspended.
 func uptime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic("papayahead: no clock of the time since the machine started: " + err.Error())
+		panic("papayahead: read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(t.Nano())
 }
 
-// logWriter returns a writer that never waits: beyond logLines lines it drops and counts the oldest.
+// logWriter returns a writer that never blocks: when more than logQueueLines lines are queued it drops the
+// oldest and adds their number to dropped.
 func logWriter(to io.Writer, dropped *atomic.Uint64) diode.Writer {
-	return diode.NewWriter(to, logLines, 0, func(n int) { dropped.Add(uint64(n)) })
+	return diode.NewWriter(to, logQueueLines, 0, func(n int) { dropped.Add(uint64(n)) })
 }
 
-// serveMetrics serves the gate's metrics; without them it goes on.
+// serveMetrics serves the gate's metrics. If it can't listen or serve, it records the failure and the gate
+// runs without metrics.
 func serveMetrics(s pagate.Settings, g *pagate.Gate, recorder *paevent.Recorder) {
 	l, err := net.Listen("tcp", netip.AddrPortFrom(s.Front.Addr(), metricsPort).String())
 	if err != nil {
@@ -143,28 +149,28 @@
 	}()
 }
 
-// gateNetwork opens connections that notice a silent other end.
+// gateNetwork opens TCP connections that detect an unresponsive peer.
 type gateNetwork struct{}
 
 const (
-	// silence is how long written bytes may stay unacknowledged. Links take 70 ms there and back; a
-	// few lost packets must not end a connection.
-	silence = 2 * time.Second
-	// probeAfter, probePace and probeCount bound how long a dead other end goes unnoticed while an
-	// answer is awaited.
-	probeAfter = time.Second
-	probePace  = time.Second
-	probeCount = 2
+	// unackedTimeout is how long sent data may stay unacknowledged (TCP_USER_TIMEOUT). The round trip time is
+	// 70 ms; a few lost packets must not close a connection.
+	unackedTimeout = 2 * time.Second
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes limit how long a dead peer goes undetected while
+	// the gate waits for its response.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
 )
 
-// Dial opens a connection.
+// Dial connects to an address, with TCP keep-alive and a limit on unacknowledged data.
 func (gateNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probePace, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var failed error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 			return trace.NewAggregate(err, failed)
 		},
@@ -173,7 +179,7 @@
 	return c, trace.Wrap(err)
 }
 
-// Listen opens a port.
+// Listen opens a TCP listener.
 func (gateNetwork) Listen(a netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", a.String())
 	return l, trace.Wrap(err)
--- a/papayahead/log_test.go
+++ b/papayahead/log_test.go
@@ -12,9 +12,9 @@
 	"papayahead/paevent"
 )
 
-// The collector of logs stops reading. Every request writes a line; if one waited for the collector, all
-// would.
-func TestAReaderThatStopsCostsLinesAndNoTime(t *testing.T) {
+// Guards against requests that block on logging: each request writes a log line, and the log collector may
+// stop reading the pipe.
+func TestBlockedLogReaderDropsLines(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	var dropped atomic.Uint64
 	out := logWriter(w, &dropped)
 	recorder := paevent.NewRecorder(paevent.RecorderConfig{Process: "t", Clock: clockwork.NewRealClock(), Log: zerolog.New(out), Ring: 4})
-	const lines = 4 * logLines
+	const lines = 4 * logQueueLines
 	begun := time.Now()
 	for range lines {
 		recorder.Record(paevent.RequestEnded{Status: 503, Reason: "Full"})
@@ -31,7 +31,7 @@
 	if took := time.Since(begun); took > 5*time.Second {
 		t.Errorf("%d lines took %s", lines, took)
 	}
-	// The lines that were dropped are counted when the log's writer goes on.
+	// The writer counts dropped lines only once it can write again.
 	go func() {
 		b := make([]byte, 1<<16)
 		for {
--- a/papayahead/lookup.go
+++ b/papayahead/lookup.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// maxLookUpAnswer bounds the answer that is printed, in bytes.
+// maxLookUpAnswer is the maximum number of bytes printed of an answer.
 const maxLookUpAnswer = 1 << 20
 
 func lookUpCommand() *cli.Command {
@@ -21,7 +21,7 @@
 		Usage:     "ask an entry VM which entry VMs a caller should use",
 		ArgsUsage: "CALLERS-ADDRESS SERVICE",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "caller", Usage: "address of the caller to ask for; the default is one's own"},
+			&cli.StringFlag{Name: "caller", Usage: "address of the caller to ask for; by default the address that the request comes from"},
 		},
 		Action: printLookUp,
 	}
@@ -29,7 +29,7 @@
 
 func printLookUp(ctx context.Context, c *cli.Command) error {
 	if c.NArg() != 2 {
-		return trace.BadParameter("look-up: want an entry VM's address for callers and a service, such as 127.0.0.1:8001 deposits")
+		return trace.BadParameter("look-up: requires an entry VM's address for callers and a service, such as 127.0.0.1:8001 deposits")
 	}
 	ctx, cancel := context.WithTimeout(ctx, timelineTimeout)
 	defer cancel()
--- a/papayahead/main.go
+++ b/papayahead/main.go
@@ -15,7 +15,7 @@
 	"papayahead/platform"
 )
 
-// Version is the version that the daemon reports.
+// Version is the version that the daemons report.
 const Version = "0.1.0"
 
 func main() {
@@ -41,13 +41,14 @@
 	}
 }
 
-// exitFault is the exit code of a failure that has no code of its own.
-const exitFault = 1
+// exitFailure is the exit code for errors that do not define one.
+const exitFailure = 1
 
+// exitCode returns the process exit code for an error.
 func exitCode(err error) int {
 	var coded cli.ExitCoder
 	if errors.As(err, &coded) {
 		return coded.ExitCode()
 	}
-	return exitFault
+	return exitFailure
 }
--- a/papayahead/reload.go
+++ b/papayahead/reload.go
@@ -14,11 +14,11 @@
 	"papayahead/platform"
 )
 
-// reloadPace is how often the settings file is looked at: it may change without a signal, and nothing
-// in it is urgent.
-const reloadPace = 2 * time.Second
+// pollInterval is how often the settings file is checked for changes, which may come without a signal.
+// Nothing in it is urgent.
+const pollInterval = 2 * time.Second
 
-// reloader reads the settings again on SIGHUP and when the file changes.
+// reloader reloads the settings on SIGHUP and when the modification time of the file changes.
 type reloader struct {
 	path     string
 	clock    clockwork.Clock
@@ -27,11 +27,11 @@
 	modified time.Time
 }
 
-// run reloads until the context ends. The caller has subscribed the channel to SIGHUP before anything
-// else: unhandled, the signal ends the process and cuts off every request.
+// run reloads the settings until the context is done. The caller must subscribe hangup to SIGHUP before it
+// does anything else: unhandled, the signal ends the process and cuts off every request.
 func (r *reloader) run(ctx context.Context, hangup <-chan os.Signal) {
 	r.modified = r.modificationTime()
-	tick := r.clock.NewTicker(reloadPace)
+	tick := r.clock.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -47,7 +47,8 @@
 	}
 }
 
-// modificationTime returns the zero time where the file is away for a moment, as while it is replaced.
+// modificationTime returns the file's modification time, or the zero time if the file can't be read, for
+// example while it is being replaced.
 func (r *reloader) modificationTime() time.Time {
 	i, err := os.Stat(r.path)
 	if err != nil {
@@ -56,7 +57,8 @@
 	return i.ModTime()
 }
 
-// reload takes the settings if they are right and goes on with the former ones if not.
+// reload applies the settings file if it is valid; otherwise it records the error and keeps the settings
+// in force.
 func (r *reloader) reload(cause string) {
 	r.modified = r.modificationTime()
 	s, err := platform.ReadSettings(r.path)
@@ -68,8 +70,8 @@
 	r.recorder.Record(paevent.SettingsReloaded{Cause: cause})
 }
 
-// hangups returns the channel of SIGHUP.
-func hangups() chan os.Signal {
+// notifyHangup subscribes to SIGHUP and returns the channel that receives it.
+func notifyHangup() chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
--- a/papayahead/reload_test.go
+++ b/papayahead/reload_test.go
@@ -14,10 +14,10 @@
 	"papayahead/pagate"
 )
 
-// The platform changes the settings file and sends SIGHUP. Every request at the entry VM was cut off:
-// the signal was not handled, and its default is to end the process.
-func TestHangupReloadsAndDoesNotEndTheProcess(t *testing.T) {
-	hangup := hangups()
+// Guards against an unhandled SIGHUP, which the platform sends after it changes the settings file: the
+// default action ended the process and cut off every request.
+func TestHangupReloadsSettings(t *testing.T) {
+	hangup := notifyHangup()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -33,12 +33,12 @@
 	for recorder.Count(paevent.SettingsReloaded{}.Kind().Number) == 0 {
 		select {
 		case <-deadline:
-			t.Fatal("SIGHUP was not taken")
+			t.Fatal("SIGHUP was not handled within 10 s")
 		case <-time.After(time.Millisecond):
 		}
 	}
 	if got := recorder.Records()[0]; !containsFault(got) {
-		t.Errorf("a settings file with faults was taken: %s", got.Event)
+		t.Errorf("an invalid settings file was accepted: %s", got.Event)
 	}
 }
 
--- a/papayahead/timeline.go
+++ b/papayahead/timeline.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// timelineTimeout bounds the wait for one process: a frozen one must not hold back the rest.
+	// timelineTimeout limits each request, so that a hung process does not block the output of the others.
 	timelineTimeout = 3 * time.Second
-	// maxRecords bounds what is taken from one process, in case it sends without end.
+	// maxRecords limits the records read from one process, in case its response never ends.
 	maxRecords = 1 << 20
 )
 
@@ -41,10 +41,12 @@
 	}
 }
 
+// printTimeline merges and prints the records of processes and log files. If a process did not answer, it
+// prints the others and returns an error.
 func printTimeline(ctx context.Context, c *cli.Command) error {
 	logs := c.StringSlice("log")
 	if c.NArg() == 0 && len(logs) == 0 {
-		return trace.BadParameter("timeline: want the operators' addresses of the processes, such as 127.0.0.1:8003, or --log FILE")
+		return trace.BadParameter("timeline: requires the operators' addresses of the processes, such as 127.0.0.1:8003, or --log FILE")
 	}
 	filter := paevent.Filter{
 		Request: c.String("request"), Service: c.String("service"), Sequence: c.Uint64("sequence"),
@@ -87,31 +89,32 @@
 	}
 	records, skipped, err := paevent.ReadLog(f)
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "timeline: %s: %d lines are no events\n", name, skipped)
+		fmt.Fprintf(os.Stderr, "timeline: %s: skipped %d lines that are not events\n", name, skipped)
 	}
 	return records, trace.Wrap(err)
 }
 
-// collectRecords asks all processes at once; those that fail are named with their fault.
+// collectRecords fetches the records of all processes concurrently. missing has the address and error of
+// each process that failed.
 func collectRecords(ctx context.Context, addresses []string) (processes [][]paevent.Record, missing []string) {
-	type answer struct {
+	type response struct {
 		address string
 		records []paevent.Record
 		err     error
 	}
-	answers := make(chan answer, len(addresses))
+	responses := make(chan response, len(addresses))
 	for _, a := range addresses {
 		go func() {
 			records, err := fetchRecords(ctx, a)
-			answers <- answer{address: a, records: records, err: err}
+			responses <- response{address: a, records: records, err: err}
 		}()
 	}
 	for range addresses {
-		a := <-answers
-		if a.err != nil {
-			missing = append(missing, fmt.Sprintf("%s: %v", a.address, a.err))
+		r := <-responses
+		if r.err != nil {
+			missing = append(missing, fmt.Sprintf("%s: %v", r.address, r.err))
 		}
-		processes = append(processes, a.records)
+		processes = append(processes, r.records)
 	}
 	return processes, missing
 }
@@ -129,7 +132,7 @@
 	}
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		return nil, trace.BadParameter("answered %s", r.Status)
+		return nil, trace.BadParameter("HTTP status %s", r.Status)
 	}
 	return paevent.ReadRecords(r.Body, maxRecords)
 }
