--- a/pasetting/flag.go
+++ b/pasetting/flag.go
@@ -6,16 +6,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// VariablePrefix begins the environment variable of every setting.
-const VariablePrefix = "PAPAYAHEAD_"
+// EnvPrefix is the prefix of every setting's environment variable.
+const EnvPrefix = "PAPAYAHEAD_"
 
-// Variable returns the environment variable of a flag.
-func Variable(flag string) string {
-	return VariablePrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
+// EnvVar returns the name of a flag's environment variable.
+func EnvVar(flag string) string {
+	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Flags returns the command line flags of the settings. All take text: the check of the values is
-// left to ParseEntry, which reports every fault at once where the flag library stops at the first.
+// Flags returns the command line flags of the settings. All are string flags, because the flag library
+// stops at the first invalid value whereas ParseEntry reports all of them at once.
 func Flags(settings []Setting) []cli.Flag {
 	var flags []cli.Flag
 	for _, s := range settings {
@@ -23,14 +23,14 @@
 			Name:    s.Flag,
 			Usage:   s.Usage + " (" + s.Allowed + ")",
 			Value:   s.Default,
-			Sources: cli.EnvVars(Variable(s.Flag)),
+			Sources: cli.EnvVars(EnvVar(s.Flag)),
 		})
 	}
 	return flags
 }
 
-// Given collects the values of the settings from a command.
-func Given(c *cli.Command, settings []Setting) map[string]string {
+// FlagValues returns the values of the settings from a command, keyed by flag name.
+func FlagValues(c *cli.Command, settings []Setting) map[string]string {
 	given := map[string]string{}
 	for _, s := range settings {
 		given[s.Flag] = c.String(s.Flag)
