--- a/paoperator/command.go
+++ b/paoperator/command.go
@@ -40,11 +40,11 @@
 	return &cli.Command{
 		Name:  "bundle",
 		Usage: "check bundles and bring them into force",
-		Description: "Exit codes: 0 done; 1 refused, nothing changed; 2 the bundle has faults; 3 another operator came first;\n" +
+		Description: "Exit codes: 0 done; 1 refused, nothing changed; 2 the bundle is invalid; 3 another operator came first;\n" +
 			"4 a reply was lost, repeat the command; 5 the store does not answer, the head is unchanged.",
 		Flags: flags(),
 		Commands: []*cli.Command{
-			{Name: "check", ArgsUsage: "FILE", Usage: "report every fault of a bundle's file", Action: c.action(1, needsNothing, c.check)},
+			{Name: "check", ArgsUsage: "FILE", Usage: "validate a bundle file and report every error", Action: c.action(1, needsNothing, c.check)},
 			{Name: "propose", ArgsUsage: "FILE", Usage: "put a bundle into the store for review", Action: c.action(1, needsOperator, c.propose)},
 			{Name: "review", ArgsUsage: "DIGEST", Usage: "show what a version changes and record that you read it", Flags: []cli.Flag{
 				&cli.StringFlag{Name: "note", Usage: "a note for the record"},
@@ -64,7 +64,7 @@
 		&cli.StringFlag{Name: "deployment", Sources: cli.EnvVars("PAPAYAHEAD_DEPLOYMENT"), Usage: "the deployment's name, such as kartuli"},
 		&cli.StringFlag{Name: "operator", Sources: cli.EnvVars("PAPAYAHEAD_OPERATOR"), Usage: "your name, for the record"},
 		&cli.StringFlag{Name: "output", Value: "text", Sources: cli.EnvVars("PAPAYAHEAD_OUTPUT"), Usage: "text or json"},
-		&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Sources: cli.EnvVars("PAPAYAHEAD_TIMEOUT"), Usage: "bound of the whole command"},
+		&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Sources: cli.EnvVars("PAPAYAHEAD_TIMEOUT"), Usage: "time limit of the whole command"},
 	}
 }
 
@@ -121,7 +121,7 @@
 		problem("--output (PAPAYAHEAD_OUTPUT): %q given, want text or json", given)
 	}
 	if given := command.Duration("timeout"); given <= 0 {
-		problem("--timeout (PAPAYAHEAD_TIMEOUT): %s given, want a time above 0, such as 30s", given)
+		problem("--timeout (PAPAYAHEAD_TIMEOUT): %s given, want a duration above 0, such as 30s", given)
 	}
 	if n == needsNothing {
 		return problems
@@ -130,10 +130,10 @@
 		problem("--store (PAPAYAHEAD_STORE): %q given, want http://IP:PORT", given)
 	}
 	if command.String("deployment") == "" {
-		problem("--deployment (PAPAYAHEAD_DEPLOYMENT): nothing given, want the deployment's name")
+		problem("--deployment (PAPAYAHEAD_DEPLOYMENT): not set, want the deployment's name")
 	}
 	if n == needsOperator && command.String("operator") == "" {
-		problem("--operator (PAPAYAHEAD_OPERATOR): nothing given, want your name")
+		problem("--operator (PAPAYAHEAD_OPERATOR): not set, want your name")
 	}
 	return problems
 }
--- a/paoperator/print.go
+++ b/paoperator/print.go
@@ -93,7 +93,7 @@
 	if p.json {
 		return p.writeJSON(s)
 	}
-	lines := []string{"nothing is in force yet"}
+	lines := []string{"no bundle is in force yet"}
 	if h := s.Head; h.Sequence > 0 {
 		lines[0] = fmt.Sprintf("in force: sequence %d, %s, by %s at %s", h.Sequence, h.Digest, h.Operator, h.RolledAt.Format(time.RFC3339))
 	}
--- a/papayahead/lookup.go
+++ b/papayahead/lookup.go
@@ -48,7 +48,7 @@
 	defer r.Body.Close()
 	if r.StatusCode != http.StatusOK {
 		b, _ := io.ReadAll(io.LimitReader(r.Body, maxLookUpAnswer))
-		return trace.BadParameter("look-up: answered %s: %s", r.Status, b)
+		return trace.BadParameter("look-up: HTTP status %s: %s", r.Status, b)
 	}
 	if _, err := io.Copy(os.Stdout, io.LimitReader(r.Body, maxLookUpAnswer)); err != nil {
 		return trace.Wrap(err)
