--- a/pacontrol/agreement.go
+++ b/pacontrol/agreement.go
@@ -117,7 +117,7 @@
 		if v.Kind != paplatform.Entry || n == k.config.Self.Name || k.hasLeft(n) {
 			continue
 		}
-		if k.adverts[n] < k.head.Sequence {
+		if k.configSequences[n] < k.head.Sequence {
 			return
 		}
 	}
--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -55,7 +55,7 @@
 	leaving map[pabundle.TargetName]bool
 	// owned are the targets that this entry VM owns.
 	owned map[pabundle.TargetName]bool
-	// reports holds the stamp of each member's newest facts and when they arrived.
+	// reports holds the stamp of each member's newest load report and when it arrived.
 	reports  map[pabundle.EntryName]report
 	stopping bool
 
@@ -99,15 +99,15 @@
 	nextShift, nextSecond time.Time
 	ledger                paledger.Ledger
 	claims                map[paowner.RequestID]*claim
-	adverts               map[pabundle.EntryName]pabundle.Sequence
+	configSequences       map[pabundle.EntryName]pabundle.Sequence
 
-	effects   []Effect
-	decisions []paowner.Decision
-	changed   bool
-	nextFacts time.Time
+	effects    []Effect
+	decisions  []paowner.Decision
+	changed    bool
+	nextReport time.Time
 }
 
-// report is the stamp of a member's newest facts and when they arrived.
+// report is the stamp of a member's newest load report and when it arrived.
 type report struct {
 	stamp uint64
 	at    time.Time
@@ -124,27 +124,27 @@
 		return nil, trace.Wrap(err)
 	}
 	k := &Control{
-		spread:         s,
-		config:         c,
-		member:         m,
-		admitted:       map[paowner.RequestID]int64{},
-		requestService: map[paowner.RequestID]pabundle.ServiceName{},
-		refusals:       map[refusalKind]int{},
-		shifting:       map[pabundle.ServiceName]bool{},
-		downRegions:    map[downRegion]bool{},
-		rates:          map[pabundle.ServiceName]*rate{},
-		askedAt:        map[creditKey]time.Time{},
-		neededAt:       map[creditKey]time.Time{},
-		grantedAt:      map[creditKey]time.Time{},
-		loads:          map[pabundle.ServiceName]float64{},
-		remotes:        map[paowner.RequestID]*remote{},
-		redeemed:       map[paowner.RequestID]pabundle.ServiceName{},
-		claims:         map[paowner.RequestID]*claim{},
-		adverts:        map[pabundle.EntryName]pabundle.Sequence{},
-		leaving:        map[pabundle.TargetName]bool{},
-		owned:          map[pabundle.TargetName]bool{},
-		reports:        map[pabundle.EntryName]report{},
-		changed:        true,
+		spread:          s,
+		config:          c,
+		member:          m,
+		admitted:        map[paowner.RequestID]int64{},
+		requestService:  map[paowner.RequestID]pabundle.ServiceName{},
+		refusals:        map[refusalKind]int{},
+		shifting:        map[pabundle.ServiceName]bool{},
+		downRegions:     map[downRegion]bool{},
+		rates:           map[pabundle.ServiceName]*rate{},
+		askedAt:         map[creditKey]time.Time{},
+		neededAt:        map[creditKey]time.Time{},
+		grantedAt:       map[creditKey]time.Time{},
+		loads:           map[pabundle.ServiceName]float64{},
+		remotes:         map[paowner.RequestID]*remote{},
+		redeemed:        map[paowner.RequestID]pabundle.ServiceName{},
+		claims:          map[paowner.RequestID]*claim{},
+		configSequences: map[pabundle.EntryName]pabundle.Sequence{},
+		leaving:         map[pabundle.TargetName]bool{},
+		owned:           map[pabundle.TargetName]bool{},
+		reports:         map[pabundle.EntryName]report{},
+		changed:         true,
 	}
 	k.owner = paowner.New(paowner.Config{Others: k, Rand: splitRandom(c.Random)})
 	k.prepareLimits()
@@ -182,7 +182,7 @@
 	case PieceFetched:
 		k.spreadStep(now, paspread.FetchResult{From: v.From, Digest: v.Digest, Data: v.Data})
 	case MemberMessage:
-		k.adverts[v.Message.From.Name] = max(k.adverts[v.Message.From.Name], v.Message.Config.Sequence)
+		k.configSequences[v.Message.From.Name] = max(k.configSequences[v.Message.From.Name], v.Message.Config.Sequence)
 		k.stepMembership(now, pamember.Received{Message: v.Message})
 	case Offered:
 		k.offer(now, v)
@@ -233,7 +233,7 @@
 	k.spreadStep(now, paspread.Tick{})
 	k.decisions = k.owner.Tick(now, k.decisions)
 	k.tickLimits(now)
-	if !now.Before(k.nextFacts) {
+	if !now.Before(k.nextReport) {
 		k.publishFacts(now)
 	}
 }
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -11,10 +11,10 @@
 	"papayahead/patarget"
 )
 
-// factsInterval is how often this entry VM publishes its facts. Free slots turn over ten times a second.
+// reportInterval is how often this entry VM publishes its load report. Free slots turn over ten times a second.
 // A shorter interval adds gossip that nobody acts on; with a longer one, other owners place requests by
 // facts too old to count.
-const factsInterval = time.Second
+const reportInterval = time.Second
 
 // stepMembership passes an event to the membership and handles the changes.
 func (k *Control) stepMembership(now time.Time, e pamember.Event) {
@@ -109,7 +109,7 @@
 
 // publishFacts gossips this entry VM's slots, queue lengths and spare capacity in its region.
 func (k *Control) publishFacts(now time.Time) {
-	k.nextFacts = now.Add(factsInterval)
+	k.nextReport = now.Add(reportInterval)
 	if k.bundle == nil {
 		return
 	}
--- a/pacontrol/record.go
+++ b/pacontrol/record.go
@@ -20,7 +20,7 @@
 	reason  string
 }
 
-// shedRegion is a region that counts as down for a service.
+// downRegion is a region that counts as down for a service.
 type downRegion struct {
 	service pabundle.ServiceName
 	region  pabundle.RegionName
--- a/pacredit/credit_test.go
+++ b/pacredit/credit_test.go
@@ -32,7 +32,7 @@
 	deposits = pabundle.ServiceName("deposits")
 	owner    = pabundle.EntryName("owner")
 	slots    = 12
-	remote   = 9 // slots without localPart
+	remote   = 9 // slots without the local share
 )
 
 var epoch = time.Date(2026, 9, 1, 0, 0, 0, 0, time.UTC)
--- a/paowner/owner.go
+++ b/paowner/owner.go
@@ -28,7 +28,7 @@
 	Others CandidateSource
 	// Rand is the source of jitter and of random choices.
 	Rand *rand.Rand
-	// Order is the queue order. The zero value, AgedShortest, is the one that the measurements support.
+	// Order is the queue order. The zero value is AgedShortest.
 	Order paqueue.Order
 	// Tuning overrides constants, for experiments.
 	Tuning Tuning
