--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -13,7 +13,7 @@
 
 // reportInterval is how often this entry VM publishes its load report. Free slots turn over ten times a second.
 // A shorter interval adds gossip that nobody acts on; with a longer one, other owners place requests by
-// facts too old to count.
+// load reports too old to count.
 const reportInterval = time.Second
 
 // stepMembership passes an event to the membership and handles the changes.
@@ -29,7 +29,7 @@
 	if v := k.member.View(now); v != k.view {
 		k.view = v
 		k.changed = true
-		k.observeFacts(now)
+		k.observeLoadReports(now)
 	}
 	if moved {
 		k.setPeers(now)
@@ -122,11 +122,11 @@
 	k.stepMembership(now, pamember.SetLoadReport{Report: f})
 }
 
-// saturateUint8 encodes a count for the facts: 255 means 255 or more.
+// saturateUint8 encodes a count for the load report: 255 means 255 or more.
 func saturateUint8(n int) uint8 { return uint8(min(255, max(0, n))) }
 
-// observeFacts records when each member's facts changed, because placement weighs them by age.
-func (k *Control) observeFacts(now time.Time) {
+// observeLoadReports records when each member's load report changed, because placement weighs them by age.
+func (k *Control) observeLoadReports(now time.Time) {
 	for _, m := range k.view.Members {
 		if r, ok := k.reports[m.Name]; !ok || r.stamp != m.Load.Stamp {
 			k.reports[m.Name] = report{stamp: m.Load.Stamp, at: now}
--- a/pacontrol/region.go
+++ b/pacontrol/region.go
@@ -8,7 +8,7 @@
 )
 
 // observeRegions passes the load of each service in each region to the shift limiter. This region's load
-// comes from its owners' facts. Of another region only the liveness of its entry VMs is known; its free
+// comes from its owners' load reports. Of another region only the liveness of its entry VMs is known; its free
 // capacity is inferred from the credits that it grants.
 func (k *Control) observeRegions(now time.Time) {
 	alive := map[pabundle.RegionName]int{}
@@ -45,7 +45,7 @@
 )
 
 // ownReading adds up the load of the region's owners, this one from its own state. If no slots are known
-// and an owner's facts are missing, the load is unknown instead of the region being down: otherwise an
+// and an owner's load report is missing, the load is unknown instead of the region being down: otherwise an
 // entry VM that owns no target of a service would refuse all of its callers for seconds after its start.
 func (k *Control) ownReading(now time.Time, n int, s pabundle.ServiceName) pashift.Reading {
 	slots, busy := k.owner.Slots(now, s), k.owner.InFlight(s)+k.owner.Waiting(s)
