--- a/pacontrol/control.go
+++ b/pacontrol/control.go
@@ -234,7 +234,7 @@
 	k.decisions = k.owner.Tick(now, k.decisions)
 	k.tickLimits(now)
 	if !now.Before(k.nextReport) {
-		k.publishFacts(now)
+		k.publishLoadReport(now)
 	}
 }
 
--- a/pacontrol/member.go
+++ b/pacontrol/member.go
@@ -107,8 +107,8 @@
 // connects; half of the target's limit is left for a former owner's connections that are still open.
 func (k *Control) connections(t pabundle.Target) int { return max(1, t.MaxConnections/2) }
 
-// publishFacts gossips this entry VM's slots, queue lengths and spare capacity in its region.
-func (k *Control) publishFacts(now time.Time) {
+// publishLoadReport gossips this entry VM's slots, queue lengths and spare capacity in its region.
+func (k *Control) publishLoadReport(now time.Time) {
 	k.nextReport = now.Add(reportInterval)
 	if k.bundle == nil {
 		return
